--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -39,8 +39,8 @@
 pub mod retry;
 pub mod rollout;
 pub mod route;
+pub mod run_time;
 pub mod slots;
-pub mod span;
 pub mod sweep;
 pub mod watch;
 
--- a/crates/coordination/src/span.rs
+++ b/crates/coordination/src/run_time.rs
@@ -5,7 +5,7 @@
 //! it is done, since it is stopped whenever online needs its slot.
 //!
 //! ```
-//! use coordination::span::{Done, Span};
+//! use coordination::run_time::{Done, Span};
 //! use std::time::Duration;
 //!
 //! let mut span = Span::default();
--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -25,7 +25,7 @@
     Ask, Chance, End, Grant, Held, LeaseId, Policy, Purpose, Report, Revocation, Verdict, WaiterId,
 };
 
-use crate::span::Span;
+use crate::run_time::Span;
 use crate::{InstanceId, TargetId};
 use lease::Turn;
 use protocol::routing::Target;
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -1,6 +1,6 @@
 //! Wishes, leases and verdicts: what an account of slots is asked and answers.
 
-use crate::span::Done;
+use crate::run_time::Done;
 use crate::{InstanceId, TargetId};
 use protocol::DataCentreId;
 use serde::{Deserialize, Serialize};
--- a/crates/coordination/tests/shortage.rs
+++ b/crates/coordination/tests/shortage.rs
@@ -4,10 +4,10 @@
 
 mod common;
 
+use coordination::run_time::{Done, Span};
 use coordination::slots::{
     Ask, End, Grant, LeaseId, Ledger, Policy, Purpose, Report, Revocation, Verdict, WaiterId,
 };
-use coordination::span::{Done, Span};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
--- a/crates/daemon/src/gateway/board.rs
+++ b/crates/daemon/src/gateway/board.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use coordination::hash;
 use coordination::member::Member;
-use coordination::span::Span;
+use coordination::run_time::Span;
 use protocol::ServiceId;
 use protocol::routing::Route;
 use state::progress::{ItemId, Job, JobId, Learnt, Sheet};
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -5,8 +5,8 @@
 
 use coordination::quarantine::Strike;
 use coordination::registry::Change;
+use coordination::run_time::Span;
 use coordination::slots::{Grant, Held, LeaseId, Purpose, Report};
-use coordination::span::Span;
 use protocol::routing::Version;
 use protocol::{ContentId, DataCentreId, InstanceId, ServiceId, TargetId};
 use serde::{Deserialize, Serialize};
