--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -19,7 +19,7 @@
 //! assert_eq!(append.on_found(Some("writer-b")), Step::Overtaken);
 //! ```
 
-pub mod admit;
+pub mod admission;
 pub mod burn;
 pub mod capacity;
 pub mod chain;
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! The smaller decisions, each by itself.
 
-use coordination::admit::{Batch, Pressure, Room, batch, word};
+use coordination::admission::{Batch, Pressure, Room, batch, word};
 use coordination::burn::{Count, Series};
 use coordination::drain::{Phase, Plan, phase};
 use coordination::eject::{Health, Use};
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -8,7 +8,7 @@
 use super::report::{self, Sent};
 use crate::fleet::{Node, View, lock};
 use crate::shared::Shared;
-use coordination::admit::{self, Batch, Room};
+use coordination::admission::{self, Batch, Room};
 use coordination::eject::Use;
 use protocol::config::Protocol;
 use protocol::{Error, ShardId, TargetId};
@@ -182,7 +182,7 @@
             return None;
         }
         let room = self.room(node, count, now);
-        let starts = match admit::batch(room) {
+        let starts = match admission::batch(room) {
             Batch::Hold => 0,
             Batch::Stop(_) if self.shared.settings.is_unguarded("yield") => 0,
             Batch::Stop(most) => {
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The targets as this instance knows them, shared by front, batch and control.
 
-use coordination::admit::Pressure;
+use coordination::admission::Pressure;
 use coordination::eject::{Health, Use};
 use coordination::hash;
 use coordination::limit::Concurrency;
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::{Node, lock};
 use crate::shared::Shared;
-use coordination::admit;
+use coordination::admission;
 use coordination::chain::Offer;
 use coordination::member::{Member, Note};
 use platform::instance;
@@ -249,7 +249,7 @@
 
     /// Tells one target's decider; a word that it has heard only when `again`.
     fn tell_load(&self, node: &Node, again: bool) {
-        let online = admit::word(lock(&node.state).load.own());
+        let online = admission::word(lock(&node.state).load.own());
         let is_new = node.word.swap(online, Ordering::Relaxed) != online;
         match self.shared.decider(node) {
             Some(decider) if decider.id == self.shared.id => self.shared.batch.wake(),
