--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::options::{Apply, Leave};
 use crate::print::Context;
 use anyhow::Context as _;
-use coordination::burn::Count;
+use coordination::burn_rate::Count;
 use protocol::config::{Change, Document, Entry};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -20,7 +20,7 @@
 //! ```
 
 pub mod admission;
-pub mod burn;
+pub mod burn_rate;
 pub mod capacity;
 pub mod chain;
 pub mod contact;
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -1,7 +1,7 @@
 //! The smaller decisions, each by itself.
 
 use coordination::admission::{Batch, Pressure, Room, batch, word};
-use coordination::burn::{Count, Series};
+use coordination::burn_rate::{Count, Series};
 use coordination::drain::{Phase, Plan, phase};
 use coordination::eject::{Health, Use};
 use coordination::leaving::{Board, Witness, Word};
--- a/crates/daemon/src/gateway/measure.rs
+++ b/crates/daemon/src/gateway/measure.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use cadence::prelude::*;
 use cadence::{MetricSink, StatsdClient};
-use coordination::burn::{Series, WINDOWS};
+use coordination::burn_rate::{Series, WINDOWS};
 use hdrhistogram::Histogram;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -4,7 +4,7 @@
 use crate::shared::Shared;
 use cadence::prelude::*;
 use cadence::{NopMetricSink, QueuingMetricSink, StatsdClient, UdpMetricSink};
-use coordination::burn::{Count, Series, WINDOWS};
+use coordination::burn_rate::{Count, Series, WINDOWS};
 use hdrhistogram::Histogram;
 use protocol::config::Document;
 use serde::{Deserialize, Serialize};
