--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -6,11 +6,11 @@
 //! transport and storage.
 //!
 //! What it is not: a consensus library. Agreement rests on conditional writes
-//! to a store that the embedder names ([`chain`], [`lease`]); what members tell
+//! to a store that the embedder names ([`append_log`], [`lease`]); what members tell
 //! each other ([`member`]) is a hint that may be lost.
 //!
 //! ```
-//! use coordination::chain::{Append, Step};
+//! use coordination::append_log::{Append, Step};
 //!
 //! // A create whose answer was lost is settled by reading back.
 //! let append = Append::new(7, "writer-a");
@@ -20,9 +20,9 @@
 //! ```
 
 pub mod admission;
+pub mod append_log;
 pub mod burn_rate;
 pub mod capacity;
-pub mod chain;
 pub mod contact;
 pub mod drain;
 pub mod eject;
--- a/crates/coordination/tests/chain.rs
+++ b/crates/coordination/tests/append_log.rs
@@ -1,6 +1,6 @@
 //! Appends to a chain, with creates that arrive late, twice or never.
 
-use coordination::chain::{Append, Offer, Step, offer};
+use coordination::append_log::{Append, Offer, Step, offer};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rstest::rstest;
--- a/crates/daemon/src/append.rs
+++ b/crates/daemon/src/append.rs
@@ -1,11 +1,11 @@
 //! Drives one append to a chain on the platform, as far as it goes now.
 //!
-//! The rules are `coordination::chain`'s; this only makes the calls that they ask
+//! The rules are `coordination::append_log`'s; this only makes the calls that they ask
 //! for. Shards and the configuration share it.
 
 use crate::store::Handle;
 use bytes::Bytes;
-use coordination::chain::{Append, Step};
+use coordination::append_log::{Append, Step};
 use platform::keyed::Condition;
 use platform::store::Fault;
 
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{Node, lock};
 use crate::peers;
 use crate::shared::Shared;
-use coordination::chain::{Append, Offer};
+use coordination::append_log::{Append, Offer};
 use coordination::leaving::{Witness, Word};
 use coordination::member::State;
 use coordination::retry::Failure;
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -7,7 +7,7 @@
 use crate::fleet::{Node, lock};
 use crate::shared::Shared;
 use coordination::admission;
-use coordination::chain::Offer;
+use coordination::append_log::Offer;
 use coordination::member::{Member, Note};
 use platform::instance;
 use protocol::config::{Document, Entry};
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -7,7 +7,7 @@
 use crate::shared::Shared;
 use crate::store::Handle;
 use bytes::Bytes;
-use coordination::chain::Append;
+use coordination::append_log::Append;
 use coordination::retry;
 use platform::store::Fault;
 use protocol::{Error, Kind, Millis, ShardId};
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -7,7 +7,7 @@
 use crate::shards;
 use crate::store;
 use crate::telemetry::Telemetry;
-use coordination::chain::Offer;
+use coordination::append_log::Offer;
 use coordination::hash;
 use coordination::leaving::{Board, Witness, Word};
 use coordination::limit::Bucket;
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -1,6 +1,6 @@
 //! The chain of accepted configuration changes, folded.
 
-use coordination::chain::{self, Offer};
+use coordination::append_log::{self, Offer};
 use protocol::Generation;
 use protocol::config::{Document, Entry};
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
     /// can't be in the chain (it was validated before it was written), so one
     /// that fails here is reported as a gap and not applied.
     pub fn offer(&mut self, entry: Entry) -> Offer {
-        let offer = chain::offer(self.generation(), entry.generation);
+        let offer = append_log::offer(self.generation(), entry.generation);
         if offer != Offer::Apply {
             return offer;
         }
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -1,7 +1,7 @@
 //! Owners of one shard, their chain, and what they have promised.
 
 use super::{Action, CHUNK, Fate, ITEMS, OWNERS};
-use coordination::chain::{Append, Step};
+use coordination::append_log::{Append, Step};
 use protocol::chat;
 use protocol::job::Phase;
 use state::command::{Answer, Command, Reply};
