--- a/crates/coordination/src/contact.rs
+++ b/crates/coordination/src/connectivity.rs
@@ -13,7 +13,7 @@
 //! What it is not: a breaker. Calls go on or not by their own rules.
 //!
 //! ```
-//! use coordination::contact::{Contact, Policy};
+//! use coordination::connectivity::{Contact, Policy};
 //! use std::time::{Duration, Instant};
 //!
 //! let mut contact = Contact::new(Policy::default());
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -23,7 +23,7 @@
 pub mod append_log;
 pub mod burn_rate;
 pub mod capacity;
-pub mod contact;
+pub mod connectivity;
 pub mod drain;
 pub mod eject;
 pub mod flush;
--- a/crates/coordination/tests/contact.rs
+++ b/crates/coordination/tests/connectivity.rs
@@ -1,6 +1,6 @@
 //! A service that has fallen silent, told from one with nothing to tell.
 
-use coordination::contact::{Contact, Policy, Series};
+use coordination::connectivity::{Contact, Policy, Series};
 use std::time::{Duration, Instant};
 
 const fn ms(millis: u64) -> Duration {
--- a/crates/daemon/src/gateway/liveness.rs
+++ b/crates/daemon/src/gateway/liveness.rs
@@ -15,7 +15,7 @@
 use super::message::{Ask, Contact};
 use super::node::Node;
 use crate::clock;
-use coordination::contact::Series;
+use coordination::connectivity::Series;
 use coordination::member::Member;
 use platform::instance;
 use protocol::InstanceId;
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -5,7 +5,7 @@
 
 use super::cause::Cause;
 use crate::clock;
-use coordination::contact::{Contact, Policy, Series};
+use coordination::connectivity::{Contact, Policy, Series};
 use coordination::retry;
 use platform::store::{Fault, Object, Page, Store, Unreadable};
 use protocol::settings::Settings;
