--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -25,7 +25,7 @@
 pub mod capacity;
 pub mod connectivity;
 pub mod drain;
-pub mod eject;
+pub mod ejection;
 pub mod flush;
 pub mod hash;
 pub mod lease;
--- a/crates/coordination/src/slots/row.rs
+++ b/crates/coordination/src/slots/row.rs
@@ -1,7 +1,7 @@
 //! One target in the account: what is out there, and how it has done lately.
 
 use super::lease::{Ask, End, Policy, Purpose, Report};
-use crate::eject::{Health, Use};
+use crate::ejection::{Health, Use};
 use protocol::routing::Target;
 use std::time::{Duration, Instant};
 
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -3,7 +3,7 @@
 use coordination::admission::{Batch, Pressure, Room, batch, word};
 use coordination::burn_rate::{Count, Series};
 use coordination::drain::{Phase, Plan, phase};
-use coordination::eject::{Health, Use};
+use coordination::ejection::{Health, Use};
 use coordination::leaving::{Board, Witness, Word};
 use coordination::limit::{Bucket, Concurrency};
 use coordination::load::{Load, Report};
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -9,7 +9,7 @@
 use crate::fleet::{Node, View, lock};
 use crate::shared::Shared;
 use coordination::admission::{self, Batch, Room};
-use coordination::eject::Use;
+use coordination::ejection::Use;
 use protocol::config::Protocol;
 use protocol::{Error, ShardId, TargetId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The targets as this instance knows them, shared by front, batch and control.
 
 use coordination::admission::Pressure;
-use coordination::eject::{Health, Use};
+use coordination::ejection::{Health, Use};
 use coordination::hash;
 use coordination::limit::Concurrency;
 use coordination::load::{Load, Report as LoadReport};
