--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! What it is not: a consensus library. Agreement rests on conditional writes
 //! to a store that the embedder names ([`append_log`], [`lease`]); what members tell
-//! each other ([`member`]) is a hint that may be lost.
+//! each other ([`membership`]) is a hint that may be lost.
 //!
 //! ```
 //! use coordination::append_log::{Append, Step};
@@ -32,7 +32,7 @@
 pub mod leaving;
 pub mod limit;
 pub mod load;
-pub mod member;
+pub mod membership;
 pub mod quarantine;
 pub mod queue;
 pub mod registry;
--- a/crates/coordination/tests/member.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Membership in a fleet of tables that talk only through each other: it
 //! converges, stays bounded, and survives cuts of hours. Time is an argument.
 
-use coordination::member::{Member, Note, Policy, State, Table};
+use coordination::membership::{Member, Note, Policy, State, Table};
 use rstest::rstest;
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench -p gatespoold --bench slopes`
 
-use coordination::member::{Member, Note, Policy as MemberPolicy, State, Table};
+use coordination::membership::{Member, Note, Policy as MemberPolicy, State, Table};
 use coordination::quarantine;
 use coordination::route::{self, Candidate, Policy as RoutePolicy};
 use daemon::fleet::{Fleet, Place};
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -7,7 +7,7 @@
 use crate::shared::Shared;
 use coordination::append_log::{Append, Offer};
 use coordination::leaving::{Witness, Word};
-use coordination::member::State;
+use coordination::membership::State;
 use coordination::retry::Failure;
 use platform::keyed::Condition;
 use platform::store::Fault;
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -5,7 +5,7 @@
 use crate::late::is_passing;
 use crate::shared::Shared;
 use bytes::Bytes;
-use coordination::member::Note;
+use coordination::membership::Note;
 use platform::keyed::Condition;
 use protocol::config::Protocol;
 use protocol::job::{Header, Item, Line, Outcome, Page, Phase, Status};
--- a/crates/daemon/src/gateway/account.rs
+++ b/crates/daemon/src/gateway/account.rs
@@ -13,7 +13,7 @@
 use super::message::{Ask, Reply, Ticket, Wish};
 use super::node::Node;
 use crate::clock;
-use coordination::member::Member;
+use coordination::membership::Member;
 use coordination::slots::{self, Grant, LeaseId, Ledger, Policy, Purpose, WaiterId};
 use coordination::{capacity, hash};
 use lease::{Keeper, Out, hold, take};
--- a/crates/daemon/src/gateway/board.rs
+++ b/crates/daemon/src/gateway/board.rs
@@ -7,7 +7,7 @@
 use super::{peers, record, spread};
 use crate::clock;
 use coordination::hash;
-use coordination::member::Member;
+use coordination::membership::Member;
 use coordination::run_time::Span;
 use protocol::ServiceId;
 use protocol::routing::Route;
--- a/crates/daemon/src/gateway/compare.rs
+++ b/crates/daemon/src/gateway/compare.rs
@@ -8,7 +8,7 @@
 use super::node::Node;
 use super::quarantine;
 use crate::clock;
-use coordination::member::Member;
+use coordination::membership::Member;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_local;
--- a/crates/daemon/src/gateway/liveness.rs
+++ b/crates/daemon/src/gateway/liveness.rs
@@ -16,7 +16,7 @@
 use super::node::Node;
 use crate::clock;
 use coordination::connectivity::Series;
-use coordination::member::Member;
+use coordination::membership::Member;
 use platform::instance;
 use protocol::InstanceId;
 use std::collections::BTreeMap;
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -8,7 +8,7 @@
 use super::spread::Outbox;
 use super::store::Guarded;
 use crate::clock;
-use coordination::member::{Member, Policy, Table};
+use coordination::membership::{Member, Policy, Table};
 use coordination::quarantine;
 use coordination::registry::Registry;
 use coordination::slots;
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -4,7 +4,7 @@
 use super::node::Node;
 use super::{board, jobs, keeper, liveness, quarantine, spread, submit, takeover, watch};
 use crate::clock;
-use coordination::member::{Member, Note, State, Table};
+use coordination::membership::{Member, Note, State, Table};
 use protocol::InstanceId;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -11,7 +11,7 @@
 use super::spread;
 use crate::clock;
 use coordination::hash;
-use coordination::member::Member;
+use coordination::membership::Member;
 use coordination::quarantine::{Boot, Strike, Verdict};
 use platform::quarantine::KIND;
 use platform::store::{Fault, Object};
--- a/crates/daemon/src/gateway/spread.rs
+++ b/crates/daemon/src/gateway/spread.rs
@@ -13,7 +13,7 @@
 use super::node::Node;
 use super::{board, feed, jobs, quarantine};
 use crate::clock;
-use coordination::member::{Member, State};
+use coordination::membership::{Member, State};
 use coordination::{capacity, hash};
 use protocol::DataCentreId;
 use protocol::routing::Version;
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -9,7 +9,7 @@
 use super::{board, liveness};
 use crate::clock;
 use bytes::Bytes;
-use coordination::member::Member;
+use coordination::membership::Member;
 use hyper::{HeaderMap, Response};
 use platform::job;
 use platform::store::Fault;
--- a/crates/daemon/src/gateway/sweep.rs
+++ b/crates/daemon/src/gateway/sweep.rs
@@ -13,7 +13,7 @@
 use super::stored::{self, Brief};
 use super::takeover::{self, ACQUAINTED};
 use crate::clock;
-use coordination::member::State;
+use coordination::membership::State;
 use coordination::sweep::{Range, share};
 use platform::job;
 use platform::store::Object;
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -13,7 +13,7 @@
 use super::stored::{self, Record, Unread};
 use crate::clock;
 use coordination::hash;
-use coordination::member::{Member, State, Table};
+use coordination::membership::{Member, State, Table};
 use platform::job;
 use platform::store::{Fault, Object};
 use state::progress::{Holder, JobId, Learnt};
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -11,7 +11,7 @@
 use super::node::Node;
 use super::quarantine;
 use crate::clock;
-use coordination::member::{Member, State};
+use coordination::membership::{Member, State};
 use coordination::watch::{self, Candidate};
 use platform::store::{Fault, Listing, Object, Revision};
 use platform::{config, instance, retirement, target};
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -8,7 +8,7 @@
 use crate::shared::Shared;
 use coordination::admission;
 use coordination::append_log::Offer;
-use coordination::member::{Member, Note};
+use coordination::membership::{Member, Note};
 use platform::instance;
 use protocol::config::{Document, Entry};
 use std::collections::HashSet;
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -11,7 +11,7 @@
 use coordination::hash;
 use coordination::leaving::{Board, Witness, Word};
 use coordination::limit::Bucket;
-use coordination::member::{Member, Note, Table};
+use coordination::membership::{Member, Note, Table};
 use coordination::retry::Budget;
 use protocol::config::Entry;
 use protocol::settings::Settings;
@@ -267,7 +267,7 @@
 impl Parts {
     /// Joins the parts.
     pub fn join(self) -> Shared {
-        let policy = coordination::member::Policy {
+        let policy = coordination::membership::Policy {
             ping: self.settings.ping,
             suspect: self.settings.suspect,
             ..Default::default()
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -12,7 +12,7 @@
 use crate::telemetry::Telemetry;
 use coordination::capacity;
 use coordination::drain::{self, Phase, Plan};
-use coordination::member::{Member, State};
+use coordination::membership::{Member, State};
 use protocol::settings::Settings;
 use slog::Logger;
 use std::net::SocketAddr;
--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -13,7 +13,7 @@
 pub use pool::{Fault, Pool};
 pub use serve::serve;
 
-use coordination::member::{Member, Note};
+use coordination::membership::{Member, Note};
 use std::future::Future;
 
 /// Configuration entries and, for one far behind, the whole document.
--- a/crates/transport/src/peer/codec.rs
+++ b/crates/transport/src/peer/codec.rs
@@ -2,7 +2,7 @@
 
 use crate::peer_capnp::{leaving, member, note};
 use coordination::leaving::Witness;
-use coordination::member::{Member, Note, State};
+use coordination::membership::{Member, Note, State};
 use std::net::SocketAddr;
 
 /// Writes a member.
--- a/crates/transport/src/peer/pool.rs
+++ b/crates/transport/src/peer/pool.rs
@@ -6,7 +6,7 @@
 use crate::cut::Cut;
 use crate::peer_capnp::peer;
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp};
-use coordination::member::{Member, Note};
+use coordination::membership::{Member, Note};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::future::Future;
