--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -35,13 +35,13 @@
 pub mod membership;
 pub mod quarantine;
 pub mod queue;
+pub mod range_scan;
 pub mod registry;
 pub mod retry;
 pub mod rollout;
 pub mod route;
 pub mod run_time;
 pub mod slots;
-pub mod sweep;
 pub mod watch;
 
 /// Identifies a daemon process.
--- a/crates/coordination/tests/sweep.rs
+++ b/crates/coordination/tests/range_scan.rs
@@ -1,6 +1,6 @@
 //! A shared look through a list misses nothing and reads nothing twice.
 
-use coordination::sweep::share;
+use coordination::range_scan::share;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/daemon/src/gateway/sweep.rs
+++ b/crates/daemon/src/gateway/sweep.rs
@@ -14,7 +14,7 @@
 use super::takeover::{self, ACQUAINTED};
 use crate::clock;
 use coordination::membership::State;
-use coordination::sweep::{Range, share};
+use coordination::range_scan::{Range, share};
 use platform::job;
 use platform::store::Object;
 use state::progress::Learnt;
