--- a/crates/daemon/src/gateway/compare.rs
+++ b/crates/daemon/src/gateway/compare.rs
@@ -1,8 +1,8 @@
 //! Each instance now and then compares what it knows with another, drawn by lot:
 //! whatever word was lost on the way is made up for within a few rounds.
 
-use super::board;
 use super::feed;
+use super::job_table;
 use super::liveness;
 use super::message::{Ask, Reply};
 use super::node::Node;
@@ -61,11 +61,11 @@
     let reply = node.ask(others[at].peer, &ask, SYNC_LIMIT).await;
     if let Ok(Reply::News { config, mark, contact }) = reply {
         liveness::on_contact(&node, others[at].id, contact);
-        let is_due = node.board.learnt.get().is_none_or(|at| clock::since(at) >= LEARN_EVERY);
+        let is_due = node.jobs.learnt.get().is_none_or(|at| clock::since(at) >= LEARN_EVERY);
         if mark.jobs != node.mark().jobs && is_due {
-            node.board.learnt.set(Some(now));
-            let wanted = board::wanted_open(&node);
-            board::learn_from(&node, others[at].peer, wanted).await;
+            node.jobs.learnt.set(Some(now));
+            let wanted = job_table::wanted_open(&node);
+            job_table::learn_from(&node, others[at].peer, wanted).await;
         }
         if let Some(digest) = mark.strikes {
             compare_strikes(&node, &others[at], digest).await;
--- a/crates/daemon/src/gateway/feed.rs
+++ b/crates/daemon/src/gateway/feed.rs
@@ -52,7 +52,7 @@
                 "before" => known, "from" => from, "routes" => table.routes.len());
             let config = Config { table, text: text.to_owned(), since: clock::now() };
             *node.config.borrow_mut() = Some(Rc::new(config));
-            node.board.wake();
+            node.jobs.wake();
             true
         }
         Err(error) => {
@@ -98,7 +98,7 @@
     drop(registry);
     node.targets.retain(|address| addresses.contains(&address));
     super::keeper::pump(node);
-    node.board.wake();
+    node.jobs.wake();
 }
 
 /// Targets may start again under their ids: no connection to the earlier start is used.
--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -3,7 +3,7 @@
 mod run;
 
 use super::account::{self, Lease};
-use super::board::{Held, route_of};
+use super::job_table::{Held, route_of};
 use super::node::{Node, millis};
 use super::{record, takeover};
 use coordination::hash;
@@ -33,7 +33,7 @@
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     loop {
         tokio::select! {
-            () = node.board.work.notified() => {}
+            () = node.jobs.work.notified() => {}
             () = tokio::time::sleep(LOOK) => {}
             () = stop.cancelled() => return,
         }
@@ -43,7 +43,7 @@
         for service in services(&node) {
             for place in account::data_centres(&node, &service) {
                 let key = (place, service.clone());
-                if node.board.filling.borrow_mut().insert(key.clone()) {
+                if node.jobs.filling.borrow_mut().insert(key.clone()) {
                     spawn_local(fill(node.clone(), key.0, key.1, stop.clone()));
                 }
             }
@@ -53,7 +53,7 @@
 
 /// Services that items wait for.
 fn services(node: &Node) -> HashSet<ServiceId> {
-    let cells = node.board.cells.borrow();
+    let cells = node.jobs.cells.borrow();
     let held = cells.values().filter(|held| held.sheet.borrow().runnable() > 0);
     held.filter_map(|held| service_of(node, &held.sheet.borrow())).collect()
 }
@@ -68,7 +68,7 @@
 /// and at all.
 fn latest(node: &Node, sheet: &Sheet) -> (Millis, Millis) {
     let made = sheet.next_made().unwrap_or_default();
-    let span = node.board.span.borrow();
+    let span = node.jobs.span.borrow();
     let before_due = |time: Duration| sheet.job().due.saturating_sub(time.as_millis() as Millis);
     let spare = node.settings.policy.spare;
     (before_due(span.surely(made, spare)), before_due(span.left(made)))
@@ -90,7 +90,7 @@
 /// Held jobs with items that wait for the service, the most urgent first.
 fn waiting(node: &Node, service: &str) -> Vec<Rc<Held>> {
     let now = millis();
-    let cells = node.board.cells.borrow();
+    let cells = node.jobs.cells.borrow();
     let fits = |held: &&Rc<Held>| {
         let sheet = held.sheet.borrow();
         sheet.runnable() > 0 && service_of(node, &sheet).as_deref() == Some(service)
@@ -137,7 +137,7 @@
         due: until(sheet.job().due),
         in_time: until(in_time),
         sure: until(sure),
-        left: node.board.span.borrow().left(made),
+        left: node.jobs.span.borrow().left(made),
         is_begun: made > 0,
         most,
         wait: SLOT_WAIT,
@@ -159,7 +159,7 @@
             None => tokio::time::sleep(SLOT_PAUSE).await,
         }
     }
-    node.board.filling.borrow_mut().remove(&(place, service));
+    node.jobs.filling.borrow_mut().remove(&(place, service));
 }
 
 /// Runs the most urgent item on a slot; without one, the slot goes back.
@@ -178,7 +178,7 @@
 
 /// Gives all jobs to other instances, with what their runs have made.
 pub async fn hand_over(node: &Rc<Node>) {
-    let cells: Vec<Rc<Held>> = node.board.cells.borrow().values().cloned().collect();
+    let cells: Vec<Rc<Held>> = node.jobs.cells.borrow().values().cloned().collect();
     let open: Vec<Rc<Held>> =
         cells.into_iter().filter(|h| !h.sheet.borrow().is_settled()).collect();
     for held in &open {
@@ -196,7 +196,7 @@
         }
         let sheet = held.sheet.borrow();
         let id = sheet.job().id.clone();
-        node.board.cells.borrow_mut().remove(&id);
+        node.jobs.cells.borrow_mut().remove(&id);
         left.push((id, sheet.learnt()));
     }
     // While it is cut off there is nobody to pass a job to, and what it accepted
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -2,8 +2,8 @@
 
 use crate::clock;
 use crate::gateway::account::Lease;
-use crate::gateway::board::Held;
 use crate::gateway::crash::{self, Broken, hex};
+use crate::gateway::job_table::Held;
 use crate::gateway::node::{Node, millis};
 use crate::gateway::online::{is_not_run, is_own, refusal_of};
 use crate::gateway::quarantine::{self, Admission};
@@ -79,7 +79,7 @@
             let events = partial.texts.len() as u32;
             lease.report.done = lease.report.pace.map(|pace| Done { events, pace, took });
             if let Some(done) = lease.report.done {
-                node.board.span.borrow_mut().on_done(done);
+                node.jobs.span.borrow_mut().on_done(done);
             }
             lease.end(End::Good);
             let text = partial.texts.join("\n");
@@ -107,7 +107,7 @@
     }
     held.wake();
     tokio::time::sleep(pause).await;
-    node.board.wake();
+    node.jobs.wake();
 }
 
 /// Leaves an item that crashes its targets alone for a while.
@@ -123,7 +123,7 @@
         () = held.ended.cancelled() => {}
     }
     held.sheet.borrow_mut().on_released(&item.id);
-    node.board.wake();
+    node.jobs.wake();
 }
 
 /// What an item asks for, the same as for a request of its own.
--- a/crates/daemon/src/gateway/board.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -83,7 +83,7 @@
 
 /// All jobs that this instance knows of.
 #[derive(Default)]
-pub struct Board {
+pub struct JobTable {
     /// Jobs in memory here.
     pub cells: RefCell<HashMap<JobId, Rc<Held>>>,
     /// How jobs stand by their holders' word.
@@ -103,7 +103,7 @@
     pub(super) filling: RefCell<HashSet<(String, ServiceId)>>,
 }
 
-impl Board {
+impl JobTable {
     /// Jobs in memory.
     pub fn held(&self) -> usize {
         self.cells.borrow().len()
@@ -148,7 +148,7 @@
 /// A holder's word; if it speaks of a job that is held here, the platform tells
 /// whose it is.
 pub fn on_status(node: &Rc<Node>, status: Status) {
-    let held = node.board.cell(&status.job).filter(|held| !held.is_frozen);
+    let held = node.jobs.cell(&status.job).filter(|held| !held.is_frozen);
     if let Some(held) = held
         && status.holder.instance != node.id()
         && status.revision > held.revision.get()
@@ -156,7 +156,7 @@
         let node = node.clone();
         spawn_local(async move { record::verify(&node, &held).await });
     }
-    node.board.on_status(status);
+    node.jobs.on_status(status);
 }
 
 /// The route of a job in the configuration in force.
@@ -186,11 +186,11 @@
         released: CancellationToken::new(),
         is_frozen,
     });
-    node.board.cells.borrow_mut().insert(id, held.clone());
+    node.jobs.cells.borrow_mut().insert(id, held.clone());
     if !is_frozen {
         spawn_local(record::write_all(node.clone(), held.clone()));
         announce(node, &held);
-        node.board.wake();
+        node.jobs.wake();
     }
     held
 }
@@ -199,7 +199,7 @@
 pub fn release(node: &Node, held: &Held) {
     held.released.cancel();
     let id = held.sheet.borrow().job().id.clone();
-    node.board.cells.borrow_mut().remove(&id);
+    node.jobs.cells.borrow_mut().remove(&id);
     held.changed.notify_waiters();
 }
 
@@ -220,7 +220,7 @@
 pub fn announce(node: &Rc<Node>, held: &Held) {
     let status = status(node, held);
     let is_first = {
-        let mut outbox = node.board.outbox.borrow_mut();
+        let mut outbox = node.jobs.outbox.borrow_mut();
         outbox.insert(status.job.clone(), status);
         outbox.len() == 1
     };
@@ -230,7 +230,7 @@
     let node = node.clone();
     spawn_local(async move {
         tokio::time::sleep(TELL).await;
-        let statuses = std::mem::take(&mut *node.board.outbox.borrow_mut());
+        let statuses = std::mem::take(&mut *node.jobs.outbox.borrow_mut());
         spread::tell(&node, News::Statuses(statuses.into_values().collect()));
     });
 }
@@ -277,9 +277,9 @@
 
 /// How jobs stand that are known here.
 fn directory(node: &Node) -> Vec<Status> {
-    let cells = node.board.cells.borrow();
+    let cells = node.jobs.cells.borrow();
     let own = cells.values().filter(|held| !held.is_frozen).map(|held| status(node, held));
-    let directory = node.board.directory.borrow();
+    let directory = node.jobs.directory.borrow();
     let others = directory.values().filter(|status| !cells.contains_key(&status.job));
     own.chain(others.cloned()).collect()
 }
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -1,8 +1,8 @@
 //! Calls of batch jobs: submission, results, an item's body, the end.
 
-use super::board::{self, Held};
 use super::cause::Cause;
 use super::front::{refusal, set, text};
+use super::job_table::{self, Held};
 use super::message::{Ask, News, Reply};
 use super::node::Node;
 use super::stored::{self, Record, Unread};
@@ -79,7 +79,7 @@
 /// caller asks instead of coming again at once, which made a call each time.
 async fn is_held_before(node: &Rc<Node>, id: &str, until: Instant) -> bool {
     let holder = |node: &Node| {
-        let status = node.board.directory.borrow().get(id).map(|status| status.holder.instance);
+        let status = node.jobs.directory.borrow().get(id).map(|status| status.holder.instance);
         status.filter(|holder| node.members.borrow().get(*holder).is_some())
     };
     let before = holder(node);
@@ -90,7 +90,7 @@
         }
         tokio::time::sleep(left.min(HOLDER_LOOK)).await;
         let now = holder(node);
-        if node.board.cell(id).is_some() || (now.is_some() && now != before) {
+        if node.jobs.cell(id).is_some() || (now.is_some() && now != before) {
             return true;
         }
     }
@@ -209,7 +209,7 @@
 
 /// A job was ended on the platform: it stops here, if it runs here.
 pub fn on_ended(node: &Node, id: &str) {
-    if let Some(held) = node.board.cell(id) {
+    if let Some(held) = node.jobs.cell(id) {
         slog::info!(node.log, "job ended elsewhere"; "job" => id);
         held.sheet.borrow_mut().end();
         held.stop_runs();
@@ -258,11 +258,11 @@
 
 /// Finds a job: here, at its holder, or on the platform.
 async fn find(node: &Rc<Node>, id: &str, ask: impl Fn(String) -> Ask, wait: Duration) -> Found {
-    if let Some(held) = node.board.cell(id) {
+    if let Some(held) = node.jobs.cell(id) {
         return Found::Here(held);
     }
     let limit = wait + HOLDER_ANSWER;
-    let status = node.board.directory.borrow().get(id).cloned();
+    let status = node.jobs.directory.borrow().get(id).cloned();
     let mut asked = None;
     if let Some(status) = status {
         if let Some(reply) =
@@ -282,7 +282,7 @@
     };
     let keeper = record.holder();
     if !record.is_open() {
-        return Found::Here(board::hold(node, record));
+        return Found::Here(job_table::hold(node, record));
     }
     let stored = |record: Record| Found::Stored(Box::new(record.job), Box::new(record.progress));
     if keeper.instance == node.id() {
@@ -303,12 +303,12 @@
 /// A job by its id, as it was a moment ago at most.
 async fn load_recent(node: &Node, id: &str) -> Result<Option<Record>, Unread> {
     let now = clock::now();
-    let known = node.board.recent.borrow().get(id).cloned();
+    let known = node.jobs.recent.borrow().get(id).cloned();
     if let Some((_, record)) = known.filter(|(read, _)| now < *read + RECENT) {
         return Ok(Some(record));
     }
     let record = stored::load(node, Cause::Find, id).await?;
-    let mut recent = node.board.recent.borrow_mut();
+    let mut recent = node.jobs.recent.borrow_mut();
     recent.retain(|_, (read, _)| now < *read + RECENT);
     if let Some(record) = &record {
         // As of before the call: the answer may show no more than that.
@@ -332,7 +332,7 @@
 
 /// Results for another instance.
 pub async fn on_results(node: &Rc<Node>, id: &str, from: usize, wait: Duration) -> Reply {
-    match node.board.cell(id) {
+    match node.jobs.cell(id) {
         Some(held) => {
             let (total, outcomes) = held_results(&held, from, wait.min(LONGEST_HOLD)).await;
             Reply::Results(total, outcomes)
@@ -343,7 +343,7 @@
 
 /// Body of an item for another instance.
 pub fn on_body(node: &Node, id: &str, item: &str) -> Reply {
-    match node.board.cell(id) {
+    match node.jobs.cell(id) {
         Some(held) => Reply::Body(body_in(held.sheet.borrow().job(), item)),
         None => Reply::NotHere,
     }
@@ -351,7 +351,7 @@
 
 /// The end of a job for another instance.
 pub async fn on_end(node: &Rc<Node>, id: &str) -> Reply {
-    match node.board.cell(id) {
+    match node.jobs.cell(id) {
         None => Reply::NotHere,
         Some(held) if end_held(node, &held).await => Reply::Done,
         Some(_) => Reply::Away,
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -13,7 +13,7 @@
 //! | [`account`], [`keeper`] | slots: asks for leases; keeps the account of a data centre |
 //! | [`submit`], [`jobs`] | batch jobs: submissions, and calls about accepted ones |
 //! | [`crash`], [`quarantine`] | whether a target whose answer broke off has crashed; requests that crash their targets |
-//! | [`board`], [`record`], [`items`] | jobs known here; results made durable; runs of items |
+//! | [`job_table`], [`record`], [`items`] | jobs known here; results made durable; runs of items |
 //! | [`takeover`], [`sweep`] | jobs whose holder is gone; looks through all jobs |
 //! | [`watch`], [`liveness`] | the platform, watched by a few for all; whether it answers them |
 //! | [`wake`] | what follows a suspension of the machine |
@@ -24,13 +24,13 @@
 //! | [`measure`] | counters and histograms as text |
 
 pub mod account;
-pub mod board;
 pub mod cause;
 pub mod compare;
 pub mod crash;
 pub mod feed;
 pub mod front;
 pub mod items;
+pub mod job_table;
 pub mod jobs;
 pub mod keeper;
 pub mod liveness;
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -1,8 +1,8 @@
 //! What one instance of the gateway knows.
 
 use super::account::Accounts;
-use super::board::Board;
 use super::crash::Inquiries;
+use super::job_table::JobTable;
 use super::measure::Measure;
 use super::message::{Answers, Ask, Contact, Mark, Reply, decode, encode};
 use super::spread::Outbox;
@@ -92,7 +92,7 @@
     /// Slots: leases held, and the accounts kept here.
     pub accounts: Accounts,
     /// Batch jobs.
-    pub board: Board,
+    pub jobs: JobTable,
     /// News on its way through this instance.
     pub outbox: Outbox,
     /// Requests that crash their targets.
@@ -142,7 +142,7 @@
             config: RefCell::default(),
             registry: RefCell::default(),
             births: RefCell::default(),
-            board: Board::default(),
+            jobs: JobTable::default(),
             outbox: Outbox::default(),
             quarantine: RefCell::new(quarantine::Table::new(
                 quarantine_policy(&settings.policy),
@@ -203,7 +203,7 @@
     /// How far this instance is.
     pub fn mark(&self) -> Mark {
         let config = self.config.borrow().as_ref().map_or(0, |config| config.table.version);
-        let jobs = super::board::digest(self);
+        let jobs = super::job_table::digest(self);
         let knows_strikes = self.knows_strikes.get();
         let strikes = knows_strikes.then(|| self.quarantine.borrow().digest());
         Mark { config, targets: self.registry.borrow().digest(), jobs, strikes }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -2,7 +2,7 @@
 
 use super::message::{Ask, Contact, Mark, Reply, decode, encode};
 use super::node::Node;
-use super::{board, jobs, keeper, liveness, quarantine, spread, submit, takeover, watch};
+use super::{job_table, jobs, keeper, liveness, quarantine, spread, submit, takeover, watch};
 use crate::clock;
 use coordination::membership::{Member, Note, State, Table};
 use protocol::InstanceId;
@@ -112,10 +112,10 @@
         }
         Ask::Targets(digests) => Reply::Targets(node.registry.borrow().differing(&digests)),
         Ask::Statuses(statuses) => {
-            statuses.into_iter().for_each(|status| board::on_status(node, status));
+            statuses.into_iter().for_each(|status| job_table::on_status(node, status));
             Reply::Done
         }
-        Ask::Directory(wanted) => Reply::Statuses(board::wanted(node, &wanted)),
+        Ask::Directory(wanted) => Reply::Statuses(job_table::wanted(node, &wanted)),
         Ask::Submit { host, path, job, body } => {
             Reply::Submitted(submit::on_submit(node, &host, &path, &job, body.as_bytes()).await)
         }
@@ -314,7 +314,7 @@
         }
         tokio::time::sleep(SEED_FIRST.saturating_mul(tries).min(SEED_ALONE)).await;
     }
-    board::learn(&node).await;
+    job_table::learn(&node).await;
 }
 
 async fn ask_members(node: &Rc<Node>, address: SocketAddr) {
--- a/crates/daemon/src/gateway/record.rs
+++ b/crates/daemon/src/gateway/record.rs
@@ -1,8 +1,8 @@
 //! Makes what happens to a held job durable, and finds out whether it is still
 //! held here.
 
-use super::board::{self, Held};
 use super::cause::Cause;
+use super::job_table::{self, Held};
 use super::node::{Node, millis};
 use super::stored::{self, Record, Unread};
 use super::takeover;
@@ -44,7 +44,7 @@
             on_found(node, held, &draft, &object).await;
         }
         Ok(Some(_)) => held.on_confirmed(clock::now()),
-        Ok(None) => board::release(node, held),
+        Ok(None) => job_table::release(node, held),
         Err(fault) => slog::info!(node.log, "job not read"; "job" => &id, "fault" => %fault),
     }
 }
@@ -92,7 +92,7 @@
                 "ended" => sheet.is_ended(),
                 "age_ms" => millis().saturating_sub(sheet.job().accepted));
             drop(sheet);
-            board::announce(&node, &held);
+            job_table::announce(&node, &held);
             return;
         }
     }
@@ -140,7 +140,7 @@
             };
             match found {
                 Ok(Some(object)) => return on_found(node, held, &draft, &object).await,
-                Ok(None) => board::release(node, held),
+                Ok(None) => job_table::release(node, held),
                 Err(fault) => {
                     slog::info!(node.log, "job not read"; "job" => &id, "fault" => %fault);
                     return false;
@@ -150,7 +150,7 @@
         }
         Err(Fault::Missing) => {
             slog::warn!(node.log, "job is gone"; "job" => &id, "revision" => revision);
-            board::release(node, held);
+            job_table::release(node, held);
             true
         }
         Err(fault) => {
@@ -181,7 +181,7 @@
     slog::info!(node.log, "results durable"; "job" => &held.sheet.borrow().job().id,
         "results" => draft.outcomes.len(), "revision" => revision, "ended" => draft.ended);
     held.changed.notify_waiters();
-    board::announce(node, held);
+    job_table::announce(node, held);
 }
 
 /// The object isn't as it was: an earlier write of ours was done after all, or
@@ -192,7 +192,7 @@
         Err(unread @ Unread::Malformed(_)) => {
             slog::error!(node.log, "job not read"; "job" => &object.name,
                 "revision" => object.revision, "fault" => %unread);
-            board::release(node, held);
+            job_table::release(node, held);
             return true;
         }
         Err(unread) => {
@@ -212,7 +212,7 @@
     if holder.instance != node.id() {
         slog::info!(node.log, "job overtaken"; "job" => &object.name,
             "holder" => format!("{:x}", holder.instance), "revision" => object.revision);
-        board::release(node, held);
+        job_table::release(node, held);
         spawn_local(pass_learnt(node.clone(), held.clone(), holder));
     }
     true
--- a/crates/daemon/src/gateway/spread.rs
+++ b/crates/daemon/src/gateway/spread.rs
@@ -11,7 +11,7 @@
 
 use super::message::{Ask, News, Reply, Status};
 use super::node::Node;
-use super::{board, feed, jobs, quarantine};
+use super::{feed, job_table, jobs, quarantine};
 use crate::clock;
 use coordination::membership::{Member, State};
 use coordination::{capacity, hash};
@@ -134,7 +134,7 @@
         News::Config(version) => fetch(node, from, version).await,
         News::Targets(changes) => feed::on_targets(node, changes, "peer"),
         News::Statuses(statuses) => {
-            statuses.into_iter().for_each(|status| board::on_status(node, status));
+            statuses.into_iter().for_each(|status| job_table::on_status(node, status));
             true
         }
         News::Ended(job) => {
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -6,7 +6,7 @@
 use super::node::{Node, millis};
 use super::stored::{self, Record};
 use super::takeover;
-use super::{board, liveness};
+use super::{job_table, liveness};
 use crate::clock;
 use bytes::Bytes;
 use coordination::membership::Member;
@@ -133,7 +133,7 @@
 /// Keeps a job on the platform, or finds it kept already.
 async fn accept(node: &Rc<Node>, route: &Route, call: &Call, until: Instant) -> Acceptance {
     let id = &call.id;
-    if node.board.cell(id).is_some() || node.board.directory.borrow().contains_key(id) {
+    if node.jobs.cell(id).is_some() || node.jobs.directory.borrow().contains_key(id) {
         return Acceptance::Accepted;
     }
     let Some(terms) = route.terms else {
@@ -158,7 +158,7 @@
         acceptor: node.as_holder(),
         items,
     };
-    let waiting = node.board.waiting_tokens(node, &route.name);
+    let waiting = node.jobs.waiting_tokens(node, &route.name);
     if terms.waiting_tokens > 0 && waiting + job.tokens() > terms.waiting_tokens {
         slog::info!(node.log, "submission doesn't fit"; "job" => id, "waiting" => waiting,
             "tokens" => job.tokens(), "most" => terms.waiting_tokens);
@@ -187,8 +187,8 @@
             Ok((object, pieces)) => {
                 let progress = Progress::default();
                 let record = Record { job, progress, pieces, revision: object.revision };
-                let held = board::hold(node, record);
-                board::tell_witnesses(node, &held).await;
+                let held = job_table::hold(node, record);
+                job_table::tell_witnesses(node, &held).await;
                 return Acceptance::Accepted;
             }
             Err(Fault::Conflict(_)) => {
--- a/crates/daemon/src/gateway/sweep.rs
+++ b/crates/daemon/src/gateway/sweep.rs
@@ -5,8 +5,8 @@
 //! be known to nobody. A few instances share the list, and what a page shows is
 //! told at once, since a page takes long on a slow link.
 
-use super::board::{self, Held};
 use super::cause::Cause;
+use super::job_table::{self, Held};
 use super::message::{News, Status};
 use super::node::{Node, millis};
 use super::spread;
@@ -164,7 +164,7 @@
             "revision" => object.revision);
         return Look::Nothing;
     };
-    if !is_open || node.board.cell(&object.name).is_some() {
+    if !is_open || node.jobs.cell(&object.name).is_some() {
         return Look::Nothing;
     }
     if holder.instance == node.id() {
@@ -180,7 +180,7 @@
         holder,
         data_centre: String::new(),
         revision: object.revision,
-        route: board::route_of(node, &job).map_or_else(String::new, |route| route.name),
+        route: job_table::route_of(node, &job).map_or_else(String::new, |route| route.name),
         waiting_tokens: tokens,
         is_settled: false,
     }))
@@ -191,7 +191,7 @@
     if orphans.is_empty() {
         return;
     }
-    orphans.iter().for_each(|status| node.board.on_status(status.clone()));
+    orphans.iter().for_each(|status| node.jobs.on_status(status.clone()));
     spread::tell(node, News::Statuses(orphans));
 }
 
@@ -199,7 +199,7 @@
 fn expire(node: &Rc<Node>) {
     let now = millis();
     let retention = node.settings.retention.as_millis() as u64;
-    let cells: Vec<Rc<Held>> = node.board.cells.borrow().values().cloned().collect();
+    let cells: Vec<Rc<Held>> = node.jobs.cells.borrow().values().cloned().collect();
     for held in cells {
         let (id, is_over) = {
             let sheet = held.sheet.borrow();
@@ -210,8 +210,8 @@
             continue;
         }
         let is_own = held.sheet.borrow().holder().instance == node.id();
-        node.board.cells.borrow_mut().remove(&id);
-        node.board.directory.borrow_mut().remove(&id);
+        node.jobs.cells.borrow_mut().remove(&id);
+        node.jobs.directory.borrow_mut().remove(&id);
         if is_own {
             let node = node.clone();
             spawn_local(async move {
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -5,8 +5,8 @@
 //! was only cut off is double work on its items, so a whole data centre that
 //! falls silent at once is given more time than a single instance.
 
-use super::board::{self, Held};
 use super::cause::Cause;
+use super::job_table::{self, Held};
 use super::message::{Ask, Status};
 use super::node::Node;
 use super::record;
@@ -107,8 +107,8 @@
     is_acquainted: bool,
     now: Instant,
 ) -> Vec<JobId> {
-    let directory = node.board.directory.borrow();
-    let cells = node.board.cells.borrow();
+    let directory = node.jobs.directory.borrow();
+    let cells = node.jobs.cells.borrow();
     let orphaned = directory.values().filter(|status| {
         !status.is_settled
             && !cells.contains_key(&status.job)
@@ -187,7 +187,7 @@
 /// read it at that moment (seen 41 s long, on a platform three hundred times slower).
 pub async fn adopt_when_able(node: &Rc<Node>, id: &str, learnt: Learnt) {
     let is_first = {
-        let mut adopting = node.board.adopting.borrow_mut();
+        let mut adopting = node.jobs.adopting.borrow_mut();
         let is_first = !adopting.contains_key(id);
         adopting.entry(id.to_owned()).or_default().push(learnt);
         is_first
@@ -199,14 +199,14 @@
         slog::info!(node.log, "job not taken over"; "job" => id, "fault" => %fault,
             "again" => !node.is_stopping());
         if node.is_stopping() {
-            for learnt in node.board.adopting.borrow_mut().remove(id).unwrap_or_default() {
+            for learnt in node.jobs.adopting.borrow_mut().remove(id).unwrap_or_default() {
                 spawn_local(pass_on(node.clone(), id.to_owned(), learnt));
             }
             return;
         }
         tokio::time::sleep(node.store.back_in(clock::now()).max(ADOPT_AGAIN)).await;
     }
-    let learnt = node.board.adopting.borrow_mut().remove(id).unwrap_or_default();
+    let learnt = node.jobs.adopting.borrow_mut().remove(id).unwrap_or_default();
     for learnt in learnt {
         hand_on(node, id, learnt).await;
     }
@@ -218,11 +218,11 @@
 
 /// Brings what was learnt of a job to its holder, be it this instance.
 async fn hand_on(node: &Rc<Node>, id: &str, learnt: Learnt) {
-    if let Some(held) = node.board.cell(id) {
+    if let Some(held) = node.jobs.cell(id) {
         learn(node, &held, learnt);
         return;
     }
-    let holder = node.board.directory.borrow().get(id).map(|status| status.holder);
+    let holder = node.jobs.directory.borrow().get(id).map(|status| status.holder);
     if let Some(holder) = holder.filter(|holder| holder.instance != node.id()) {
         tell_learnt(node.clone(), id.to_owned(), holder, learnt).await;
     }
@@ -232,7 +232,7 @@
 fn learn(node: &Node, held: &Held, learnt: Learnt) {
     held.sheet.borrow_mut().learn(learnt);
     held.wake();
-    node.board.wake();
+    node.jobs.wake();
 }
 
 /// Tells the holder of a job what was learnt here, until it has heard it: it may be
@@ -262,7 +262,7 @@
 async fn try_adopt(node: &Rc<Node>, id: &str, learnt: &Learnt) -> Result<Option<Rc<Held>>, Fault> {
     let mut conflict = None;
     for _ in 0..TRIES {
-        if let Some(held) = node.board.cell(id) {
+        if let Some(held) = node.jobs.cell(id) {
             learn(node, &held, learnt.clone());
             return Ok(Some(held));
         }
@@ -295,19 +295,20 @@
     };
     let former = record.holder();
     if !record.is_open() || former.instance == node.id() {
-        return Ok(Some(board::hold(node, record)));
+        return Ok(Some(job_table::hold(node, record)));
     }
     if let Some(holder) = alive(node, former) {
         // Others were faster: whoever holds it now is told, in case it doesn't
         // know, and asked from now on.
         slog::info!(node.log, "job is held"; "job" => &object.name, "holder" => %holder.peer);
         node.tell(holder.peer, Ask::Adopt(object.name.clone(), Learnt::default()));
-        node.board.on_status(Status {
+        node.jobs.on_status(Status {
             job: object.name.clone(),
             holder: former,
             data_centre: holder.data_centre,
             revision: object.revision,
-            route: board::route_of(node, &record.job).map_or_else(String::new, |route| route.name),
+            route: job_table::route_of(node, &record.job)
+                .map_or_else(String::new, |route| route.name),
             waiting_tokens: record.job.tokens(),
             is_settled: false,
         });
@@ -318,13 +319,13 @@
     let written =
         stored::write(node, Cause::Takeover, &object.name, *revision, progress, pieces).await;
     let (written, pieces) = written?;
-    if let Some(held) = node.board.cell(&object.name) {
+    if let Some(held) = node.jobs.cell(&object.name) {
         return Ok(Some(held));
     }
     slog::info!(node.log, "job taken over"; "job" => &object.name,
         "from" => format!("{:x}", former.instance), "revision" => written.revision,
         "results" => progress.outcomes.len(), "items" => record.job.items.len());
-    let held = board::hold(node, Record { pieces, revision: written.revision, ..record });
+    let held = job_table::hold(node, Record { pieces, revision: written.revision, ..record });
     let (node, taken) = (node.clone(), held.clone());
     spawn_local(async move {
         tokio::time::sleep(LOOK_BACK).await;
