--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -3,7 +3,7 @@
 mod run;
 
 use super::account::{self, Lease};
-use super::job_table::{Held, route_of};
+use super::job_table::{HeldJob, route_of};
 use super::node::{Node, millis};
 use super::{record, takeover};
 use coordination::hash;
@@ -53,8 +53,8 @@
 
 /// Services that items wait for.
 fn services(node: &Node) -> HashSet<ServiceId> {
-    let cells = node.jobs.cells.borrow();
-    let held = cells.values().filter(|held| held.sheet.borrow().runnable() > 0);
+    let held_jobs = node.jobs.held.borrow();
+    let held = held_jobs.values().filter(|held| held.sheet.borrow().runnable() > 0);
     held.filter_map(|held| service_of(node, &held.sheet.borrow())).collect()
 }
 
@@ -87,31 +87,31 @@
     (Chance::of(now, sure, in_time), is_fresh, sheet.job().due)
 }
 
-/// Held jobs with items that wait for the service, the most urgent first.
-fn waiting(node: &Node, service: &str) -> Vec<Rc<Held>> {
+/// HeldJob jobs with items that wait for the service, the most urgent first.
+fn waiting(node: &Node, service: &str) -> Vec<Rc<HeldJob>> {
     let now = millis();
-    let cells = node.jobs.cells.borrow();
-    let fits = |held: &&Rc<Held>| {
+    let held_jobs = node.jobs.held.borrow();
+    let fits = |held: &&Rc<HeldJob>| {
         let sheet = held.sheet.borrow();
         sheet.runnable() > 0 && service_of(node, &sheet).as_deref() == Some(service)
     };
-    let mut held: Vec<Rc<Held>> = cells.values().filter(fits).cloned().collect();
+    let mut held: Vec<Rc<HeldJob>> = held_jobs.values().filter(fits).cloned().collect();
     held.sort_by_cached_key(|held| turn(node, &held.sheet.borrow(), now));
     held
 }
 
 /// Items that wait whose turn is no later than that of the first job's, but for when
 /// they are due: others must wait for a turn of their own.
-fn alike(node: &Node, waiting: &[Rc<Held>]) -> usize {
+fn alike(node: &Node, waiting: &[Rc<HeldJob>]) -> usize {
     let now = millis();
-    let class = |held: &Rc<Held>| {
+    let class = |held: &Rc<HeldJob>| {
         let (chance, is_fresh, _) = turn(node, &held.sheet.borrow(), now);
         (chance, is_fresh)
     };
     let first = waiting.first().map(class);
     let of_class = waiting.iter().filter(|held| Some(class(held)) == first);
     let is_begun = node.settings.policy.begun_first && matches!(first, Some((_, false)));
-    let items = |held: &Rc<Held>| {
+    let items = |held: &Rc<HeldJob>| {
         let sheet = held.sheet.borrow();
         if is_begun { sheet.begun() } else { sheet.runnable() }
     };
@@ -123,7 +123,7 @@
     node: &Node,
     data_centre: &'a str,
     service: &'a str,
-    held: &Held,
+    held: &HeldJob,
     most: usize,
 ) -> account::Batch<'a> {
     let now = millis();
@@ -178,9 +178,9 @@
 
 /// Gives all jobs to other instances, with what their runs have made.
 pub async fn hand_over(node: &Rc<Node>) {
-    let cells: Vec<Rc<Held>> = node.jobs.cells.borrow().values().cloned().collect();
-    let open: Vec<Rc<Held>> =
-        cells.into_iter().filter(|h| !h.sheet.borrow().is_settled()).collect();
+    let held_jobs: Vec<Rc<HeldJob>> = node.jobs.held.borrow().values().cloned().collect();
+    let open: Vec<Rc<HeldJob>> =
+        held_jobs.into_iter().filter(|h| !h.sheet.borrow().is_settled()).collect();
     for held in &open {
         held.released.cancel();
     }
@@ -196,7 +196,7 @@
         }
         let sheet = held.sheet.borrow();
         let id = sheet.job().id.clone();
-        node.jobs.cells.borrow_mut().remove(&id);
+        node.jobs.held.borrow_mut().remove(&id);
         left.push((id, sheet.learnt()));
     }
     // While it is cut off there is nobody to pass a job to, and what it accepted
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -3,7 +3,7 @@
 use crate::clock;
 use crate::gateway::account::Lease;
 use crate::gateway::crash::{self, Broken, hex};
-use crate::gateway::job_table::Held;
+use crate::gateway::job_table::HeldJob;
 use crate::gateway::node::{Node, millis};
 use crate::gateway::online::{is_not_run, is_own, refusal_of};
 use crate::gateway::quarantine::{self, Admission};
@@ -39,7 +39,7 @@
 }
 
 /// Runs an item on a slot, unless it is held because it crashes its targets.
-pub(super) async fn run_item(node: Rc<Node>, held: Rc<Held>, item: Item, lease: Lease) {
+pub(super) async fn run_item(node: Rc<Node>, held: Rc<HeldJob>, item: Item, lease: Lease) {
     let mut partial = held.sheet.borrow().partial(&item.id);
     let before = partial.texts.len();
     let began = clock::now();
@@ -111,7 +111,7 @@
 }
 
 /// Leaves an item that crashes its targets alone for a while.
-async fn withhold(node: &Rc<Node>, held: &Held, item: &Item, left: Duration) {
+async fn withhold(node: &Rc<Node>, held: &HeldJob, item: &Item, left: Duration) {
     slog::info!(node.log, "item withheld"; "item" => &item.id,
         "job" => &held.sheet.borrow().job().id, "for_ms" => left.as_millis() as u64);
     let give_up = held.sheet.borrow().job().give_up;
@@ -127,7 +127,7 @@
 }
 
 /// What an item asks for, the same as for a request of its own.
-fn content_of(held: &Held, item: &Item) -> ContentId {
+fn content_of(held: &HeldJob, item: &Item) -> ContentId {
     let sheet = held.sheet.borrow();
     // A body that can't be decoded is never sent.
     let body = job::body_of(&item.body).unwrap_or_default();
@@ -136,7 +136,7 @@
 
 async fn attempt(
     node: &Rc<Node>,
-    held: &Held,
+    held: &HeldJob,
     item: &Item,
     lease: &Lease,
     partial: &mut Partial,
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -32,7 +32,7 @@
 const LEARN_AGAIN: Duration = Duration::from_millis(500);
 
 /// One job in memory.
-pub struct Held {
+pub struct HeldJob {
     /// Its sheet.
     pub sheet: RefCell<Sheet>,
     /// Revision of its object.
@@ -59,7 +59,7 @@
     pub is_frozen: bool,
 }
 
-impl Held {
+impl HeldJob {
     /// The job has ended: its runs stop.
     pub fn stop_runs(&self) {
         self.ended.cancel();
@@ -85,7 +85,7 @@
 #[derive(Default)]
 pub struct JobTable {
     /// Jobs in memory here.
-    pub cells: RefCell<HashMap<JobId, Rc<Held>>>,
+    pub held: RefCell<HashMap<JobId, Rc<HeldJob>>>,
     /// How jobs stand by their holders' word.
     pub directory: RefCell<HashMap<JobId, Status>>,
     /// What is to be told to all others.
@@ -105,8 +105,8 @@
 
 impl JobTable {
     /// Jobs in memory.
-    pub fn held(&self) -> usize {
-        self.cells.borrow().len()
+    pub fn held_count(&self) -> usize {
+        self.held.borrow().len()
     }
 
     /// A word about a job; an earlier one is passed over.
@@ -124,14 +124,14 @@
     }
 
     /// The job, if it is in memory here.
-    pub fn cell(&self, job: &str) -> Option<Rc<Held>> {
-        self.cells.borrow().get(job).cloned()
+    pub fn held_job(&self, job: &str) -> Option<Rc<HeldJob>> {
+        self.held.borrow().get(job).cloned()
     }
 
     /// Tokens that wait on a route, over all instances.
     pub fn waiting_tokens(&self, node: &Node, route: &str) -> u64 {
-        let cells = self.cells.borrow();
-        let held = cells.values().filter(|held| !held.is_frozen);
+        let held_jobs = self.held.borrow();
+        let held = held_jobs.values().filter(|held| !held.is_frozen);
         let here: u64 = held
             .map(|held| held.sheet.borrow())
             .filter(|sheet| route_of(node, sheet.job()).is_some_and(|found| found.name == route))
@@ -139,7 +139,7 @@
             .sum();
         let directory = self.directory.borrow();
         let others = directory.values().filter(|status| {
-            status.route == route && !status.is_settled && !cells.contains_key(&status.job)
+            status.route == route && !status.is_settled && !held_jobs.contains_key(&status.job)
         });
         here + others.map(|status| status.waiting_tokens).sum::<u64>()
     }
@@ -148,7 +148,7 @@
 /// A holder's word; if it speaks of a job that is held here, the platform tells
 /// whose it is.
 pub fn on_status(node: &Rc<Node>, status: Status) {
-    let held = node.jobs.cell(&status.job).filter(|held| !held.is_frozen);
+    let held = node.jobs.held_job(&status.job).filter(|held| !held.is_frozen);
     if let Some(held) = held
         && status.holder.instance != node.id()
         && status.revision > held.revision.get()
@@ -166,13 +166,13 @@
 }
 
 /// Puts a job into memory and, unless it is settled, begins to run it.
-pub fn hold(node: &Rc<Node>, record: Record) -> Rc<Held> {
+pub fn hold(node: &Rc<Node>, record: Record) -> Rc<HeldJob> {
     let Record { job, progress, pieces, revision } = record;
     let id = job.id.clone();
     let attempts = route_of(node, &job).map_or(ATTEMPTS, |route| route.attempts);
     let sheet = Sheet::new(job, progress, attempts);
     let is_frozen = sheet.is_settled();
-    let held = Rc::new(Held {
+    let held = Rc::new(HeldJob {
         sheet: RefCell::new(sheet),
         revision: Cell::new(revision),
         pieces: RefCell::new(pieces),
@@ -186,7 +186,7 @@
         released: CancellationToken::new(),
         is_frozen,
     });
-    node.jobs.cells.borrow_mut().insert(id, held.clone());
+    node.jobs.held.borrow_mut().insert(id, held.clone());
     if !is_frozen {
         spawn_local(record::write_all(node.clone(), held.clone()));
         announce(node, &held);
@@ -196,14 +196,14 @@
 }
 
 /// This instance no longer holds the job: its runs stop.
-pub fn release(node: &Node, held: &Held) {
+pub fn release(node: &Node, held: &HeldJob) {
     held.released.cancel();
     let id = held.sheet.borrow().job().id.clone();
-    node.jobs.cells.borrow_mut().remove(&id);
+    node.jobs.held.borrow_mut().remove(&id);
     held.changed.notify_waiters();
 }
 
-fn status(node: &Node, held: &Held) -> Status {
+fn status(node: &Node, held: &HeldJob) -> Status {
     let sheet = held.sheet.borrow();
     Status {
         job: sheet.job().id.clone(),
@@ -217,7 +217,7 @@
 }
 
 /// Tells all others how a job stands, together with what else is to be told soon.
-pub fn announce(node: &Rc<Node>, held: &Held) {
+pub fn announce(node: &Rc<Node>, held: &HeldJob) {
     let status = status(node, held);
     let is_first = {
         let mut outbox = node.jobs.outbox.borrow_mut();
@@ -238,7 +238,7 @@
 /// Has two other instances know of a job before its submitter is answered, so
 /// that it is missed at once if this instance is lost in the next moment. Without
 /// an answer from them it is found by a look through all jobs, later.
-pub async fn tell_witnesses(node: &Rc<Node>, held: &Held) {
+pub async fn tell_witnesses(node: &Rc<Node>, held: &HeldJob) {
     let now = clock::now();
     let mut members = node.others();
     members.retain(|member| !node.is_shunned(member.peer, now));
@@ -277,10 +277,10 @@
 
 /// How jobs stand that are known here.
 fn directory(node: &Node) -> Vec<Status> {
-    let cells = node.jobs.cells.borrow();
-    let own = cells.values().filter(|held| !held.is_frozen).map(|held| status(node, held));
+    let held_jobs = node.jobs.held.borrow();
+    let own = held_jobs.values().filter(|held| !held.is_frozen).map(|held| status(node, held));
     let directory = node.jobs.directory.borrow();
-    let others = directory.values().filter(|status| !cells.contains_key(&status.job));
+    let others = directory.values().filter(|status| !held_jobs.contains_key(&status.job));
     own.chain(others.cloned()).collect()
 }
 
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::cause::Cause;
 use super::front::{refusal, set, text};
-use super::job_table::{self, Held};
+use super::job_table::{self, HeldJob};
 use super::message::{Ask, News, Reply};
 use super::node::Node;
 use super::stored::{self, Record, Unread};
@@ -90,7 +90,7 @@
         }
         tokio::time::sleep(left.min(HOLDER_LOOK)).await;
         let now = holder(node);
-        if node.jobs.cell(id).is_some() || (now.is_some() && now != before) {
+        if node.jobs.held_job(id).is_some() || (now.is_some() && now != before) {
             return true;
         }
     }
@@ -111,7 +111,7 @@
 }
 
 /// Results of a held job from a position on, waited for if there is none.
-async fn held_results(held: &Rc<Held>, from: usize, wait: Duration) -> (usize, Vec<Outcome>) {
+async fn held_results(held: &Rc<HeldJob>, from: usize, wait: Duration) -> (usize, Vec<Outcome>) {
     let until = tokio::time::Instant::now() + wait;
     loop {
         let changed = held.changed.notified();
@@ -209,7 +209,7 @@
 
 /// A job was ended on the platform: it stops here, if it runs here.
 pub fn on_ended(node: &Node, id: &str) {
-    if let Some(held) = node.jobs.cell(id) {
+    if let Some(held) = node.jobs.held_job(id) {
         slog::info!(node.log, "job ended elsewhere"; "job" => id);
         held.sheet.borrow_mut().end();
         held.stop_runs();
@@ -218,7 +218,7 @@
 }
 
 /// Ends a held job; `true` once that is durable.
-async fn end_held(node: &Rc<Node>, held: &Rc<Held>) -> bool {
+async fn end_held(node: &Rc<Node>, held: &Rc<HeldJob>) -> bool {
     let until = tokio::time::Instant::now() + END_LIMIT;
     if held.sheet.borrow().is_all_listed() {
         return true; // Nothing is left that could be ended.
@@ -245,7 +245,7 @@
 /// Where a job was found.
 enum Found {
     /// In memory here.
-    Here(Rc<Held>),
+    Here(Rc<HeldJob>),
     /// Its holder answered.
     Reply(Reply),
     /// On the platform, while its holder can't be asked.
@@ -258,7 +258,7 @@
 
 /// Finds a job: here, at its holder, or on the platform.
 async fn find(node: &Rc<Node>, id: &str, ask: impl Fn(String) -> Ask, wait: Duration) -> Found {
-    if let Some(held) = node.jobs.cell(id) {
+    if let Some(held) = node.jobs.held_job(id) {
         return Found::Here(held);
     }
     let limit = wait + HOLDER_ANSWER;
@@ -332,7 +332,7 @@
 
 /// Results for another instance.
 pub async fn on_results(node: &Rc<Node>, id: &str, from: usize, wait: Duration) -> Reply {
-    match node.jobs.cell(id) {
+    match node.jobs.held_job(id) {
         Some(held) => {
             let (total, outcomes) = held_results(&held, from, wait.min(LONGEST_HOLD)).await;
             Reply::Results(total, outcomes)
@@ -343,7 +343,7 @@
 
 /// Body of an item for another instance.
 pub fn on_body(node: &Node, id: &str, item: &str) -> Reply {
-    match node.jobs.cell(id) {
+    match node.jobs.held_job(id) {
         Some(held) => Reply::Body(body_in(held.sheet.borrow().job(), item)),
         None => Reply::NotHere,
     }
@@ -351,7 +351,7 @@
 
 /// The end of a job for another instance.
 pub async fn on_end(node: &Rc<Node>, id: &str) -> Reply {
-    match node.jobs.cell(id) {
+    match node.jobs.held_job(id) {
         None => Reply::NotHere,
         Some(held) if end_held(node, &held).await => Reply::Done,
         Some(_) => Reply::Away,
--- a/crates/daemon/src/gateway/measure.rs
+++ b/crates/daemon/src/gateway/measure.rs
@@ -190,7 +190,7 @@
         ("gatespool.leases.held", node.accounts.held() as u64),
         ("gatespool.account.online", u64::from(online)),
         ("gatespool.account.batch", u64::from(batch)),
-        ("gatespool.jobs.held", node.jobs.held() as u64),
+        ("gatespool.jobs.held", node.jobs.held_count() as u64),
         ("gatespool.held_requests", node.quarantine.borrow().held() as u64),
         ("gatespool.running", node.running.get() as u64),
     ];
--- a/crates/daemon/src/gateway/record.rs
+++ b/crates/daemon/src/gateway/record.rs
@@ -2,7 +2,7 @@
 //! held here.
 
 use super::cause::Cause;
-use super::job_table::{self, Held};
+use super::job_table::{self, HeldJob};
 use super::node::{Node, millis};
 use super::stored::{self, Record, Unread};
 use super::takeover;
@@ -35,7 +35,7 @@
 pub(super) const RUNS_STOP: Duration = Duration::from_millis(5);
 
 /// Looks whether a job is still held here.
-pub async fn verify(node: &Rc<Node>, held: &Rc<Held>) {
+pub async fn verify(node: &Rc<Node>, held: &Rc<HeldJob>) {
     let id = held.sheet.borrow().job().id.clone();
     match node.store.get(Cause::Check, job::KIND, &id).await {
         Ok(Some(object)) if object.revision > held.revision.get() => {
@@ -50,7 +50,7 @@
 }
 
 /// Writes what happens to a job until nothing is left to write.
-pub async fn write_all(node: Rc<Node>, held: Rc<Held>) {
+pub async fn write_all(node: Rc<Node>, held: Rc<HeldJob>) {
     let mut tried = clock::now();
     let mut looked = clock::now();
     let mut isolated: Option<Instant> = None;
@@ -99,7 +99,7 @@
 }
 
 /// Time until something is to be written; the longest there is if nothing is.
-fn until_write(node: &Node, held: &Held, now: Instant) -> Duration {
+fn until_write(node: &Node, held: &HeldJob, now: Instant) -> Duration {
     let sheet = held.sheet.borrow();
     if !sheet.has_news() {
         return Duration::MAX;
@@ -119,7 +119,7 @@
 }
 
 /// One write of a job's progress; `false` when it has to be tried again later.
-pub async fn write(node: &Rc<Node>, held: &Rc<Held>) -> bool {
+pub async fn write(node: &Rc<Node>, held: &Rc<HeldJob>) -> bool {
     let (id, draft) = {
         let sheet = held.sheet.borrow();
         (sheet.job().id.clone(), sheet.snapshot())
@@ -162,7 +162,7 @@
 }
 
 /// Tells the new holder of a job what was learnt here.
-async fn pass_learnt(node: Rc<Node>, held: Rc<Held>, holder: Holder) {
+async fn pass_learnt(node: Rc<Node>, held: Rc<HeldJob>, holder: Holder) {
     tokio::time::sleep(RUNS_STOP).await;
     let (id, learnt) = {
         let sheet = held.sheet.borrow();
@@ -171,7 +171,7 @@
     takeover::tell_learnt(node, id, holder, learnt).await;
 }
 
-fn on_durable(node: &Rc<Node>, held: &Rc<Held>, draft: &Progress, revision: u64) {
+fn on_durable(node: &Rc<Node>, held: &Rc<HeldJob>, draft: &Progress, revision: u64) {
     held.revision.set(revision);
     held.on_confirmed(clock::now());
     held.sheet.borrow_mut().on_durable(draft);
@@ -186,7 +186,7 @@
 
 /// The object isn't as it was: an earlier write of ours was done after all, or
 /// another instance has written. `false` when it couldn't be read whole.
-async fn on_found(node: &Rc<Node>, held: &Rc<Held>, draft: &Progress, object: &Object) -> bool {
+async fn on_found(node: &Rc<Node>, held: &Rc<HeldJob>, draft: &Progress, object: &Object) -> bool {
     let Record { progress, pieces, .. } = match stored::read(node, Cause::Check, object).await {
         Ok(record) => record,
         Err(unread @ Unread::Malformed(_)) => {
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -116,7 +116,7 @@
 async fn drain(node: &Rc<Node>, front: &CancellationToken) {
     let since = clock::now();
     slog::info!(node.log, "stop ordered"; "running" => node.running.get(),
-        "jobs" => node.jobs.held());
+        "jobs" => node.jobs.held_count());
     node.stopping.cancel();
     node.members.borrow_mut().leave();
     node.news.notify_one();
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -133,7 +133,7 @@
 /// Keeps a job on the platform, or finds it kept already.
 async fn accept(node: &Rc<Node>, route: &Route, call: &Call, until: Instant) -> Acceptance {
     let id = &call.id;
-    if node.jobs.cell(id).is_some() || node.jobs.directory.borrow().contains_key(id) {
+    if node.jobs.held_job(id).is_some() || node.jobs.directory.borrow().contains_key(id) {
         return Acceptance::Accepted;
     }
     let Some(terms) = route.terms else {
--- a/crates/daemon/src/gateway/sweep.rs
+++ b/crates/daemon/src/gateway/sweep.rs
@@ -6,7 +6,7 @@
 //! told at once, since a page takes long on a slow link.
 
 use super::cause::Cause;
-use super::job_table::{self, Held};
+use super::job_table::{self, HeldJob};
 use super::message::{News, Status};
 use super::node::{Node, millis};
 use super::spread;
@@ -164,7 +164,7 @@
             "revision" => object.revision);
         return Look::Nothing;
     };
-    if !is_open || node.jobs.cell(&object.name).is_some() {
+    if !is_open || node.jobs.held_job(&object.name).is_some() {
         return Look::Nothing;
     }
     if holder.instance == node.id() {
@@ -199,8 +199,8 @@
 fn expire(node: &Rc<Node>) {
     let now = millis();
     let retention = node.settings.retention.as_millis() as u64;
-    let cells: Vec<Rc<Held>> = node.jobs.cells.borrow().values().cloned().collect();
-    for held in cells {
+    let held_jobs: Vec<Rc<HeldJob>> = node.jobs.held.borrow().values().cloned().collect();
+    for held in held_jobs {
         let (id, is_over) = {
             let sheet = held.sheet.borrow();
             let is_old = sheet.job().accepted + retention < now;
@@ -210,7 +210,7 @@
             continue;
         }
         let is_own = held.sheet.borrow().holder().instance == node.id();
-        node.jobs.cells.borrow_mut().remove(&id);
+        node.jobs.held.borrow_mut().remove(&id);
         node.jobs.directory.borrow_mut().remove(&id);
         if is_own {
             let node = node.clone();
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -6,7 +6,7 @@
 //! falls silent at once is given more time than a single instance.
 
 use super::cause::Cause;
-use super::job_table::{self, Held};
+use super::job_table::{self, HeldJob};
 use super::message::{Ask, Status};
 use super::node::Node;
 use super::record;
@@ -108,10 +108,10 @@
     now: Instant,
 ) -> Vec<JobId> {
     let directory = node.jobs.directory.borrow();
-    let cells = node.jobs.cells.borrow();
+    let held_jobs = node.jobs.held.borrow();
     let orphaned = directory.values().filter(|status| {
         !status.is_settled
-            && !cells.contains_key(&status.job)
+            && !held_jobs.contains_key(&status.job)
             && is_gone(node, status.holder, is_acquainted)
     });
     let orphaned: Vec<&Status> = orphaned.collect();
@@ -170,7 +170,7 @@
 
 /// Takes a job over, unless it is settled or another holder is at work; `None`
 /// when it can't be done now, or there is no such job.
-pub async fn adopt(node: &Rc<Node>, id: &str, learnt: Learnt) -> Option<Rc<Held>> {
+pub async fn adopt(node: &Rc<Node>, id: &str, learnt: Learnt) -> Option<Rc<HeldJob>> {
     match try_adopt(node, id, &learnt).await {
         Ok(held) => held,
         Err(fault) => {
@@ -218,7 +218,7 @@
 
 /// Brings what was learnt of a job to its holder, be it this instance.
 async fn hand_on(node: &Rc<Node>, id: &str, learnt: Learnt) {
-    if let Some(held) = node.jobs.cell(id) {
+    if let Some(held) = node.jobs.held_job(id) {
         learn(node, &held, learnt);
         return;
     }
@@ -229,7 +229,7 @@
 }
 
 /// Takes in what another holder has learnt.
-fn learn(node: &Node, held: &Held, learnt: Learnt) {
+fn learn(node: &Node, held: &HeldJob, learnt: Learnt) {
     held.sheet.borrow_mut().learn(learnt);
     held.wake();
     node.jobs.wake();
@@ -259,10 +259,14 @@
 /// # Errors
 ///
 /// Why it can't be done now.
-async fn try_adopt(node: &Rc<Node>, id: &str, learnt: &Learnt) -> Result<Option<Rc<Held>>, Fault> {
+async fn try_adopt(
+    node: &Rc<Node>,
+    id: &str,
+    learnt: &Learnt,
+) -> Result<Option<Rc<HeldJob>>, Fault> {
     let mut conflict = None;
     for _ in 0..TRIES {
-        if let Some(held) = node.jobs.cell(id) {
+        if let Some(held) = node.jobs.held_job(id) {
             learn(node, &held, learnt.clone());
             return Ok(Some(held));
         }
@@ -284,7 +288,7 @@
 
 /// Writes this instance down as the holder; `None` when another is, or nobody can
 /// read the job.
-async fn claim(node: &Rc<Node>, object: &Object) -> Result<Option<Rc<Held>>, Fault> {
+async fn claim(node: &Rc<Node>, object: &Object) -> Result<Option<Rc<HeldJob>>, Fault> {
     let mut record = match stored::read(node, Cause::Takeover, object).await {
         Ok(record) => record,
         Err(Unread::Fault(fault)) => return Err(fault),
@@ -319,7 +323,7 @@
     let written =
         stored::write(node, Cause::Takeover, &object.name, *revision, progress, pieces).await;
     let (written, pieces) = written?;
-    if let Some(held) = node.jobs.cell(&object.name) {
+    if let Some(held) = node.jobs.held_job(&object.name) {
         return Ok(Some(held));
     }
     slog::info!(node.log, "job taken over"; "job" => &object.name,
--- a/crates/daemon/src/gateway/wake.rs
+++ b/crates/daemon/src/gateway/wake.rs
@@ -38,7 +38,7 @@
     }
     node.slept.set(asleep);
     slog::warn!(node.log, "was suspended"; "for_ms" => last.as_millis() as u64,
-        "running" => node.running.get(), "jobs" => node.jobs.held());
+        "running" => node.running.get(), "jobs" => node.jobs.held_count());
     node.measure.count("suspended");
     node.accounts.ledger.borrow_mut().on_wake(clock::now());
     node.woken.notify_waiters();
