--- a/crates/daemon/src/gateway/compare.rs
+++ b/crates/daemon/src/gateway/compare.rs
@@ -64,8 +64,8 @@
         let is_due = node.jobs.learnt.get().is_none_or(|at| clock::since(at) >= LEARN_EVERY);
         if mark.jobs != node.mark().jobs && is_due {
             node.jobs.learnt.set(Some(now));
-            let wanted = job_table::wanted_open(&node);
-            job_table::learn_from(&node, others[at].peer, wanted).await;
+            let wanted = job_table::open_jobs_filter(&node);
+            job_table::fetch_statuses_from(&node, others[at].peer, wanted).await;
         }
         if let Some(digest) = mark.strikes {
             compare_strikes(&node, &others[at], digest).await;
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -238,7 +238,7 @@
 /// Has two other instances know of a job before its submitter is answered, so
 /// that it is missed at once if this instance is lost in the next moment. Without
 /// an answer from them it is found by a look through all jobs, later.
-pub async fn tell_witnesses(node: &Rc<Node>, held: &HeldJob) {
+pub async fn notify_witnesses(node: &Rc<Node>, held: &HeldJob) {
     let now = clock::now();
     let mut members = node.others();
     members.retain(|member| !node.is_shunned(member.peer, now));
@@ -266,7 +266,7 @@
 }
 
 /// How the jobs stand that another instance asks for.
-pub fn wanted(node: &Node, wanted: &Wanted) -> Vec<Status> {
+pub fn statuses_for(node: &Node, wanted: &Wanted) -> Vec<Status> {
     let mut statuses = directory(node);
     if let Wanted::Open(ids) = wanted {
         let ids: HashSet<&JobId> = ids.iter().collect();
@@ -296,15 +296,15 @@
 
 /// What to ask another instance for whose open jobs differ: a job may have been
 /// settled without a word of it here.
-pub fn wanted_open(node: &Node) -> Wanted {
+pub fn open_jobs_filter(node: &Node) -> Wanted {
     Wanted::Open(open(node).into_iter().map(|status| status.job).collect())
 }
 
 /// Learns from another instance how jobs stand, after a start.
-pub async fn learn(node: &Rc<Node>) {
+pub async fn fetch_statuses(node: &Rc<Node>) {
     loop {
         for member in node.others() {
-            if learn_from(node, member.peer, Wanted::All).await {
+            if fetch_statuses_from(node, member.peer, Wanted::All).await {
                 return;
             }
         }
@@ -313,7 +313,7 @@
 }
 
 /// Learns how jobs stand from one instance; `false` when it didn't answer.
-pub async fn learn_from(node: &Rc<Node>, address: SocketAddr, wanted: Wanted) -> bool {
+pub async fn fetch_statuses_from(node: &Rc<Node>, address: SocketAddr, wanted: Wanted) -> bool {
     let is_open_only = matches!(wanted, Wanted::Open(_));
     let ask = Ask::Directory(wanted);
     let reply = node.ask(address, &ask, peers::PING_TIMEOUT).await;
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -115,7 +115,7 @@
             statuses.into_iter().for_each(|status| job_table::on_status(node, status));
             Reply::Done
         }
-        Ask::Directory(wanted) => Reply::Statuses(job_table::wanted(node, &wanted)),
+        Ask::Directory(wanted) => Reply::Statuses(job_table::statuses_for(node, &wanted)),
         Ask::Submit { host, path, job, body } => {
             Reply::Submitted(submit::on_submit(node, &host, &path, &job, body.as_bytes()).await)
         }
@@ -314,7 +314,7 @@
         }
         tokio::time::sleep(SEED_FIRST.saturating_mul(tries).min(SEED_ALONE)).await;
     }
-    job_table::learn(&node).await;
+    job_table::fetch_statuses(&node).await;
 }
 
 async fn ask_members(node: &Rc<Node>, address: SocketAddr) {
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -188,7 +188,7 @@
                 let progress = Progress::default();
                 let record = Record { job, progress, pieces, revision: object.revision };
                 let held = job_table::hold(node, record);
-                job_table::tell_witnesses(node, &held).await;
+                job_table::notify_witnesses(node, &held).await;
                 return Acceptance::Accepted;
             }
             Err(Fault::Conflict(_)) => {
