--- a/crates/daemon/src/gateway/feed.rs
+++ b/crates/daemon/src/gateway/feed.rs
@@ -2,7 +2,7 @@
 //!
 //! [`super::watch`] brings what changed on the platform; what is news is told to
 //! all other instances over [`super::spread`], and what is lost on the way,
-//! [`super::compare`] makes up for.
+//! [`super::anti_entropy`] makes up for.
 
 use super::message::News;
 use super::node::{Config, Node};
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -19,13 +19,13 @@
 //! | [`wake`] | what follows a suspension of the machine |
 //! | [`feed`] | configuration and targets as they are learnt |
 //! | [`peers`], [`message`] | membership, and what instances say to each other |
-//! | [`spread`], [`compare`] | news for all instances, over one relay in each data centre; what was lost is made up for |
+//! | [`spread`], [`anti_entropy`] | news for all instances, over one relay in each data centre; what was lost is made up for |
 //! | [`store`], [`stored`] | the platform's store with a breaker in front; how jobs lie there |
 //! | [`measure`] | counters and histograms as text |
 
 pub mod account;
+pub mod anti_entropy;
 pub mod cause;
-pub mod compare;
 pub mod crash;
 pub mod feed;
 pub mod front;
--- a/crates/daemon/src/gateway/wake.rs
+++ b/crates/daemon/src/gateway/wake.rs
@@ -4,7 +4,7 @@
 //! time asleep. What is left are timers, which fire late by it: watches that wait,
 //! comparisons, the rest of an account that has taken over.
 
-use super::compare;
+use super::anti_entropy;
 use super::node::Node;
 use crate::clock;
 use std::rc::Rc;
@@ -42,5 +42,5 @@
     node.measure.count("suspended");
     node.accounts.ledger.borrow_mut().on_wake(clock::now());
     node.woken.notify_waiters();
-    spawn_local(compare::compare(node.clone()));
+    spawn_local(anti_entropy::compare(node.clone()));
 }
