--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -1,7 +1,7 @@
 //! Each instance now and then compares what it knows with another, drawn by lot:
 //! whatever word was lost on the way is made up for within a few rounds.
 
-use super::feed;
+use super::discovery;
 use super::job_table;
 use super::liveness;
 use super::message::{Ask, Reply};
@@ -71,13 +71,13 @@
             compare_strikes(&node, &others[at], digest).await;
         }
         if let Some((version, text)) = config {
-            feed::on_config(&node, version, &text, "compared");
+            discovery::on_config(&node, version, &text, "compared");
         }
         if mark.targets != node.mark().targets {
             let ask = Ask::Targets(node.registry.borrow().digests());
             let reply = node.ask(others[at].peer, &ask, SYNC_LIMIT).await;
             if let Ok(Reply::Targets(changes)) = reply {
-                feed::on_targets(&node, changes, "compared");
+                discovery::on_targets(&node, changes, "compared");
             }
         }
     }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -17,7 +17,7 @@
 //! | [`takeover`], [`sweep`] | jobs whose holder is gone; looks through all jobs |
 //! | [`watch`], [`liveness`] | the platform, watched by a few for all; whether it answers them |
 //! | [`wake`] | what follows a suspension of the machine |
-//! | [`feed`] | configuration and targets as they are learnt |
+//! | [`discovery`] | configuration and targets as they are learnt |
 //! | [`peers`], [`message`] | membership, and what instances say to each other |
 //! | [`spread`], [`anti_entropy`] | news for all instances, over one relay in each data centre; what was lost is made up for |
 //! | [`store`], [`stored`] | the platform's store with a breaker in front; how jobs lie there |
@@ -27,7 +27,7 @@
 pub mod anti_entropy;
 pub mod cause;
 pub mod crash;
-pub mod feed;
+pub mod discovery;
 pub mod front;
 pub mod items;
 pub mod job_table;
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -5,7 +5,8 @@
 use super::node::Node;
 use super::peers::{Answers, PING_TIMEOUT};
 use super::{
-    account, anti_entropy, feed, items, liveness, peers, quarantine, sweep, takeover, wake, watch,
+    account, anti_entropy, discovery, items, liveness, peers, quarantine, sweep, takeover, wake,
+    watch,
 };
 use crate::clock;
 use crate::start;
@@ -70,7 +71,7 @@
     watch::start(&node, &stop);
     spawn_local(liveness::run(node.clone(), stop.clone()));
     spawn_local(wake::run(node.clone(), stop.clone()));
-    spawn_local(feed::run(node.clone(), stop.clone()));
+    spawn_local(discovery::run(node.clone(), stop.clone()));
     spawn_local(anti_entropy::run(node.clone(), stop.clone()));
     spawn_local(account::report(node.clone(), stop.clone()));
     spawn_local(items::run(node.clone(), stop.clone()));
--- a/crates/daemon/src/gateway/spread.rs
+++ b/crates/daemon/src/gateway/spread.rs
@@ -11,7 +11,7 @@
 
 use super::message::{Ask, News, Reply, Status};
 use super::node::Node;
-use super::{feed, job_table, jobs, quarantine};
+use super::{discovery, job_table, jobs, quarantine};
 use crate::clock;
 use coordination::membership::{Member, State};
 use coordination::{capacity, hash};
@@ -132,7 +132,7 @@
 pub async fn on_news(node: &Rc<Node>, from: SocketAddr, news: News) -> bool {
     match news {
         News::Config(version) => fetch(node, from, version).await,
-        News::Targets(changes) => feed::on_targets(node, changes, "peer"),
+        News::Targets(changes) => discovery::on_targets(node, changes, "peer"),
         News::Statuses(statuses) => {
             statuses.into_iter().for_each(|status| job_table::on_status(node, status));
             true
@@ -206,7 +206,7 @@
     node.outbox.fetching.set(None);
     match reply {
         Ok(Reply::News { config: Some((version, text)), .. }) => {
-            feed::on_config(node, version, &text, "peer")
+            discovery::on_config(node, version, &text, "peer")
         }
         Ok(_) => false,
         Err(fault) => {
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -3,10 +3,10 @@
 //!
 //! Who watches follows from ranks that all agree on ([`coordination::watch`]). A
 //! watcher lists once and watches from there; after a watch that broke it lists
-//! again. What it learns goes to [`super::feed`].
+//! again. What it learns goes to [`super::discovery`].
 
 use super::cause::Cause;
-use super::feed;
+use super::discovery;
 use super::liveness::{OVERDUE, has_lost_contact};
 use super::node::Node;
 use super::quarantine;
@@ -271,9 +271,9 @@
         }
         Topic::Config => {
             let present = changes.changes.into_iter().filter(|change| !change.removed);
-            present.for_each(|change| feed::on_config_object(node, &change.object));
+            present.for_each(|change| discovery::on_config_object(node, &change.object));
         }
-        Topic::Targets => feed::on_changes(node, changes),
+        Topic::Targets => discovery::on_changes(node, changes),
         Topic::Quarantine => {
             let present = changes.changes.into_iter().filter(|change| !change.removed);
             let objects: Vec<Object> = present.map(|change| change.object).collect();
@@ -294,8 +294,10 @@
                 retire(node, object).await?;
             }
         }
-        Topic::Config => objects.iter().for_each(|object| feed::on_config_object(node, object)),
-        Topic::Targets => feed::on_entries(node, &listing),
+        Topic::Config => {
+            objects.iter().for_each(|object| discovery::on_config_object(node, object))
+        }
+        Topic::Targets => discovery::on_entries(node, &listing),
         Topic::Quarantine => {
             quarantine::on_objects(node, objects);
             node.knows_strikes.set(true);
