--- a/crates/daemon/src/gateway/spread.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -55,7 +55,7 @@
 }
 
 /// Tells all instances.
-pub fn tell(node: &Rc<Node>, news: News) {
+pub fn send(node: &Rc<Node>, news: News) {
     let members = node.others();
     let places: BTreeSet<&DataCentreId> =
         members.iter().map(|member| &member.data_centre).collect();
@@ -63,14 +63,14 @@
         let is_own = place == node.data_centre();
         if is_own && !matches!(news, News::Statuses(_)) {
             // No detour for what is rare.
-            tell_near(node, &news);
+            send_to_data_centre(node, &news);
             continue;
         }
         let relays = relays(node, place);
         if relays.first().is_some_and(|relay| relay.id == node.id()) {
-            pass_on(node, news.clone());
+            forward(node, news.clone());
         } else {
-            spawn_local(tell_relay(node.clone(), relays, news.clone()));
+            spawn_local(send_to_relay(node.clone(), relays, news.clone()));
         }
     }
 }
@@ -92,7 +92,7 @@
     able
 }
 
-async fn tell_relay(node: Rc<Node>, relays: Vec<Member>, news: News) {
+async fn send_to_relay(node: Rc<Node>, relays: Vec<Member>, news: News) {
     let ask = Ask::PassOn(node.as_holder().address, news);
     for relay in relays.iter().chain(&relays) {
         match node.ask(relay.peer, &ask, RELAY).await {
@@ -103,7 +103,7 @@
     }
 }
 
-fn tell_near(node: &Rc<Node>, news: &News) {
+fn send_to_data_centre(node: &Rc<Node>, news: &News) {
     let ask = Ask::News(node.as_holder().address, news.clone());
     for member in node.others() {
         if member.data_centre != *node.data_centre() {
@@ -146,7 +146,7 @@
 }
 
 /// Takes in news as the relay of this data centre.
-pub async fn on_relay(node: &Rc<Node>, from: SocketAddr, news: News) {
+pub async fn on_relayed(node: &Rc<Node>, from: SocketAddr, news: News) {
     let is_news = on_news(node, from, news.clone()).await;
     let is_to_be_told = match &news {
         // Another word may have brought it here meanwhile, for this instance only.
@@ -158,7 +158,7 @@
         _ => is_news,
     };
     if is_to_be_told {
-        pass_on(node, news);
+        forward(node, news);
     }
 }
 
@@ -167,9 +167,9 @@
 }
 
 /// Passes news on in the own data centre.
-fn pass_on(node: &Rc<Node>, news: News) {
+fn forward(node: &Rc<Node>, news: News) {
     let News::Statuses(statuses) = news else {
-        return tell_near(node, &news);
+        return send_to_data_centre(node, &news);
     };
     let is_first = {
         let mut waiting = node.outbox.statuses.borrow_mut();
@@ -182,7 +182,7 @@
         spawn_local(async move {
             tokio::time::sleep(GATHER).await;
             let statuses = std::mem::take(&mut *node.outbox.statuses.borrow_mut());
-            tell_near(&node, &News::Statuses(statuses.into_values().collect()));
+            send_to_data_centre(&node, &News::Statuses(statuses.into_values().collect()));
         });
     }
 }
--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -1,12 +1,12 @@
 //! Configuration and targets, as they are learnt from the platform or from peers.
 //!
 //! [`super::watch`] brings what changed on the platform; what is news is told to
-//! all other instances over [`super::spread`], and what is lost on the way,
+//! all other instances over [`super::broadcast`], and what is lost on the way,
 //! [`super::anti_entropy`] makes up for.
 
+use super::broadcast;
 use super::message::News;
 use super::node::{Config, Node};
-use super::spread;
 use crate::clock;
 use coordination::registry::{Change, Learnt, RETURN_TIME};
 use platform::store::{Changes, Listing, Object, Revision};
@@ -34,7 +34,7 @@
         let lapsed = node.registry.borrow_mut().on_time(clock::now());
         if !lapsed.is_empty() {
             on_changed(&node, &lapsed, "lapsed");
-            spread::tell(&node, News::Targets(lapsed));
+            broadcast::send(&node, News::Targets(lapsed));
         }
     }
 }
@@ -198,7 +198,7 @@
     }
     on_changed(node, &news, "platform");
     if !news.is_empty() {
-        spread::tell(node, News::Targets(news));
+        broadcast::send(node, News::Targets(news));
     }
 }
 
@@ -226,6 +226,6 @@
         }
     };
     if on_config(node, version, text, "platform") {
-        spread::tell(node, News::Config(version));
+        broadcast::send(node, News::Config(version));
     }
 }
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -4,7 +4,7 @@
 use super::message::{Ask, News, Reply, Status, Wanted};
 use super::node::Node;
 use super::stored::{Pieces, Record};
-use super::{peers, record, spread};
+use super::{broadcast, peers, record};
 use crate::clock;
 use coordination::hash;
 use coordination::membership::Member;
@@ -231,7 +231,7 @@
     spawn_local(async move {
         tokio::time::sleep(TELL).await;
         let statuses = std::mem::take(&mut *node.jobs.outbox.borrow_mut());
-        spread::tell(&node, News::Statuses(statuses.into_values().collect()));
+        broadcast::send(&node, News::Statuses(statuses.into_values().collect()));
     });
 }
 
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -6,7 +6,7 @@
 use super::message::{Ask, News, Reply};
 use super::node::Node;
 use super::stored::{self, Record, Unread};
-use super::{spread, submit, takeover};
+use super::{broadcast, submit, takeover};
 use crate::clock;
 use hyper::{HeaderMap, Response};
 use platform::store::Fault;
@@ -197,7 +197,7 @@
                 let news = News::Ended(id.to_owned());
                 let ask = Ask::News(node.as_holder().address, news.clone());
                 node.tell(record.holder().address, ask);
-                spread::tell(node, news);
+                broadcast::send(node, news);
                 return true;
             }
             Err(Fault::Conflict(_) | Fault::Lost(_)) => {}
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -19,12 +19,13 @@
 //! | [`wake`] | what follows a suspension of the machine |
 //! | [`discovery`] | configuration and targets as they are learnt |
 //! | [`peers`], [`message`] | membership, and what instances say to each other |
-//! | [`spread`], [`anti_entropy`] | news for all instances, over one relay in each data centre; what was lost is made up for |
+//! | [`broadcast`], [`anti_entropy`] | news for all instances, over one relay in each data centre; what was lost is made up for |
 //! | [`store`], [`stored`] | the platform's store with a breaker in front; how jobs lie there |
 //! | [`measure`] | counters and histograms as text |
 
 pub mod account;
 pub mod anti_entropy;
+pub mod broadcast;
 pub mod cause;
 pub mod crash;
 pub mod discovery;
@@ -43,7 +44,6 @@
 pub mod record;
 pub mod relay;
 pub mod run;
-pub mod spread;
 pub mod store;
 pub mod stored;
 pub mod submit;
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -1,11 +1,11 @@
 //! What one instance of the gateway knows.
 
 use super::account::Accounts;
+use super::broadcast::Outbox;
 use super::crash::Inquiries;
 use super::job_table::JobTable;
 use super::measure::Measure;
 use super::message::{Answers, Ask, Contact, Mark, Reply, decode, encode};
-use super::spread::Outbox;
 use super::store::Guarded;
 use crate::clock;
 use coordination::membership::{Member, Policy, Table};
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -2,7 +2,7 @@
 
 use super::message::{Ask, Contact, Mark, Reply, decode, encode};
 use super::node::Node;
-use super::{job_table, jobs, keeper, liveness, quarantine, spread, submit, takeover, watch};
+use super::{broadcast, job_table, jobs, keeper, liveness, quarantine, submit, takeover, watch};
 use crate::clock;
 use coordination::membership::{Member, Note, State, Table};
 use protocol::InstanceId;
@@ -102,12 +102,12 @@
         Ask::Sync { from, mark, contact } => sync(node, from, mark, contact),
         Ask::News(from, news) => {
             let node = node.clone();
-            to_its_end(async move { spread::on_news(&node, from, news).await }).await;
+            to_its_end(async move { broadcast::on_news(&node, from, news).await }).await;
             Reply::Done
         }
         Ask::PassOn(from, news) => {
             let node = node.clone();
-            to_its_end(async move { spread::on_relay(&node, from, news).await }).await;
+            to_its_end(async move { broadcast::on_relayed(&node, from, news).await }).await;
             Reply::Done
         }
         Ask::Targets(digests) => Reply::Targets(node.registry.borrow().differing(&digests)),
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -4,11 +4,11 @@
 //! are told to all instances, and [`coordination::quarantine`] decides by them. What is
 //! held also lies on the platform: the memory of all instances may go at one moment.
 
+use super::broadcast;
 use super::cause::Cause;
 use super::crash::hex;
 use super::message::{Ask, News, Reply};
 use super::node::{Node, millis};
-use super::spread;
 use crate::clock;
 use coordination::hash;
 use coordination::membership::Member;
@@ -106,7 +106,7 @@
 
 fn tell(node: &Rc<Node>, strikes: Vec<Strike>) {
     if !strikes.is_empty() {
-        spread::tell(node, News::Strikes(strikes));
+        broadcast::send(node, News::Strikes(strikes));
     }
 }
 
--- a/crates/daemon/src/gateway/sweep.rs
+++ b/crates/daemon/src/gateway/sweep.rs
@@ -5,11 +5,11 @@
 //! be known to nobody. A few instances share the list, and what a page shows is
 //! told at once, since a page takes long on a slow link.
 
+use super::broadcast;
 use super::cause::Cause;
 use super::job_table::{self, HeldJob};
 use super::message::{News, Status};
 use super::node::{Node, millis};
-use super::spread;
 use super::stored::{self, Brief};
 use super::takeover::{self, ACQUAINTED};
 use crate::clock;
@@ -192,7 +192,7 @@
         return;
     }
     orphans.iter().for_each(|status| node.jobs.on_status(status.clone()));
-    spread::tell(node, News::Statuses(orphans));
+    broadcast::send(node, News::Statuses(orphans));
 }
 
 /// Drops what is past its retention, here and on the platform.
