--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -9,7 +9,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | [`front`] | callers' requests: which route, which call |
-//! | [`online`], [`relay`] | one request at a time; streams, resumed where they broke |
+//! | [`online`], [`streaming`] | one request at a time; streams, resumed where they broke |
 //! | [`account`], [`keeper`] | slots: asks for leases; keeps the account of a data centre |
 //! | [`submit`], [`jobs`] | batch jobs: submissions, and calls about accepted ones |
 //! | [`crash`], [`quarantine`] | whether a target whose answer broke off has crashed; requests that crash their targets |
@@ -42,10 +42,10 @@
 pub mod peers;
 pub mod quarantine;
 pub mod record;
-pub mod relay;
 pub mod run;
 pub mod store;
 pub mod stored;
+pub mod streaming;
 pub mod submit;
 pub mod sweep;
 pub mod takeover;
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -9,7 +9,7 @@
 use super::front::{Call, refusal, text};
 use super::node::{Config, Node};
 use super::quarantine::{self, Admission};
-use super::relay;
+use super::streaming;
 use crate::clock;
 use attempt::{Again, end_of};
 use coordination::hash;
@@ -134,7 +134,7 @@
     in_hand: InHand,
 ) -> Result<Response<Body>, listen::Broken> {
     if forward.route.class == Class::Stream && begun.exchange.head().status.is_success() {
-        return Ok(relay::stream(forward, begun, in_hand));
+        return Ok(streaming::stream(forward, begun, in_hand));
     }
     whole(forward, begun).await
 }
