--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -5,7 +5,7 @@
 use super::account::{self, Lease};
 use super::job_table::{HeldJob, route_of};
 use super::node::{Node, millis};
-use super::{record, takeover};
+use super::{job_writer, takeover};
 use coordination::hash;
 use coordination::slots::Chance;
 use protocol::ServiceId;
@@ -186,11 +186,11 @@
     }
     // The runs put down what they have made.
     tokio::task::yield_now().await;
-    tokio::time::sleep(record::RUNS_STOP).await;
+    tokio::time::sleep(job_writer::RUN_STOP_DELAY).await;
     let mut left = Vec::new();
     for held in open {
         let is_fresh = held.sheet.borrow().draft().is_some();
-        if is_fresh && !record::write(node, &held).await {
+        if is_fresh && !job_writer::write(node, &held).await {
             slog::warn!(node.log, "results not written before the stop";
                 "job" => &held.sheet.borrow().job().id);
         }
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -4,7 +4,7 @@
 use super::message::{Ask, News, Reply, Status, Wanted};
 use super::node::Node;
 use super::stored::{Pieces, Record};
-use super::{broadcast, peers, record};
+use super::{broadcast, job_writer, peers};
 use crate::clock;
 use coordination::hash;
 use coordination::membership::Member;
@@ -154,7 +154,7 @@
         && status.revision > held.revision.get()
     {
         let node = node.clone();
-        spawn_local(async move { record::verify(&node, &held).await });
+        spawn_local(async move { job_writer::verify(&node, &held).await });
     }
     node.jobs.on_status(status);
 }
@@ -188,7 +188,7 @@
     });
     node.jobs.held.borrow_mut().insert(id, held.clone());
     if !is_frozen {
-        spawn_local(record::write_all(node.clone(), held.clone()));
+        spawn_local(job_writer::write_all(node.clone(), held.clone()));
         announce(node, &held);
         node.jobs.wake();
     }
--- a/crates/daemon/src/gateway/record.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -32,7 +32,7 @@
 const AFTER_ISOLATION: Duration = Duration::from_secs(4);
 
 /// Runs that were told to stop have put down what they made after this time.
-pub(super) const RUNS_STOP: Duration = Duration::from_millis(5);
+pub(super) const RUN_STOP_DELAY: Duration = Duration::from_millis(5);
 
 /// Looks whether a job is still held here.
 pub async fn verify(node: &Rc<Node>, held: &Rc<HeldJob>) {
@@ -163,7 +163,7 @@
 
 /// Tells the new holder of a job what was learnt here.
 async fn pass_learnt(node: Rc<Node>, held: Rc<HeldJob>, holder: Holder) {
-    tokio::time::sleep(RUNS_STOP).await;
+    tokio::time::sleep(RUN_STOP_DELAY).await;
     let (id, learnt) = {
         let sheet = held.sheet.borrow();
         (sheet.job().id.clone(), sheet.learnt())
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -13,7 +13,7 @@
 //! | [`account`], [`keeper`] | slots: asks for leases; keeps the account of a data centre |
 //! | [`submit`], [`jobs`] | batch jobs: submissions, and calls about accepted ones |
 //! | [`crash`], [`quarantine`] | whether a target whose answer broke off has crashed; requests that crash their targets |
-//! | [`job_table`], [`record`], [`items`] | jobs known here; results made durable; runs of items |
+//! | [`job_table`], [`job_writer`], [`items`] | jobs known here; results made durable; runs of items |
 //! | [`takeover`], [`sweep`] | jobs whose holder is gone; looks through all jobs |
 //! | [`watch`], [`liveness`] | the platform, watched by a few for all; whether it answers them |
 //! | [`wake`] | what follows a suspension of the machine |
@@ -32,6 +32,7 @@
 pub mod front;
 pub mod items;
 pub mod job_table;
+pub mod job_writer;
 pub mod jobs;
 pub mod keeper;
 pub mod liveness;
@@ -41,7 +42,6 @@
 pub mod online;
 pub mod peers;
 pub mod quarantine;
-pub mod record;
 pub mod run;
 pub mod store;
 pub mod stored;
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -7,9 +7,9 @@
 
 use super::cause::Cause;
 use super::job_table::{self, HeldJob};
+use super::job_writer;
 use super::message::{Ask, Status};
 use super::node::Node;
-use super::record;
 use super::stored::{self, Record, Unread};
 use crate::clock;
 use coordination::hash;
@@ -334,7 +334,7 @@
     spawn_local(async move {
         tokio::time::sleep(LOOK_BACK).await;
         if !taken.released.is_cancelled() {
-            record::verify(&node, &taken).await;
+            job_writer::verify(&node, &taken).await;
         }
     });
     Ok(Some(held))
