--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -1,9 +1,9 @@
 //! Jobs that this instance knows of: those in its memory, and how all others
 //! stand by their holders' word.
 
+use super::job_store::{Pieces, Record};
 use super::message::{Ask, News, Reply, Status, Wanted};
 use super::node::Node;
-use super::stored::{Pieces, Record};
 use super::{broadcast, job_writer, peers};
 use crate::clock;
 use coordination::hash;
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -2,9 +2,9 @@
 //! held here.
 
 use super::cause::Cause;
+use super::job_store::{self, Record, Unread};
 use super::job_table::{self, HeldJob};
 use super::node::{Node, millis};
-use super::stored::{self, Record, Unread};
 use super::takeover;
 use crate::clock;
 use coordination::flush;
@@ -126,7 +126,7 @@
     };
     let revision = held.revision.get();
     let pieces = held.pieces.borrow().clone();
-    let result = stored::write(node, Cause::Progress, &id, revision, &draft, &pieces).await;
+    let result = job_store::write(node, Cause::Progress, &id, revision, &draft, &pieces).await;
     match result {
         Ok((object, pieces)) => {
             *held.pieces.borrow_mut() = pieces;
@@ -187,7 +187,7 @@
 /// The object isn't as it was: an earlier write of ours was done after all, or
 /// another instance has written. `false` when it couldn't be read whole.
 async fn on_found(node: &Rc<Node>, held: &Rc<HeldJob>, draft: &Progress, object: &Object) -> bool {
-    let Record { progress, pieces, .. } = match stored::read(node, Cause::Check, object).await {
+    let Record { progress, pieces, .. } = match job_store::read(node, Cause::Check, object).await {
         Ok(record) => record,
         Err(unread @ Unread::Malformed(_)) => {
             slog::error!(node.log, "job not read"; "job" => &object.name,
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -2,10 +2,10 @@
 
 use super::cause::Cause;
 use super::front::{refusal, set, text};
+use super::job_store::{self, Record, Unread};
 use super::job_table::{self, HeldJob};
 use super::message::{Ask, News, Reply};
 use super::node::Node;
-use super::stored::{self, Record, Unread};
 use super::{broadcast, submit, takeover};
 use crate::clock;
 use hyper::{HeaderMap, Response};
@@ -174,7 +174,7 @@
 /// finds it with its next write; whoever can be reached is told besides.
 async fn end_stored(node: &Rc<Node>, id: &str) -> bool {
     for _ in 0..END_TRIES {
-        let mut record = match stored::load(node, Cause::End, id).await {
+        let mut record = match job_store::load(node, Cause::End, id).await {
             Ok(Some(record)) => record,
             Ok(None) => return false,
             Err(unread) => {
@@ -187,7 +187,7 @@
         }
         record.progress.ended = true;
         let Record { progress, pieces, revision, .. } = &record;
-        let written = stored::write(node, Cause::End, id, *revision, progress, pieces).await;
+        let written = job_store::write(node, Cause::End, id, *revision, progress, pieces).await;
         slog::info!(node.log, "end written for a holder that is silent"; "job" => id,
             "revision" => *revision, "written" => written.is_ok());
         match written {
@@ -307,7 +307,7 @@
     if let Some((_, record)) = known.filter(|(read, _)| now < *read + RECENT) {
         return Ok(Some(record));
     }
-    let record = stored::load(node, Cause::Find, id).await?;
+    let record = job_store::load(node, Cause::Find, id).await?;
     let mut recent = node.jobs.recent.borrow_mut();
     recent.retain(|_, (read, _)| now < *read + RECENT);
     if let Some(record) = &record {
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -20,7 +20,7 @@
 //! | [`discovery`] | configuration and targets as they are learnt |
 //! | [`peers`], [`message`] | membership, and what instances say to each other |
 //! | [`broadcast`], [`anti_entropy`] | news for all instances, over one relay in each data centre; what was lost is made up for |
-//! | [`store`], [`stored`] | the platform's store with a breaker in front; how jobs lie there |
+//! | [`store`], [`job_store`] | the platform's store with a breaker in front; how jobs lie there |
 //! | [`measure`] | counters and histograms as text |
 
 pub mod account;
@@ -31,6 +31,7 @@
 pub mod discovery;
 pub mod front;
 pub mod items;
+pub mod job_store;
 pub mod job_table;
 pub mod job_writer;
 pub mod jobs;
@@ -44,7 +45,6 @@
 pub mod quarantine;
 pub mod run;
 pub mod store;
-pub mod stored;
 pub mod streaming;
 pub mod submit;
 pub mod sweep;
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -2,9 +2,9 @@
 
 use super::cause::Cause;
 use super::front::{Call, refusal, text};
+use super::job_store::{self, Record};
 use super::message::{Acceptance, Ask, Reply};
 use super::node::{Node, millis};
-use super::stored::{self, Record};
 use super::takeover;
 use super::{job_table, liveness};
 use crate::clock;
@@ -183,7 +183,7 @@
     // Once an answer was lost, the job may be kept, and a refusal would be false.
     let mut is_doubtful = false;
     loop {
-        match stored::create(node, &job).await {
+        match job_store::create(node, &job).await {
             Ok((object, pieces)) => {
                 let progress = Progress::default();
                 let record = Record { job, progress, pieces, revision: object.revision };
@@ -241,7 +241,7 @@
     let Some(object) = found else {
         return Ok(());
     };
-    let Ok(brief) = stored::brief(&object) else {
+    let Ok(brief) = job_store::brief(&object) else {
         slog::error!(node.log, "job not understood"; "job" => id);
         return Ok(());
     };
--- a/crates/daemon/src/gateway/sweep.rs
+++ b/crates/daemon/src/gateway/sweep.rs
@@ -7,10 +7,10 @@
 
 use super::broadcast;
 use super::cause::Cause;
+use super::job_store::{self, Brief};
 use super::job_table::{self, HeldJob};
 use super::message::{News, Status};
 use super::node::{Node, millis};
-use super::stored::{self, Brief};
 use super::takeover::{self, ACQUAINTED};
 use crate::clock;
 use coordination::membership::State;
@@ -159,7 +159,7 @@
 }
 
 fn look_at(node: &Node, object: &Object, is_acquainted: bool) -> Look {
-    let Ok(Brief { holder, is_open, job, tokens }) = stored::brief(object) else {
+    let Ok(Brief { holder, is_open, job, tokens }) = job_store::brief(object) else {
         slog::error!(node.log, "job not understood"; "job" => &object.name,
             "revision" => object.revision);
         return Look::Nothing;
@@ -216,7 +216,7 @@
             let node = node.clone();
             spawn_local(async move {
                 let pieces = held.pieces.borrow().clone();
-                stored::delete(&node, &id, held.revision.get(), &pieces).await;
+                job_store::delete(&node, &id, held.revision.get(), &pieces).await;
             });
         }
     }
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -6,11 +6,11 @@
 //! falls silent at once is given more time than a single instance.
 
 use super::cause::Cause;
+use super::job_store::{self, Record, Unread};
 use super::job_table::{self, HeldJob};
 use super::job_writer;
 use super::message::{Ask, Status};
 use super::node::Node;
-use super::stored::{self, Record, Unread};
 use crate::clock;
 use coordination::hash;
 use coordination::membership::{Member, State, Table};
@@ -289,7 +289,7 @@
 /// Writes this instance down as the holder; `None` when another is, or nobody can
 /// read the job.
 async fn claim(node: &Rc<Node>, object: &Object) -> Result<Option<Rc<HeldJob>>, Fault> {
-    let mut record = match stored::read(node, Cause::Takeover, object).await {
+    let mut record = match job_store::read(node, Cause::Takeover, object).await {
         Ok(record) => record,
         Err(Unread::Fault(fault)) => return Err(fault),
         Err(unread @ Unread::Malformed(_)) => {
@@ -321,7 +321,7 @@
     record.progress.holder = Some(node.as_holder());
     let Record { progress, pieces, revision, .. } = &record;
     let written =
-        stored::write(node, Cause::Takeover, &object.name, *revision, progress, pieces).await;
+        job_store::write(node, Cause::Takeover, &object.name, *revision, progress, pieces).await;
     let (written, pieces) = written?;
     if let Some(held) = node.jobs.held_job(&object.name) {
         return Ok(Some(held));
