--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -36,7 +36,7 @@
 
 /// A job as read.
 #[derive(Clone, Debug)]
-pub struct Record {
+pub struct StoredJob {
     /// The job.
     pub job: Job,
     /// What has happened to it.
@@ -47,7 +47,7 @@
     pub revision: u64,
 }
 
-impl Record {
+impl StoredJob {
     /// Whether something is left to run.
     pub fn is_open(&self) -> bool {
         !self.progress.ended && self.progress.outcomes.len() < self.job.items.len()
@@ -61,7 +61,7 @@
 
 /// What a job's own object tells without its pieces.
 #[derive(Clone, Debug)]
-pub struct Brief {
+pub struct JobSummary {
     /// Who holds it.
     pub holder: Holder,
     /// Whether something is left to run.
@@ -74,25 +74,25 @@
 
 /// Why a job could not be read.
 #[derive(Clone, Debug)]
-pub enum Unread {
+pub enum LoadError {
     /// Its objects hold something else.
     Malformed(String),
     /// The platform didn't give it.
     Fault(Fault),
 }
 
-impl std::fmt::Display for Unread {
+impl std::fmt::Display for LoadError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unread::Malformed(text) => write!(f, "not understood: {text}"),
-            Unread::Fault(fault) => write!(f, "not read: {fault}"),
+            LoadError::Malformed(text) => write!(f, "not understood: {text}"),
+            LoadError::Fault(fault) => write!(f, "not read: {fault}"),
         }
     }
 }
 
-impl From<serde_json::Error> for Unread {
-    fn from(error: serde_json::Error) -> Unread {
-        Unread::Malformed(error.to_string())
+impl From<serde_json::Error> for LoadError {
+    fn from(error: serde_json::Error) -> LoadError {
+        LoadError::Malformed(error.to_string())
     }
 }
 
@@ -131,11 +131,11 @@
 /// # Errors
 ///
 /// What is wrong with the object.
-pub fn brief(object: &Object) -> Result<Brief, serde_json::Error> {
+pub fn summary(object: &Object) -> Result<JobSummary, serde_json::Error> {
     let (spec, status) = decode(object)?;
     let items = spec.job.items.len() + count(&spec.pieces);
     let results = status.progress.outcomes.len() + count(&status.pieces);
-    Ok(Brief {
+    Ok(JobSummary {
         holder: status.progress.holder.unwrap_or(spec.job.acceptor),
         is_open: !status.progress.ended && results < items,
         tokens: spec.job.tokens() + spec.piece_tokens,
@@ -148,7 +148,7 @@
 /// # Errors
 ///
 /// Why it can't be read now.
-pub async fn read(node: &Node, cause: Cause, object: &Object) -> Result<Record, Unread> {
+pub async fn read(node: &Node, cause: Cause, object: &Object) -> Result<StoredJob, LoadError> {
     let (spec, status) = decode(object)?;
     let (mut job, mut progress) = (spec.job, status.progress);
     job.items.extend(fetch::<Item>(node, cause, &spec.pieces).await?);
@@ -158,7 +158,7 @@
         progress.outcomes = outcomes;
     }
     let pieces = Pieces { items: spec.pieces, results: status.pieces };
-    Ok(Record { job, progress, pieces, revision: object.revision })
+    Ok(StoredJob { job, progress, pieces, revision: object.revision })
 }
 
 /// Reads a job by its id; `None` when there is none.
@@ -166,8 +166,8 @@
 /// # Errors
 ///
 /// Why it can't be read now.
-pub async fn load(node: &Node, cause: Cause, id: &str) -> Result<Option<Record>, Unread> {
-    match node.store.get(cause, job::KIND, id).await.map_err(Unread::Fault)? {
+pub async fn load(node: &Node, cause: Cause, id: &str) -> Result<Option<StoredJob>, LoadError> {
+    match node.store.get(cause, job::KIND, id).await.map_err(LoadError::Fault)? {
         Some(object) => read(node, cause, &object).await.map(Some),
         None => Ok(None),
     }
@@ -177,13 +177,13 @@
     node: &Node,
     cause: Cause,
     pieces: &[Piece],
-) -> Result<Vec<T>, Unread> {
+) -> Result<Vec<T>, LoadError> {
     let mut all = Vec::new();
     for piece in pieces {
         let found =
-            node.store.get(cause, job::PIECE_KIND, &piece.name).await.map_err(Unread::Fault)?;
+            node.store.get(cause, job::PIECE_KIND, &piece.name).await.map_err(LoadError::Fault)?;
         let Some(object) = found else {
-            return Err(Unread::Malformed(format!("piece `{}` is missing", piece.name)));
+            return Err(LoadError::Malformed(format!("piece `{}` is missing", piece.name)));
         };
         let mut part: Vec<T> = serde_json::from_str(object.spec.get())?;
         all.append(&mut part);
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -1,7 +1,7 @@
 //! Jobs that this instance knows of: those in its memory, and how all others
 //! stand by their holders' word.
 
-use super::job_store::{Pieces, Record};
+use super::job_store::{Pieces, StoredJob};
 use super::message::{Ask, News, Reply, Status, Wanted};
 use super::node::Node;
 use super::{broadcast, job_writer, peers};
@@ -91,7 +91,7 @@
     /// What is to be told to all others.
     outbox: RefCell<HashMap<JobId, Status>>,
     /// Jobs read from the platform for callers, and when.
-    pub(super) recent: RefCell<HashMap<JobId, (Instant, Record)>>,
+    pub(super) recent: RefCell<HashMap<JobId, (Instant, StoredJob)>>,
     /// When another instance's open jobs were last asked for.
     pub learnt: Cell<Option<Instant>>,
     pub(super) work: Notify,
@@ -166,8 +166,8 @@
 }
 
 /// Puts a job into memory and, unless it is settled, begins to run it.
-pub fn hold(node: &Rc<Node>, record: Record) -> Rc<HeldJob> {
-    let Record { job, progress, pieces, revision } = record;
+pub fn hold(node: &Rc<Node>, stored_job: StoredJob) -> Rc<HeldJob> {
+    let StoredJob { job, progress, pieces, revision } = stored_job;
     let id = job.id.clone();
     let attempts = route_of(node, &job).map_or(ATTEMPTS, |route| route.attempts);
     let sheet = Sheet::new(job, progress, attempts);
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -2,7 +2,7 @@
 //! held here.
 
 use super::cause::Cause;
-use super::job_store::{self, Record, Unread};
+use super::job_store::{self, LoadError, StoredJob};
 use super::job_table::{self, HeldJob};
 use super::node::{Node, millis};
 use super::takeover;
@@ -187,16 +187,17 @@
 /// The object isn't as it was: an earlier write of ours was done after all, or
 /// another instance has written. `false` when it couldn't be read whole.
 async fn on_found(node: &Rc<Node>, held: &Rc<HeldJob>, draft: &Progress, object: &Object) -> bool {
-    let Record { progress, pieces, .. } = match job_store::read(node, Cause::Check, object).await {
-        Ok(record) => record,
-        Err(unread @ Unread::Malformed(_)) => {
+    let StoredJob { progress, pieces, .. } = match job_store::read(node, Cause::Check, object).await
+    {
+        Ok(stored_job) => stored_job,
+        Err(error @ LoadError::Malformed(_)) => {
             slog::error!(node.log, "job not read"; "job" => &object.name,
-                "revision" => object.revision, "fault" => %unread);
+                "revision" => object.revision, "fault" => %error);
             job_table::release(node, held);
             return true;
         }
-        Err(unread) => {
-            slog::info!(node.log, "job not read"; "job" => &object.name, "fault" => %unread);
+        Err(error) => {
+            slog::info!(node.log, "job not read"; "job" => &object.name, "fault" => %error);
             return false;
         }
     };
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::cause::Cause;
 use super::front::{refusal, set, text};
-use super::job_store::{self, Record, Unread};
+use super::job_store::{self, LoadError, StoredJob};
 use super::job_table::{self, HeldJob};
 use super::message::{Ask, News, Reply};
 use super::node::Node;
@@ -174,19 +174,19 @@
 /// finds it with its next write; whoever can be reached is told besides.
 async fn end_stored(node: &Rc<Node>, id: &str) -> bool {
     for _ in 0..END_TRIES {
-        let mut record = match job_store::load(node, Cause::End, id).await {
-            Ok(Some(record)) => record,
+        let mut stored_job = match job_store::load(node, Cause::End, id).await {
+            Ok(Some(stored_job)) => stored_job,
             Ok(None) => return false,
-            Err(unread) => {
-                slog::info!(node.log, "end not written"; "job" => id, "fault" => %unread);
+            Err(error) => {
+                slog::info!(node.log, "end not written"; "job" => id, "fault" => %error);
                 return false;
             }
         };
-        if record.progress.ended {
+        if stored_job.progress.ended {
             return true;
         }
-        record.progress.ended = true;
-        let Record { progress, pieces, revision, .. } = &record;
+        stored_job.progress.ended = true;
+        let StoredJob { progress, pieces, revision, .. } = &stored_job;
         let written = job_store::write(node, Cause::End, id, *revision, progress, pieces).await;
         slog::info!(node.log, "end written for a holder that is silent"; "job" => id,
             "revision" => *revision, "written" => written.is_ok());
@@ -196,7 +196,7 @@
                 // told where it was when it took the job.
                 let news = News::Ended(id.to_owned());
                 let ask = Ask::News(node.as_holder().address, news.clone());
-                node.tell(record.holder().address, ask);
+                node.tell(stored_job.holder().address, ask);
                 broadcast::send(node, news);
                 return true;
             }
@@ -272,23 +272,25 @@
         }
         asked = Some(status.holder.instance);
     }
-    let record = match load_recent(node, id).await {
-        Ok(Some(record)) => record,
+    let stored_job = match load_recent(node, id).await {
+        Ok(Some(stored_job)) => stored_job,
         Ok(None) => return Found::Missing,
-        Err(unread) => {
-            slog::info!(node.log, "job not read"; "job" => id, "fault" => %unread);
+        Err(error) => {
+            slog::info!(node.log, "job not read"; "job" => id, "fault" => %error);
             return Found::Unknown;
         }
     };
-    let keeper = record.holder();
-    if !record.is_open() {
-        return Found::Here(job_table::hold(node, record));
+    let keeper = stored_job.holder();
+    if !stored_job.is_open() {
+        return Found::Here(job_table::hold(node, stored_job));
     }
-    let stored = |record: Record| Found::Stored(Box::new(record.job), Box::new(record.progress));
+    let stored = |stored_job: StoredJob| {
+        Found::Stored(Box::new(stored_job.job), Box::new(stored_job.progress))
+    };
     if keeper.instance == node.id() {
         return match takeover::adopt(node, id, Learnt::default()).await {
             Some(held) => Found::Here(held),
-            None => stored(record),
+            None => stored(stored_job),
         };
     }
     if asked != Some(keeper.instance) {
@@ -297,24 +299,24 @@
             return Found::Reply(reply);
         }
     }
-    stored(record)
+    stored(stored_job)
 }
 
 /// A job by its id, as it was a moment ago at most.
-async fn load_recent(node: &Node, id: &str) -> Result<Option<Record>, Unread> {
+async fn load_recent(node: &Node, id: &str) -> Result<Option<StoredJob>, LoadError> {
     let now = clock::now();
     let known = node.jobs.recent.borrow().get(id).cloned();
-    if let Some((_, record)) = known.filter(|(read, _)| now < *read + RECENT) {
-        return Ok(Some(record));
+    if let Some((_, stored_job)) = known.filter(|(read, _)| now < *read + RECENT) {
+        return Ok(Some(stored_job));
     }
-    let record = job_store::load(node, Cause::Find, id).await?;
+    let stored_job = job_store::load(node, Cause::Find, id).await?;
     let mut recent = node.jobs.recent.borrow_mut();
     recent.retain(|_, (read, _)| now < *read + RECENT);
-    if let Some(record) = &record {
+    if let Some(stored_job) = &stored_job {
         // As of before the call: the answer may show no more than that.
-        recent.insert(id.to_owned(), (now, record.clone()));
+        recent.insert(id.to_owned(), (now, stored_job.clone()));
     }
-    Ok(record)
+    Ok(stored_job)
 }
 
 /// The holder's reply; `None` if it can't be asked or doesn't hold the job.
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -2,7 +2,7 @@
 
 use super::cause::Cause;
 use super::front::{Call, refusal, text};
-use super::job_store::{self, Record};
+use super::job_store::{self, StoredJob};
 use super::message::{Acceptance, Ask, Reply};
 use super::node::{Node, millis};
 use super::takeover;
@@ -186,8 +186,8 @@
         match job_store::create(node, &job).await {
             Ok((object, pieces)) => {
                 let progress = Progress::default();
-                let record = Record { job, progress, pieces, revision: object.revision };
-                let held = job_table::hold(node, record);
+                let stored_job = StoredJob { job, progress, pieces, revision: object.revision };
+                let held = job_table::hold(node, stored_job);
                 job_table::notify_witnesses(node, &held).await;
                 return Acceptance::Accepted;
             }
@@ -241,14 +241,14 @@
     let Some(object) = found else {
         return Ok(());
     };
-    let Ok(brief) = job_store::brief(&object) else {
+    let Ok(summary) = job_store::summary(&object) else {
         slog::error!(node.log, "job not understood"; "job" => id);
         return Ok(());
     };
-    if !brief.is_open {
+    if !summary.is_open {
         return Ok(());
     }
-    let member = node.members.borrow().get(brief.holder.instance).cloned();
+    let member = node.members.borrow().get(summary.holder.instance).cloned();
     let Some(member) = member else {
         // Its own, or that of an instance that is gone.
         takeover::adopt_when_able(node, id, Learnt::default()).await;
--- a/crates/daemon/src/gateway/sweep.rs
+++ b/crates/daemon/src/gateway/sweep.rs
@@ -7,7 +7,7 @@
 
 use super::broadcast;
 use super::cause::Cause;
-use super::job_store::{self, Brief};
+use super::job_store::{self, JobSummary};
 use super::job_table::{self, HeldJob};
 use super::message::{News, Status};
 use super::node::{Node, millis};
@@ -159,7 +159,7 @@
 }
 
 fn look_at(node: &Node, object: &Object, is_acquainted: bool) -> Look {
-    let Ok(Brief { holder, is_open, job, tokens }) = job_store::brief(object) else {
+    let Ok(JobSummary { holder, is_open, job, tokens }) = job_store::summary(object) else {
         slog::error!(node.log, "job not understood"; "job" => &object.name,
             "revision" => object.revision);
         return Look::Nothing;
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -6,7 +6,7 @@
 //! falls silent at once is given more time than a single instance.
 
 use super::cause::Cause;
-use super::job_store::{self, Record, Unread};
+use super::job_store::{self, LoadError, StoredJob};
 use super::job_table::{self, HeldJob};
 use super::job_writer;
 use super::message::{Ask, Status};
@@ -289,17 +289,17 @@
 /// Writes this instance down as the holder; `None` when another is, or nobody can
 /// read the job.
 async fn claim(node: &Rc<Node>, object: &Object) -> Result<Option<Rc<HeldJob>>, Fault> {
-    let mut record = match job_store::read(node, Cause::Takeover, object).await {
-        Ok(record) => record,
-        Err(Unread::Fault(fault)) => return Err(fault),
-        Err(unread @ Unread::Malformed(_)) => {
-            slog::warn!(node.log, "job not read"; "job" => &object.name, "fault" => %unread);
+    let mut stored_job = match job_store::read(node, Cause::Takeover, object).await {
+        Ok(stored_job) => stored_job,
+        Err(LoadError::Fault(fault)) => return Err(fault),
+        Err(error @ LoadError::Malformed(_)) => {
+            slog::warn!(node.log, "job not read"; "job" => &object.name, "fault" => %error);
             return Ok(None);
         }
     };
-    let former = record.holder();
-    if !record.is_open() || former.instance == node.id() {
-        return Ok(Some(job_table::hold(node, record)));
+    let former = stored_job.holder();
+    if !stored_job.is_open() || former.instance == node.id() {
+        return Ok(Some(job_table::hold(node, stored_job)));
     }
     if let Some(holder) = alive(node, former) {
         // Others were faster: whoever holds it now is told, in case it doesn't
@@ -311,15 +311,15 @@
             holder: former,
             data_centre: holder.data_centre,
             revision: object.revision,
-            route: job_table::route_of(node, &record.job)
+            route: job_table::route_of(node, &stored_job.job)
                 .map_or_else(String::new, |route| route.name),
-            waiting_tokens: record.job.tokens(),
+            waiting_tokens: stored_job.job.tokens(),
             is_settled: false,
         });
         return Ok(None);
     }
-    record.progress.holder = Some(node.as_holder());
-    let Record { progress, pieces, revision, .. } = &record;
+    stored_job.progress.holder = Some(node.as_holder());
+    let StoredJob { progress, pieces, revision, .. } = &stored_job;
     let written =
         job_store::write(node, Cause::Takeover, &object.name, *revision, progress, pieces).await;
     let (written, pieces) = written?;
@@ -328,8 +328,9 @@
     }
     slog::info!(node.log, "job taken over"; "job" => &object.name,
         "from" => format!("{:x}", former.instance), "revision" => written.revision,
-        "results" => progress.outcomes.len(), "items" => record.job.items.len());
-    let held = job_table::hold(node, Record { pieces, revision: written.revision, ..record });
+        "results" => progress.outcomes.len(), "items" => stored_job.job.items.len());
+    let held =
+        job_table::hold(node, StoredJob { pieces, revision: written.revision, ..stored_job });
     let (node, taken) = (node.clone(), held.clone());
     spawn_local(async move {
         tokio::time::sleep(LOOK_BACK).await;
