--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -1,9 +1,9 @@
 //! How a batch job lies on the platform.
 //!
 //! A job is one object: the job as spec, its progress as status. An object holds
-//! a bounded number of bytes, so what is too long for it lies in pieces, further
+//! a bounded number of bytes, so what is too long for it lies in overflow, further
 //! objects that never change: items of a long job, written before the job is
-//! created, and the first results of a long progress. Only pieces that the job's
+//! created, and the first results of a long progress. Only overflow that the job's
 //! own object names count; others were left by a writer that came too late.
 
 use super::cause::Cause;
@@ -22,16 +22,16 @@
 
 /// A run of items or results that lies in an object of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Piece {
+struct OverflowObject {
     name: String,
     count: usize,
 }
 
-/// What of a job lies in pieces.
+/// What of a job lies in overflow.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Pieces {
-    items: Vec<Piece>,
-    results: Vec<Piece>,
+pub struct Overflow {
+    items: Vec<OverflowObject>,
+    results: Vec<OverflowObject>,
 }
 
 /// A job as read.
@@ -41,8 +41,8 @@
     pub job: Job,
     /// What has happened to it.
     pub progress: Progress,
-    /// What of it lies in pieces.
-    pub pieces: Pieces,
+    /// What of it lies in overflow.
+    pub overflow: Overflow,
     /// Revision of its object.
     pub revision: u64,
 }
@@ -59,7 +59,7 @@
     }
 }
 
-/// What a job's own object tells without its pieces.
+/// What a job's own object tells without its overflow.
 #[derive(Clone, Debug)]
 pub struct JobSummary {
     /// Who holds it.
@@ -100,24 +100,27 @@
 struct Spec {
     #[serde(flatten)]
     job: Job,
-    /// Pieces with the items that follow those of the job; tokens of these.
+    /// Overflow with the items that follow those of the job; tokens of these.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pieces: Vec<Piece>,
+    #[serde(rename = "pieces")]
+    overflow: Vec<OverflowObject>,
     #[serde(default)]
-    piece_tokens: u64,
+    #[serde(rename = "piece_tokens")]
+    overflow_tokens: u64,
 }
 
 #[derive(Default, Serialize, Deserialize)]
 struct Status {
     #[serde(flatten)]
     progress: Progress,
-    /// Pieces with the results before those of the progress.
+    /// Overflow with the results before those of the progress.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pieces: Vec<Piece>,
+    #[serde(rename = "pieces")]
+    overflow: Vec<OverflowObject>,
 }
 
-fn count(pieces: &[Piece]) -> usize {
-    pieces.iter().map(|piece| piece.count).sum()
+fn count(overflow: &[OverflowObject]) -> usize {
+    overflow.iter().map(|piece| piece.count).sum()
 }
 
 fn decode(object: &Object) -> Result<(Spec, Status), serde_json::Error> {
@@ -133,17 +136,17 @@
 /// What is wrong with the object.
 pub fn summary(object: &Object) -> Result<JobSummary, serde_json::Error> {
     let (spec, status) = decode(object)?;
-    let items = spec.job.items.len() + count(&spec.pieces);
-    let results = status.progress.outcomes.len() + count(&status.pieces);
+    let items = spec.job.items.len() + count(&spec.overflow);
+    let results = status.progress.outcomes.len() + count(&status.overflow);
     Ok(JobSummary {
         holder: status.progress.holder.unwrap_or(spec.job.acceptor),
         is_open: !status.progress.ended && results < items,
-        tokens: spec.job.tokens() + spec.piece_tokens,
+        tokens: spec.job.tokens() + spec.overflow_tokens,
         job: spec.job,
     })
 }
 
-/// Reads a job from its object and its pieces.
+/// Reads a job from its object and its overflow.
 ///
 /// # Errors
 ///
@@ -151,14 +154,14 @@
 pub async fn read(node: &Node, cause: Cause, object: &Object) -> Result<StoredJob, LoadError> {
     let (spec, status) = decode(object)?;
     let (mut job, mut progress) = (spec.job, status.progress);
-    job.items.extend(fetch::<Item>(node, cause, &spec.pieces).await?);
-    if !status.pieces.is_empty() {
-        let mut outcomes = fetch::<Outcome>(node, cause, &status.pieces).await?;
+    job.items.extend(fetch::<Item>(node, cause, &spec.overflow).await?);
+    if !status.overflow.is_empty() {
+        let mut outcomes = fetch::<Outcome>(node, cause, &status.overflow).await?;
         outcomes.append(&mut progress.outcomes);
         progress.outcomes = outcomes;
     }
-    let pieces = Pieces { items: spec.pieces, results: status.pieces };
-    Ok(StoredJob { job, progress, pieces, revision: object.revision })
+    let overflow = Overflow { items: spec.overflow, results: status.overflow };
+    Ok(StoredJob { job, progress, overflow, revision: object.revision })
 }
 
 /// Reads a job by its id; `None` when there is none.
@@ -176,10 +179,10 @@
 async fn fetch<T: for<'a> Deserialize<'a>>(
     node: &Node,
     cause: Cause,
-    pieces: &[Piece],
+    overflow: &[OverflowObject],
 ) -> Result<Vec<T>, LoadError> {
     let mut all = Vec::new();
-    for piece in pieces {
+    for piece in overflow {
         let found =
             node.store.get(cause, job::PIECE_KIND, &piece.name).await.map_err(LoadError::Fault)?;
         let Some(object) = found else {
@@ -196,31 +199,31 @@
 /// # Errors
 ///
 /// [`Fault::Conflict`] when it is kept already, else how a call failed.
-pub async fn create(node: &Node, job: &Job) -> Result<(Object, Pieces), Fault> {
+pub async fn create(node: &Node, job: &Job) -> Result<(Object, Overflow), Fault> {
     let most = share(node, SPEC_SHARE);
     let runs = runs(&job.items, most);
     let Some((first, rest)) = runs.split_first().filter(|(_, rest)| !rest.is_empty()) else {
         let object = node.store.create(Cause::Submission, job::KIND, &job.id, job).await?;
-        return Ok((object, Pieces::default()));
+        return Ok((object, Overflow::default()));
     };
     let mut items = Vec::new();
     for run in rest {
-        items.push(put_aside(node, Cause::Submission, &job.id, run).await?);
+        items.push(write_overflow(node, Cause::Submission, &job.id, run).await?);
     }
-    let piece_tokens = rest.iter().flat_map(|run| run.iter()).map(|item| item.tokens).sum();
+    let overflow_tokens = rest.iter().flat_map(|run| run.iter()).map(|item| item.tokens).sum();
     let spec = Spec {
         job: Job { items: first.to_vec(), ..job.clone() },
-        pieces: items.clone(),
-        piece_tokens,
+        overflow: items.clone(),
+        overflow_tokens,
     };
     let object = node.store.create(Cause::Submission, job::KIND, &job.id, &spec).await?;
-    slog::info!(node.log, "long job kept in pieces"; "job" => &job.id,
+    slog::info!(node.log, "long job kept in overflow"; "job" => &job.id,
         "items" => job.items.len(), "pieces" => items.len());
-    Ok((object, Pieces { items, results: Vec::new() }))
+    Ok((object, Overflow { items, results: Vec::new() }))
 }
 
 /// Replaces a job's progress if its object has this revision; gives the object
-/// and what lies in pieces from now on.
+/// and what lies in overflow from now on.
 ///
 /// # Errors
 ///
@@ -231,15 +234,15 @@
     id: &str,
     revision: u64,
     progress: &Progress,
-    pieces: &Pieces,
-) -> Result<(Object, Pieces), Fault> {
-    let mut pieces = pieces.clone();
-    let moved = count(&pieces.results).min(progress.outcomes.len());
+    overflow: &Overflow,
+) -> Result<(Object, Overflow), Fault> {
+    let mut overflow = overflow.clone();
+    let moved = count(&overflow.results).min(progress.outcomes.len());
     let mut left = &progress.outcomes[moved..];
     let most = share(node, STATUS_SHARE);
     let runs = runs(left, most);
     for run in runs.split_last().map(|(_, early)| early).unwrap_or_default() {
-        pieces.results.push(put_aside(node, cause, id, run).await?);
+        overflow.results.push(write_overflow(node, cause, id, run).await?);
         left = &left[run.len()..];
     }
     let progress = Progress {
@@ -248,18 +251,18 @@
         failures: progress.failures.clone(),
         ended: progress.ended,
     };
-    let status = Status { progress, pieces: pieces.results.clone() };
+    let status = Status { progress, overflow: overflow.results.clone() };
     let object = node.store.set_status(cause, job::KIND, id, revision, &status).await?;
-    Ok((object, pieces))
+    Ok((object, overflow))
 }
 
-/// Deletes a job and its pieces.
-pub async fn delete(node: &Node, id: &str, revision: u64, pieces: &Pieces) {
+/// Deletes a job and its overflow.
+pub async fn delete(node: &Node, id: &str, revision: u64, overflow: &Overflow) {
     if let Err(fault) = node.store.delete(Cause::Expiry, job::KIND, id, Some(revision)).await {
         slog::info!(node.log, "job not deleted"; "job" => id, "fault" => %fault);
         return;
     }
-    for piece in pieces.items.iter().chain(&pieces.results) {
+    for piece in overflow.items.iter().chain(&overflow.results) {
         if let Err(fault) =
             node.store.delete(Cause::Expiry, job::PIECE_KIND, &piece.name, None).await
         {
@@ -295,16 +298,16 @@
 
 /// Puts a run into a piece. Its name tells its contents, so that a repeated write
 /// finds it there and two writers never share one by mistake.
-async fn put_aside<T: Serialize>(
+async fn write_overflow<T: Serialize>(
     node: &Node,
     cause: Cause,
     id: &str,
     run: &[T],
-) -> Result<Piece, Fault> {
+) -> Result<OverflowObject, Fault> {
     let text = serde_json::to_vec(run).map_err(|error| Fault::Away(error.to_string()))?;
     let name = format!("{id}.{:016x}", hash::of(&text));
     match node.store.create(cause, job::PIECE_KIND, &name, &run).await {
-        Ok(_) | Err(Fault::Conflict(_)) => Ok(Piece { name, count: run.len() }),
+        Ok(_) | Err(Fault::Conflict(_)) => Ok(OverflowObject { name, count: run.len() }),
         Err(fault) => Err(fault),
     }
 }
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -1,7 +1,7 @@
 //! Jobs that this instance knows of: those in its memory, and how all others
 //! stand by their holders' word.
 
-use super::job_store::{Pieces, StoredJob};
+use super::job_store::{Overflow, StoredJob};
 use super::message::{Ask, News, Reply, Status, Wanted};
 use super::node::Node;
 use super::{broadcast, job_writer, peers};
@@ -37,8 +37,8 @@
     pub sheet: RefCell<Sheet>,
     /// Revision of its object.
     pub revision: Cell<u64>,
-    /// What of it lies in pieces on the platform.
-    pub pieces: RefCell<Pieces>,
+    /// What of it lies in overflow on the platform.
+    pub overflow: RefCell<Overflow>,
     /// When items that aren't done were first run here.
     pub(super) began: RefCell<HashMap<ItemId, Instant>>,
     /// Woken when results or the end have become durable.
@@ -167,7 +167,7 @@
 
 /// Puts a job into memory and, unless it is settled, begins to run it.
 pub fn hold(node: &Rc<Node>, stored_job: StoredJob) -> Rc<HeldJob> {
-    let StoredJob { job, progress, pieces, revision } = stored_job;
+    let StoredJob { job, progress, overflow, revision } = stored_job;
     let id = job.id.clone();
     let attempts = route_of(node, &job).map_or(ATTEMPTS, |route| route.attempts);
     let sheet = Sheet::new(job, progress, attempts);
@@ -175,7 +175,7 @@
     let held = Rc::new(HeldJob {
         sheet: RefCell::new(sheet),
         revision: Cell::new(revision),
-        pieces: RefCell::new(pieces),
+        overflow: RefCell::new(overflow),
         began: RefCell::default(),
         changed: Notify::new(),
         dirty: Notify::new(),
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -125,11 +125,11 @@
         (sheet.job().id.clone(), sheet.snapshot())
     };
     let revision = held.revision.get();
-    let pieces = held.pieces.borrow().clone();
-    let result = job_store::write(node, Cause::Progress, &id, revision, &draft, &pieces).await;
+    let overflow = held.overflow.borrow().clone();
+    let result = job_store::write(node, Cause::Progress, &id, revision, &draft, &overflow).await;
     match result {
-        Ok((object, pieces)) => {
-            *held.pieces.borrow_mut() = pieces;
+        Ok((object, overflow)) => {
+            *held.overflow.borrow_mut() = overflow;
             on_durable(node, held, &draft, object.revision);
             true
         }
@@ -187,21 +187,21 @@
 /// The object isn't as it was: an earlier write of ours was done after all, or
 /// another instance has written. `false` when it couldn't be read whole.
 async fn on_found(node: &Rc<Node>, held: &Rc<HeldJob>, draft: &Progress, object: &Object) -> bool {
-    let StoredJob { progress, pieces, .. } = match job_store::read(node, Cause::Check, object).await
-    {
-        Ok(stored_job) => stored_job,
-        Err(error @ LoadError::Malformed(_)) => {
-            slog::error!(node.log, "job not read"; "job" => &object.name,
+    let StoredJob { progress, overflow, .. } =
+        match job_store::read(node, Cause::Check, object).await {
+            Ok(stored_job) => stored_job,
+            Err(error @ LoadError::Malformed(_)) => {
+                slog::error!(node.log, "job not read"; "job" => &object.name,
                 "revision" => object.revision, "fault" => %error);
-            job_table::release(node, held);
-            return true;
-        }
-        Err(error) => {
-            slog::info!(node.log, "job not read"; "job" => &object.name, "fault" => %error);
-            return false;
-        }
-    };
-    *held.pieces.borrow_mut() = pieces;
+                job_table::release(node, held);
+                return true;
+            }
+            Err(error) => {
+                slog::info!(node.log, "job not read"; "job" => &object.name, "fault" => %error);
+                return false;
+            }
+        };
+    *held.overflow.borrow_mut() = overflow;
     if progress == *draft {
         on_durable(node, held, draft, object.revision);
         return true;
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -186,8 +186,8 @@
             return true;
         }
         stored_job.progress.ended = true;
-        let StoredJob { progress, pieces, revision, .. } = &stored_job;
-        let written = job_store::write(node, Cause::End, id, *revision, progress, pieces).await;
+        let StoredJob { progress, overflow, revision, .. } = &stored_job;
+        let written = job_store::write(node, Cause::End, id, *revision, progress, overflow).await;
         slog::info!(node.log, "end written for a holder that is silent"; "job" => id,
             "revision" => *revision, "written" => written.is_ok());
         match written {
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -184,9 +184,9 @@
     let mut is_doubtful = false;
     loop {
         match job_store::create(node, &job).await {
-            Ok((object, pieces)) => {
+            Ok((object, overflow)) => {
                 let progress = Progress::default();
-                let stored_job = StoredJob { job, progress, pieces, revision: object.revision };
+                let stored_job = StoredJob { job, progress, overflow, revision: object.revision };
                 let held = job_table::hold(node, stored_job);
                 job_table::notify_witnesses(node, &held).await;
                 return Acceptance::Accepted;
--- a/crates/daemon/src/gateway/sweep.rs
+++ b/crates/daemon/src/gateway/sweep.rs
@@ -215,8 +215,8 @@
         if is_own {
             let node = node.clone();
             spawn_local(async move {
-                let pieces = held.pieces.borrow().clone();
-                job_store::delete(&node, &id, held.revision.get(), &pieces).await;
+                let overflow = held.overflow.borrow().clone();
+                job_store::delete(&node, &id, held.revision.get(), &overflow).await;
             });
         }
     }
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -319,10 +319,10 @@
         return Ok(None);
     }
     stored_job.progress.holder = Some(node.as_holder());
-    let StoredJob { progress, pieces, revision, .. } = &stored_job;
+    let StoredJob { progress, overflow, revision, .. } = &stored_job;
     let written =
-        job_store::write(node, Cause::Takeover, &object.name, *revision, progress, pieces).await;
-    let (written, pieces) = written?;
+        job_store::write(node, Cause::Takeover, &object.name, *revision, progress, overflow).await;
+    let (written, overflow) = written?;
     if let Some(held) = node.jobs.held_job(&object.name) {
         return Ok(Some(held));
     }
@@ -330,7 +330,7 @@
         "from" => format!("{:x}", former.instance), "revision" => written.revision,
         "results" => progress.outcomes.len(), "items" => stored_job.job.items.len());
     let held =
-        job_table::hold(node, StoredJob { pieces, revision: written.revision, ..stored_job });
+        job_table::hold(node, StoredJob { overflow, revision: written.revision, ..stored_job });
     let (node, taken) = (node.clone(), held.clone());
     spawn_local(async move {
         tokio::time::sleep(LOOK_BACK).await;
