--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -14,7 +14,7 @@
 //! | [`submit`], [`jobs`] | batch jobs: submissions, and calls about accepted ones |
 //! | [`crash`], [`quarantine`] | whether a target whose answer broke off has crashed; requests that crash their targets |
 //! | [`job_table`], [`job_writer`], [`items`] | jobs known here; results made durable; runs of items |
-//! | [`takeover`], [`sweep`] | jobs whose holder is gone; looks through all jobs |
+//! | [`takeover`], [`job_scan`] | jobs whose holder is gone; looks through all jobs |
 //! | [`watch`], [`liveness`] | the platform, watched by a few for all; whether it answers them |
 //! | [`wake`] | what follows a suspension of the machine |
 //! | [`discovery`] | configuration and targets as they are learnt |
@@ -31,6 +31,7 @@
 pub mod discovery;
 pub mod front;
 pub mod items;
+pub mod job_scan;
 pub mod job_store;
 pub mod job_table;
 pub mod job_writer;
@@ -47,7 +48,6 @@
 pub mod store;
 pub mod streaming;
 pub mod submit;
-pub mod sweep;
 pub mod takeover;
 pub mod wake;
 pub mod watch;
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -5,7 +5,7 @@
 use super::node::Node;
 use super::peers::{Answers, PING_TIMEOUT};
 use super::{
-    account, anti_entropy, discovery, items, liveness, peers, quarantine, sweep, takeover, wake,
+    account, anti_entropy, discovery, items, job_scan, liveness, peers, quarantine, takeover, wake,
     watch,
 };
 use crate::clock;
@@ -77,7 +77,7 @@
     spawn_local(items::run(node.clone(), stop.clone()));
     spawn_local(takeover::run(node.clone(), stop.clone()));
     spawn_local(quarantine::keep(node.clone(), stop.clone()));
-    spawn_local(sweep::run(node.clone(), stop.clone()));
+    spawn_local(job_scan::run(node.clone(), stop.clone()));
     for probe in ready.into_iter().chain(metrics) {
         let handler = Rc::new(Probe { node: node.clone() });
         spawn_local(listen::serve(probe, handler, stop.clone()));
