--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -3,9 +3,9 @@
 
 use super::discovery;
 use super::job_table;
-use super::liveness;
 use super::message::{Ask, Reply};
 use super::node::Node;
+use super::platform_health;
 use super::quarantine;
 use crate::clock;
 use coordination::membership::Member;
@@ -60,7 +60,7 @@
     let ask = Ask::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
     let reply = node.ask(others[at].peer, &ask, SYNC_LIMIT).await;
     if let Ok(Reply::News { config, mark, contact }) = reply {
-        liveness::on_contact(&node, others[at].id, contact);
+        platform_health::on_peer_report(&node, others[at].id, contact);
         let is_due = node.jobs.learnt.get().is_none_or(|at| clock::since(at) >= LEARN_EVERY);
         if mark.jobs != node.mark().jobs && is_due {
             node.jobs.learnt.set(Some(now));
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -15,7 +15,7 @@
 //! | [`crash`], [`quarantine`] | whether a target whose answer broke off has crashed; requests that crash their targets |
 //! | [`job_table`], [`job_writer`], [`items`] | jobs known here; results made durable; runs of items |
 //! | [`takeover`], [`job_scan`] | jobs whose holder is gone; looks through all jobs |
-//! | [`watch`], [`liveness`] | the platform, watched by a few for all; whether it answers them |
+//! | [`watch`], [`platform_health`] | the platform, watched by a few for all; whether it answers them |
 //! | [`wake`] | what follows a suspension of the machine |
 //! | [`discovery`] | configuration and targets as they are learnt |
 //! | [`peers`], [`message`] | membership, and what instances say to each other |
@@ -37,12 +37,12 @@
 pub mod job_writer;
 pub mod jobs;
 pub mod keeper;
-pub mod liveness;
 pub mod measure;
 pub mod message;
 pub mod node;
 pub mod online;
 pub mod peers;
+pub mod platform_health;
 pub mod quarantine;
 pub mod run;
 pub mod store;
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -2,7 +2,9 @@
 
 use super::message::{Ask, Contact, Mark, Reply, decode, encode};
 use super::node::Node;
-use super::{broadcast, job_table, jobs, keeper, liveness, quarantine, submit, takeover, watch};
+use super::{
+    broadcast, job_table, jobs, keeper, platform_health, quarantine, submit, takeover, watch,
+};
 use crate::clock;
 use coordination::membership::{Member, Note, State, Table};
 use protocol::InstanceId;
@@ -143,7 +145,7 @@
 }
 
 fn sync(node: &Rc<Node>, from: InstanceId, mark: Mark, contact: Contact) -> Reply {
-    liveness::on_contact(node, from, contact);
+    platform_health::on_peer_report(node, from, contact);
     let mine = node.mark();
     let config = node.config().filter(|config| config.table.version > mark.config);
     let config = config.map(|config| (config.table.version, config.text.clone()));
--- a/crates/daemon/src/gateway/liveness.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -30,7 +30,7 @@
 /// Longest wait for a sign of life until this instance counts as cut off, and for
 /// the answer of a watch whose wait is over. The platform answers in 4 ms, in 240 ms
 /// when it is sixty times slower.
-pub const OVERDUE: Duration = Duration::from_millis(400);
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a member that lost contact with the platform ranks behind others, if it
 /// says nothing more.
 const LOST: Duration = Duration::from_secs(5);
@@ -105,7 +105,7 @@
 async fn probe(node: Rc<Node>) {
     let name = node.settings.name.clone();
     let mut touch = std::pin::pin!(node.store.touch(instance::KIND, &name));
-    let in_time = tokio::time::timeout(OVERDUE, touch.as_mut()).await;
+    let in_time = tokio::time::timeout(PROBE_TIMEOUT, touch.as_mut()).await;
     let result = match in_time {
         Ok(result) => result,
         Err(_) => {
@@ -130,7 +130,7 @@
 }
 
 /// A member says whether it reaches the platform.
-pub fn on_contact(node: &Node, member: InstanceId, contact: Contact) {
+pub fn on_peer_report(node: &Node, member: InstanceId, contact: Contact) {
     let now = clock::now();
     let ago = |millis: u64| now.checked_sub(Duration::from_millis(millis));
     let series = contact.answers.and_then(|answers| {
@@ -146,7 +146,7 @@
 }
 
 /// Whether a member, or this instance, lately failed to reach the platform.
-pub fn has_lost_contact(node: &Node, member: InstanceId, now: Instant) -> bool {
+pub fn is_disconnected(node: &Node, member: InstanceId, now: Instant) -> bool {
     if member == node.id() {
         return node.store.is_lost();
     }
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -5,8 +5,8 @@
 use super::node::Node;
 use super::peers::{Answers, PING_TIMEOUT};
 use super::{
-    account, anti_entropy, discovery, items, job_scan, liveness, peers, quarantine, takeover, wake,
-    watch,
+    account, anti_entropy, discovery, items, job_scan, peers, platform_health, quarantine,
+    takeover, wake, watch,
 };
 use crate::clock;
 use crate::start;
@@ -69,7 +69,7 @@
     spawn_local(serve(peer, Answers { node: node.clone() }, traffic, stop.clone()));
     spawn_local(peers::run(node.clone(), stop.clone()));
     watch::start(&node, &stop);
-    spawn_local(liveness::run(node.clone(), stop.clone()));
+    spawn_local(platform_health::run(node.clone(), stop.clone()));
     spawn_local(wake::run(node.clone(), stop.clone()));
     spawn_local(discovery::run(node.clone(), stop.clone()));
     spawn_local(anti_entropy::run(node.clone(), stop.clone()));
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -6,7 +6,7 @@
 use super::message::{Acceptance, Ask, Reply};
 use super::node::{Node, millis};
 use super::takeover;
-use super::{job_table, liveness};
+use super::{job_table, platform_health};
 use crate::clock;
 use bytes::Bytes;
 use coordination::membership::Member;
@@ -109,7 +109,7 @@
     let now = clock::now();
     let mut members = node.others();
     members.retain(|member| !node.is_shunned(member.peer, now));
-    let has_lost = |member: &Member| liveness::has_lost_contact(node, member.id, now);
+    let has_lost = |member: &Member| platform_health::is_disconnected(node, member.id, now);
     // Cached: a key that is drawn anew at each comparison is no order.
     members.sort_by_cached_key(|member| (has_lost(member), rand::random::<u32>()));
     let mut result = acceptance;
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -7,8 +7,8 @@
 
 use super::cause::Cause;
 use super::discovery;
-use super::liveness::{OVERDUE, has_lost_contact};
 use super::node::Node;
+use super::platform_health::{PROBE_TIMEOUT, is_disconnected};
 use super::quarantine;
 use crate::clock;
 use coordination::membership::{Member, State};
@@ -26,7 +26,7 @@
 const RANK: &str = "watch";
 /// Instances of a data centre that watch.
 const SEATS: usize = 1;
-/// Longest wait of one watch of the targets. What [`super::liveness`] can't see, a
+/// Longest wait of one watch of the targets. What [`super::platform_health`] can't see, a
 /// watch that was lost alone, is noticed when it is overdue, after 1.9 s: targets that
 /// leave get nothing 2 s after their word. Each watch costs a call.
 const TARGETS_WATCH: Duration = Duration::from_millis(1_500);
@@ -110,7 +110,7 @@
         is_near && member.state != State::Suspect
     });
     let candidate = |member: &Member| {
-        let has_lost_contact = has_lost_contact(node, member.id, now);
+        let has_lost_contact = is_disconnected(node, member.id, now);
         Candidate { id: member.id, has_lost_contact }
     };
     watch::is_watcher(RANK, members.me().id, here.map(candidate), SEATS)
@@ -256,7 +256,7 @@
     let wait = topic.longest_wait();
     node.store.count(Cause::Watch);
     let watch = store.watch(topic.kind(), revision, wait);
-    let changes = tokio::time::timeout(wait + OVERDUE, watch)
+    let changes = tokio::time::timeout(wait + PROBE_TIMEOUT, watch)
         .await
         .unwrap_or_else(|_| Err(Fault::Lost(String::from("the watch is overdue"))))?;
     node.store.on_answer(clock::now());
