--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -122,7 +122,7 @@
 /// All entries of the registry were read.
 pub fn on_entries(node: &Rc<Node>, listing: &Listing) {
     let now = clock::now();
-    let regained = node.store.regained();
+    let regained = node.store.reachable_since();
     let mut learnt = Learnt::default();
     let mut targets = Vec::new();
     for object in &listing.objects {
@@ -142,7 +142,7 @@
 
 /// A watch brought changes of the registry.
 pub fn on_changes(node: &Rc<Node>, changes: Changes) {
-    let regained = node.store.regained();
+    let regained = node.store.reachable_since();
     let now = clock::now();
     let mut learnt = Learnt::default();
     let latest: HashMap<String, usize> = changes
@@ -191,7 +191,7 @@
 fn on_learnt(node: &Rc<Node>, learnt: Learnt) {
     let Learnt { news, missing } = learnt;
     if !missing.is_empty() {
-        let regained = node.store.regained().map(|at| clock::since(at).as_millis() as u64);
+        let regained = node.store.reachable_since().map(|at| clock::since(at).as_millis() as u64);
         slog::info!(node.log, "targets missing"; "count" => missing.len(),
             "targets" => ?missing.iter().take(MOST_NAMED).collect::<Vec<_>>(),
             "platform_back_ms" => regained, "bound_ms" => RETURN_TIME.as_millis() as u64);
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -80,7 +80,7 @@
             () = stop.cancelled() => return,
         }
         let now = clock::now();
-        if node.is_stopping() || node.store.is_away(now) || node.config().is_none() {
+        if node.is_stopping() || node.store.is_backing_off(now) || node.config().is_none() {
             continue;
         }
         let (losses, version) = {
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -78,7 +78,7 @@
         // and would show nothing where others had read it on the platform.
         while !held.released.is_cancelled() && until_write(&node, &held, clock::now()).is_zero() {
             if !write(&node, &held).await {
-                let pause = node.store.back_in(clock::now()).max(WRITE_PAUSE);
+                let pause = node.store.backoff_remaining(clock::now()).max(WRITE_PAUSE);
                 tokio::time::sleep(pause).await;
             }
         }
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -104,7 +104,7 @@
 
 fn unsure(node: &Node, id: &str) -> Response<Body> {
     slog::info!(node.log, "job in doubt"; "job" => id,
-        "platform_away" => node.store.is_away(clock::now()));
+        "platform_away" => node.store.is_backing_off(clock::now()));
     let mut error = Error::new(Kind::PlatformAway, "the job can't be read now");
     error.retry_after = Some(submit::COME_BACK);
     refusal(node, "", &error)
--- a/crates/daemon/src/gateway/measure.rs
+++ b/crates/daemon/src/gateway/measure.rs
@@ -175,7 +175,7 @@
 fn metrics(node: &Node) -> String {
     let mut text = node.measure.text();
     text.push_str(&node.measure.burn_text(clock::now()));
-    let counts = node.store.bare().counts();
+    let counts = node.store.without_breaker().counts();
     let [online, batch] = node.accounts.in_use();
     // Never answered counts as silent for as long as a gauge can say.
     let silence = node.store.silence(clock::now()).map_or(u64::MAX, |t| t.as_millis() as u64);
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -6,7 +6,7 @@
 use super::job_table::JobTable;
 use super::measure::Measure;
 use super::message::{Answers, Ask, Contact, Mark, Reply, decode, encode};
-use super::store::Guarded;
+use super::store::PlatformStore;
 use crate::clock;
 use coordination::membership::{Member, Policy, Table};
 use coordination::quarantine;
@@ -80,7 +80,7 @@
     /// Starts of the targets, as far as they tell them.
     pub births: RefCell<HashMap<TargetId, Millis>>,
     /// The platform's store.
-    pub store: Guarded,
+    pub store: PlatformStore,
     /// Topics that this instance watches on the platform for others.
     pub watched: Cell<usize>,
     /// Whether a sign of life of the platform is under way.
@@ -129,7 +129,7 @@
         let connections =
             upstream::Settings { connect: settings.connect, ..upstream::Settings::default() };
         Rc::new(Node {
-            store: Guarded::new(&settings, log.clone()),
+            store: PlatformStore::new(&settings, log.clone()),
             watched: Cell::new(0),
             is_probing: Cell::new(false),
             targets: upstream::Pool::new(connections),
@@ -211,10 +211,10 @@
 
     /// Whether this instance reaches the platform, as it tells the others.
     pub fn contact(&self) -> Contact {
-        let is_lost = self.store.is_lost() || self.store.is_doubtful();
+        let is_lost = self.store.is_disconnected() || self.store.last_call_failed();
         let now = clock::now();
         let ago = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
-        let series = self.store.series();
+        let series = self.store.uptime();
         let answers =
             series.map(|series| Answers { since_ms: ago(series.since), last_ms: ago(series.last) });
         Contact { is_lost, answers }
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -49,15 +49,15 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(LOOK) => {}
-            () = node.store.lost(), if !told.is_lost => {}
+            () = node.store.disconnected(), if !told.is_lost => {}
             () = stop.cancelled() => return,
         }
         let now = clock::now();
-        let is_needed = node.watched.get() > 0 || node.store.is_lost();
+        let is_needed = node.watched.get() > 0 || node.store.is_disconnected();
         if is_needed && node.store.is_probe_due(now) && !node.is_probing.replace(true) {
             spawn_local(probe(node.clone()));
         }
-        if told.is_due(node.store.is_lost(), now) {
+        if told.is_due(node.store.is_disconnected(), now) {
             tell(&node);
         }
         if now >= calls_told + CALLS_EVERY {
@@ -104,18 +104,18 @@
 /// Asks for one sign of life.
 async fn probe(node: Rc<Node>) {
     let name = node.settings.name.clone();
-    let mut touch = std::pin::pin!(node.store.touch(instance::KIND, &name));
+    let mut touch = std::pin::pin!(node.store.probe(instance::KIND, &name));
     let in_time = tokio::time::timeout(PROBE_TIMEOUT, touch.as_mut()).await;
     let result = match in_time {
         Ok(result) => result,
         Err(_) => {
-            node.store.on_missed(clock::now());
+            node.store.on_probe_failed(clock::now());
             touch.await
         }
     };
     // The store's breaker has logged the fault.
     if result.is_err() {
-        node.store.on_missed(clock::now());
+        node.store.on_probe_failed(clock::now());
     }
     node.is_probing.set(false);
 }
@@ -136,7 +136,7 @@
     let series = contact.answers.and_then(|answers| {
         Some(Series { since: ago(answers.since_ms)?, last: ago(answers.last_ms)? })
     });
-    node.store.on_word(series, contact.is_lost);
+    node.store.on_peer_report(series, contact.is_lost);
     let mut lost = node.lost_contact.borrow_mut();
     if contact.is_lost {
         lost.insert(member, now + LOST);
@@ -148,7 +148,7 @@
 /// Whether a member, or this instance, lately failed to reach the platform.
 pub fn is_disconnected(node: &Node, member: InstanceId, now: Instant) -> bool {
     if member == node.id() {
-        return node.store.is_lost();
+        return node.store.is_disconnected();
     }
     node.lost_contact.borrow().get(&member).is_some_and(|until| now < *until)
 }
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -35,7 +35,7 @@
 }
 
 /// The store behind a breaker.
-pub struct Guarded {
+pub struct PlatformStore {
     store: Store,
     /// Calls made, by cause.
     calls: RefCell<BTreeMap<Cause, u64>>,
@@ -46,11 +46,11 @@
     log: Logger,
 }
 
-impl Guarded {
+impl PlatformStore {
     /// The store that the settings name.
-    pub fn new(settings: &Settings, log: Logger) -> Guarded {
+    pub fn new(settings: &Settings, log: Logger) -> PlatformStore {
         let lapse = settings.entry_heartbeat.mul_f64(LAPSE);
-        Guarded {
+        PlatformStore {
             store: Store::new(settings.platform, settings.platform_timeout),
             calls: RefCell::default(),
             breaker: RefCell::default(),
@@ -61,28 +61,28 @@
     }
 
     /// The store without the breaker, for watches, which pace themselves.
-    pub fn bare(&self) -> &Store {
+    pub fn without_breaker(&self) -> &Store {
         &self.store
     }
 
     /// Whether calls fail at once now.
-    pub fn is_away(&self, now: Instant) -> bool {
+    pub fn is_backing_off(&self, now: Instant) -> bool {
         self.breaker.borrow().until.is_some_and(|until| now < until)
     }
 
     /// Whether the last call failed.
-    pub fn is_doubtful(&self) -> bool {
+    pub fn last_call_failed(&self) -> bool {
         self.breaker.borrow().failures > 0
     }
 
     /// Since when the store has answered, here or elsewhere, without a break in which
     /// entries may have lapsed.
-    pub fn regained(&self) -> Option<Instant> {
-        self.series().map(|series| series.since)
+    pub fn reachable_since(&self) -> Option<Instant> {
+        self.uptime().map(|series| series.since)
     }
 
     /// As [`Contact::series`].
-    pub fn series(&self) -> Option<Series> {
+    pub fn uptime(&self) -> Option<Series> {
         self.contact.borrow().series()
     }
 
@@ -92,15 +92,15 @@
     }
 
     /// Whether this instance counts as cut off from the store.
-    pub fn is_lost(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         self.contact.borrow().is_lost()
     }
 
     /// Returns once the store counts as lost.
-    pub async fn lost(&self) {
+    pub async fn disconnected(&self) {
         loop {
             let lost = self.lost.notified();
-            if self.is_lost() {
+            if self.is_disconnected() {
                 return;
             }
             lost.await;
@@ -113,13 +113,13 @@
     }
 
     /// How long until a call may be made.
-    pub fn back_in(&self, now: Instant) -> Duration {
+    pub fn backoff_remaining(&self, now: Instant) -> Duration {
         let until = self.breaker.borrow().until;
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
     /// A call was answered.
-    pub fn on_answer(&self, now: Instant) {
+    pub fn on_response(&self, now: Instant) {
         let failures = std::mem::take(&mut *self.breaker.borrow_mut()).failures;
         let silence = self.silence(now).map(|time| time.as_millis() as u64);
         let mut contact = self.contact.borrow_mut();
@@ -133,12 +133,12 @@
     }
 
     /// A watch broke, which alone doesn't stop other calls.
-    pub fn on_gap(&self) {
+    pub fn on_watch_failed(&self) {
         self.contact.borrow_mut().on_failure();
     }
 
     /// A sign of life is overdue, or was refused: this instance counts as cut off.
-    pub fn on_missed(&self, now: Instant) {
+    pub fn on_probe_failed(&self, now: Instant) {
         let silence = self.silence(now).map(|time| time.as_millis() as u64);
         let mut contact = self.contact.borrow_mut();
         if !contact.is_lost() {
@@ -150,7 +150,7 @@
     }
 
     /// As [`Contact::on_word`].
-    pub fn on_word(&self, series: Option<Series>, is_lost: bool) {
+    pub fn on_peer_report(&self, series: Option<Series>, is_lost: bool) {
         self.contact.borrow_mut().on_word(series, is_lost);
     }
 
@@ -167,11 +167,11 @@
         }
     }
 
-    fn note<T>(&self, result: Result<T, Fault>) -> Result<T, Fault> {
+    fn record_result<T>(&self, result: Result<T, Fault>) -> Result<T, Fault> {
         let now = clock::now();
         match &result {
             Err(fault @ (Fault::Away(_) | Fault::Lost(_))) => self.on_failure(fault, now),
-            _ => self.on_answer(now),
+            _ => self.on_response(now),
         }
         result
     }
@@ -195,8 +195,8 @@
         }
     }
 
-    fn gate(&self, cause: Cause) -> Result<(), Fault> {
-        if self.is_away(clock::now()) {
+    fn check_breaker(&self, cause: Cause) -> Result<(), Fault> {
+        if self.is_backing_off(clock::now()) {
             return Err(Fault::Away(String::from("backing off")));
         }
         self.count(cause);
@@ -209,9 +209,9 @@
     /// # Errors
     ///
     /// As [`Store::touch`].
-    pub async fn touch(&self, kind: &str, name: &str) -> Result<(), Fault> {
+    pub async fn probe(&self, kind: &str, name: &str) -> Result<(), Fault> {
         self.count(Cause::Life);
-        self.note(self.store.touch(kind, name).await)
+        self.record_result(self.store.touch(kind, name).await)
     }
 
     /// As [`Store::get`].
@@ -220,8 +220,8 @@
     ///
     /// As [`Store::get`], and [`Fault::Away`] while calls back off.
     pub async fn get(&self, cause: Cause, kind: &str, name: &str) -> Result<Option<Object>, Fault> {
-        self.gate(cause)?;
-        self.note(self.store.get(kind, name).await)
+        self.check_breaker(cause)?;
+        self.record_result(self.store.get(kind, name).await)
     }
 
     /// As [`Store::list_all`].
@@ -230,8 +230,8 @@
     ///
     /// As [`Store::list_all`], and [`Fault::Away`] while calls back off.
     pub async fn list_all(&self, cause: Cause, kind: &str) -> Result<Vec<Object>, Fault> {
-        self.gate(cause)?;
-        let listing = self.note(self.store.list_all(kind).await)?;
+        self.check_breaker(cause)?;
+        let listing = self.record_result(self.store.list_all(kind).await)?;
         self.report(kind, &listing.unreadable);
         Ok(listing.objects)
     }
@@ -242,8 +242,8 @@
     ///
     /// As [`Store::list`], and [`Fault::Away`] while calls back off.
     pub async fn list(&self, cause: Cause, kind: &str, after: Option<&str>) -> Result<Page, Fault> {
-        self.gate(cause)?;
-        let page = self.note(self.store.list(kind, after).await)?;
+        self.check_breaker(cause)?;
+        let page = self.record_result(self.store.list(kind, after).await)?;
         self.report(kind, &page.unreadable);
         Ok(page)
     }
@@ -260,8 +260,8 @@
         name: &str,
         spec: &T,
     ) -> Result<Object, Fault> {
-        self.gate(cause)?;
-        self.note(self.store.create(kind, name, spec).await)
+        self.check_breaker(cause)?;
+        self.record_result(self.store.create(kind, name, spec).await)
     }
 
     /// As [`Store::replace`], whatever revision the object has.
@@ -276,8 +276,8 @@
         name: &str,
         spec: &T,
     ) -> Result<Object, Fault> {
-        self.gate(cause)?;
-        self.note(self.store.replace(kind, name, None, spec).await)
+        self.check_breaker(cause)?;
+        self.record_result(self.store.replace(kind, name, None, spec).await)
     }
 
     /// As [`Store::set_status`].
@@ -293,8 +293,8 @@
         revision: u64,
         status: &T,
     ) -> Result<Object, Fault> {
-        self.gate(cause)?;
-        self.note(self.store.set_status(kind, name, revision, status).await)
+        self.check_breaker(cause)?;
+        self.record_result(self.store.set_status(kind, name, revision, status).await)
     }
 
     /// As [`Store::delete`].
@@ -309,7 +309,7 @@
         name: &str,
         revision: Option<u64>,
     ) -> Result<(), Fault> {
-        self.gate(cause)?;
-        self.note(self.store.delete(kind, name, revision).await)
+        self.check_breaker(cause)?;
+        self.record_result(self.store.delete(kind, name, revision).await)
     }
 }
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -41,7 +41,7 @@
 pub async fn submit(node: &Rc<Node>, route: &Route, call: &Call) -> Response<Body> {
     let until = call.started + call.left(call.started).mul_f64(DOUBT_SHARE);
     let mut acceptance = accept(node, route, call, until).await;
-    if acceptance == Acceptance::Refused && !node.is_stopping() || node.store.is_doubtful() {
+    if acceptance == Acceptance::Refused && !node.is_stopping() || node.store.last_call_failed() {
         let is_open = matches!(acceptance, Acceptance::Refused | Acceptance::Unknown);
         if is_open {
             acceptance = relay(node, call, acceptance).await;
@@ -209,7 +209,7 @@
                     "fault" => %fault);
             }
         }
-        let pause = node.store.back_in(clock::now()).max(AGAIN);
+        let pause = node.store.backoff_remaining(clock::now()).max(AGAIN);
         if clock::now() + pause >= until {
             return Acceptance::Unknown;
         }
@@ -227,7 +227,7 @@
             takeover::pass(&node, &id, &Learnt::default()).await;
             return;
         }
-        tokio::time::sleep(node.store.back_in(clock::now()).max(TELL_AGAIN)).await;
+        tokio::time::sleep(node.store.backoff_remaining(clock::now()).max(TELL_AGAIN)).await;
     }
 }
 
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -57,7 +57,7 @@
             () = stop.cancelled() => return,
         }
         let now = clock::now();
-        if node.is_stopping() || node.store.is_away(now) {
+        if node.is_stopping() || node.store.is_backing_off(now) {
             continue;
         }
         let is_acquainted = now >= began + ACQUAINTED;
@@ -204,7 +204,7 @@
             }
             return;
         }
-        tokio::time::sleep(node.store.back_in(clock::now()).max(ADOPT_AGAIN)).await;
+        tokio::time::sleep(node.store.backoff_remaining(clock::now()).max(ADOPT_AGAIN)).await;
     }
     let learnt = node.jobs.adopting.borrow_mut().remove(id).unwrap_or_default();
     for learnt in learnt {
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -127,7 +127,7 @@
     }
     while !stop.is_cancelled() {
         // Without a sign of life the platform is left alone until there is one.
-        if !seat.look() || node.store.is_lost() {
+        if !seat.look() || node.store.is_disconnected() {
             revision = None;
             tokio::time::sleep(LOOK).await;
             continue;
@@ -135,7 +135,7 @@
         let opened = clock::now();
         let result = tokio::select! {
             result = step(&node, topic, revision) => result,
-            () = node.store.lost() => Err(Fault::Lost(String::from("no sign of life"))),
+            () = node.store.disconnected() => Err(Fault::Lost(String::from("no sign of life"))),
             () = seat.lost() => continue,
             () = node.woken.notified() => {
                 revision = None;
@@ -177,11 +177,11 @@
     open: Duration,
     failures: u32,
 ) {
-    node.store.on_gap();
+    node.store.on_watch_failed();
     if revision.is_none() {
         let now = clock::now();
         node.store.on_failure(fault, now);
-        node.store.on_missed(now);
+        node.store.on_probe_failed(now);
     } else if open >= PAUSE[0] {
         // One watch that is cut says nothing; the list that follows at once does.
         return;
@@ -243,11 +243,11 @@
     topic: Topic,
     revision: Option<Revision>,
 ) -> Result<Revision, Fault> {
-    let store = node.store.bare();
+    let store = node.store.without_breaker();
     let Some(revision) = revision else {
         node.store.count(Cause::Watch);
         let listing = store.list_all(topic.kind()).await?;
-        node.store.on_answer(clock::now());
+        node.store.on_response(clock::now());
         node.store.report(topic.kind(), &listing.unreadable);
         let revision = listing.revision;
         on_list(node, topic, listing).await?;
@@ -259,7 +259,7 @@
     let changes = tokio::time::timeout(wait + PROBE_TIMEOUT, watch)
         .await
         .unwrap_or_else(|_| Err(Fault::Lost(String::from("the watch is overdue"))))?;
-    node.store.on_answer(clock::now());
+    node.store.on_response(clock::now());
     node.store.report(topic.kind(), &changes.unreadable);
     let is_quiet = changes.changes.is_empty() && changes.unreadable.is_empty();
     let revision = changes.revision;
