--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -177,7 +177,7 @@
 }
 
 /// Gives all jobs to other instances, with what their runs have made.
-pub async fn hand_over(node: &Rc<Node>) {
+pub async fn hand_off_jobs(node: &Rc<Node>) {
     let held_jobs: Vec<Rc<HeldJob>> = node.jobs.held.borrow().values().cloned().collect();
     let open: Vec<Rc<HeldJob>> =
         held_jobs.into_iter().filter(|h| !h.sheet.borrow().is_settled()).collect();
@@ -204,7 +204,7 @@
     loop {
         let mut still = Vec::new();
         for (id, learnt) in left {
-            if !takeover::pass(node, &id, &learnt).await {
+            if !takeover::hand_off(node, &id, &learnt).await {
                 still.push((id, learnt));
             }
         }
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -11,7 +11,7 @@
 use super::job_table::{self, HeldJob};
 use super::message::{News, Status};
 use super::node::{Node, millis};
-use super::takeover::{self, ACQUAINTED};
+use super::takeover::{self, MEMBERSHIP_WARM_UP};
 use crate::clock;
 use coordination::membership::State;
 use coordination::range_scan::{Range, share};
@@ -90,10 +90,10 @@
         if !schedule.is_due(losses, version, now) {
             continue;
         }
-        let is_acquainted = now >= schedule.began + ACQUAINTED;
+        let is_warmed_up = now >= schedule.began + MEMBERSHIP_WARM_UP;
         let is_done = match own_share(&node) {
-            Some(range) => sweep(&node, range, is_acquainted).await,
-            None => is_acquainted,
+            Some(range) => sweep(&node, range, is_warmed_up).await,
+            None => is_warmed_up,
         };
         schedule.next = Some(clock::now() + if is_done { EVERY } else { AGAIN });
         expire(&node);
@@ -106,7 +106,7 @@
 }
 
 /// Looks through a range of the jobs; `false` when it has to be repeated.
-async fn sweep(node: &Rc<Node>, range: Range, is_acquainted: bool) -> bool {
+async fn sweep(node: &Rc<Node>, range: Range, is_warmed_up: bool) -> bool {
     let mut after = range.after.map(str::to_owned);
     let mut is_done = true;
     let (mut jobs, mut orphans) = (0, 0);
@@ -124,11 +124,11 @@
         let mut of_page: Vec<Status> = Vec::new();
         for object in page.objects.iter().filter(|object| range.is_before_end(&object.name)) {
             jobs += 1;
-            match look_at(node, object, is_acquainted) {
+            match look_at(node, object, is_warmed_up) {
                 Look::Orphan(status) => of_page.push(*status),
                 Look::Own => {
                     is_done &=
-                        takeover::adopt(node, &object.name, Learnt::default()).await.is_some();
+                        takeover::take_over(node, &object.name, Learnt::default()).await.is_some();
                 }
                 // Unless it is passed on, it has no holder in a moment.
                 Look::Leaving => is_done = false,
@@ -142,9 +142,9 @@
         }
     }
     slog::info!(node.log, "jobs swept"; "jobs" => jobs, "without_holder" => orphans,
-        "after" => range.after, "before" => range.before, "acquainted" => is_acquainted);
+        "after" => range.after, "before" => range.before, "acquainted" => is_warmed_up);
     // Holders that are not known yet may still be found.
-    is_done && is_acquainted
+    is_done && is_warmed_up
 }
 
 /// What a job on the platform asks for.
@@ -158,7 +158,7 @@
     Orphan(Box<Status>),
 }
 
-fn look_at(node: &Node, object: &Object, is_acquainted: bool) -> Look {
+fn look_at(node: &Node, object: &Object, is_warmed_up: bool) -> Look {
     let Ok(JobSummary { holder, is_open, job, tokens }) = job_store::summary(object) else {
         slog::error!(node.log, "job not understood"; "job" => &object.name,
             "revision" => object.revision);
@@ -170,7 +170,7 @@
     if holder.instance == node.id() {
         return Look::Own;
     }
-    if !takeover::is_gone(node, holder, is_acquainted) {
+    if !takeover::is_gone(node, holder, is_warmed_up) {
         let members = node.members.borrow();
         let is_leaving = members.get(holder.instance).is_some_and(|m| m.state == State::Leaving);
         return if is_leaving { Look::Leaving } else { Look::Nothing };
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -99,7 +99,7 @@
     pub(super) span: RefCell<Span>,
     /// What was learnt elsewhere of jobs that this instance is about to take over, as
     /// others have asked.
-    pub(super) adopting: RefCell<HashMap<JobId, Vec<Learnt>>>,
+    pub(super) pending_takeovers: RefCell<HashMap<JobId, Vec<Learnt>>>,
     pub(super) filling: RefCell<HashSet<(String, ServiceId)>>,
 }
 
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -162,13 +162,13 @@
 }
 
 /// Tells the new holder of a job what was learnt here.
-async fn pass_learnt(node: Rc<Node>, held: Rc<HeldJob>, holder: Holder) {
+async fn hand_off_progress(node: Rc<Node>, held: Rc<HeldJob>, holder: Holder) {
     tokio::time::sleep(RUN_STOP_DELAY).await;
     let (id, learnt) = {
         let sheet = held.sheet.borrow();
         (sheet.job().id.clone(), sheet.learnt())
     };
-    takeover::tell_learnt(node, id, holder, learnt).await;
+    takeover::send_handoff(node, id, holder, learnt).await;
 }
 
 fn on_durable(node: &Rc<Node>, held: &Rc<HeldJob>, draft: &Progress, revision: u64) {
@@ -214,7 +214,7 @@
         slog::info!(node.log, "job overtaken"; "job" => &object.name,
             "holder" => format!("{:x}", holder.instance), "revision" => object.revision);
         job_table::release(node, held);
-        spawn_local(pass_learnt(node.clone(), held.clone(), holder));
+        spawn_local(hand_off_progress(node.clone(), held.clone(), holder));
     }
     true
 }
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -288,7 +288,7 @@
         Found::Stored(Box::new(stored_job.job), Box::new(stored_job.progress))
     };
     if keeper.instance == node.id() {
-        return match takeover::adopt(node, id, Learnt::default()).await {
+        return match takeover::take_over(node, id, Learnt::default()).await {
             Some(held) => Found::Here(held),
             None => stored(stored_job),
         };
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -129,7 +129,7 @@
         Ask::Adopt(job, learnt) => {
             let node = node.clone();
             // The asker doesn't wait: it may be about to stop.
-            spawn_local(async move { takeover::adopt_when_able(&node, &job, learnt).await });
+            spawn_local(async move { takeover::take_over_with_retry(&node, &job, learnt).await });
             Reply::Done
         }
         Ask::Trial(content) => Reply::Trial(quarantine::on_trial(node, content)),
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -125,7 +125,7 @@
     let plan = Plan { grace: node.settings.stop_grace, bound };
     let over = spawn_local({
         let node = node.clone();
-        async move { items::hand_over(&node).await }
+        async move { items::hand_off_jobs(&node).await }
     });
     loop {
         tokio::time::sleep(STOP_LOOK).await;
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -224,7 +224,7 @@
         slog::info!(node.log, "holder not told of its job"; "job" => &id, "fault" => fault,
             "again" => !node.is_stopping());
         if node.is_stopping() {
-            takeover::pass(&node, &id, &Learnt::default()).await;
+            takeover::hand_off(&node, &id, &Learnt::default()).await;
             return;
         }
         tokio::time::sleep(node.store.backoff_remaining(clock::now()).max(TELL_AGAIN)).await;
@@ -251,7 +251,7 @@
     let member = node.members.borrow().get(summary.holder.instance).cloned();
     let Some(member) = member else {
         // Its own, or that of an instance that is gone.
-        takeover::adopt_when_able(node, id, Learnt::default()).await;
+        takeover::take_over_with_retry(node, id, Learnt::default()).await;
         return Ok(());
     };
     let ask = Ask::Adopt(id.to_owned(), Learnt::default());
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -36,16 +36,16 @@
 const LOOK_BACK: Duration = Duration::from_millis(700);
 /// A holder that no member list names counts as gone once this instance has
 /// been up for so long.
-pub(super) const ACQUAINTED: Duration = Duration::from_secs(3);
+pub(super) const MEMBERSHIP_WARM_UP: Duration = Duration::from_secs(3);
 /// Tries to take a job over while others write to it.
 const TRIES: u32 = 4;
 /// Shortest pause before a job is tried again that couldn't be taken over.
-const ADOPT_AGAIN: Duration = Duration::from_millis(250);
+const TAKEOVER_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// How long a holder is told what was learnt of its job: longer than the cuts of some
 /// seconds that data centres are known to have.
-const LEARNT_LIMIT: Duration = Duration::from_secs(15);
+const SEND_HANDOFF_TIMEOUT: Duration = Duration::from_secs(15);
 /// Longest wait for an instance that is to take a job over.
-const PASS_LIMIT: Duration = Duration::from_millis(300);
+const HANDOFF_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Looks for jobs without a holder until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
@@ -60,9 +60,9 @@
         if node.is_stopping() || node.store.is_backing_off(now) {
             continue;
         }
-        let is_acquainted = now >= began + ACQUAINTED;
-        for id in due(&node, &mut noticed, is_acquainted, now) {
-            adopt(&node, &id, Learnt::default()).await;
+        let is_warmed_up = now >= began + MEMBERSHIP_WARM_UP;
+        for id in due(&node, &mut noticed, is_warmed_up, now) {
+            take_over(&node, &id, Learnt::default()).await;
         }
     }
 }
@@ -74,7 +74,7 @@
 }
 
 /// Whether a holder is gone.
-pub(super) fn is_gone(node: &Node, holder: Holder, is_acquainted: bool) -> bool {
+pub(super) fn is_gone(node: &Node, holder: Holder, is_warmed_up: bool) -> bool {
     let members = node.members.borrow();
     if holder.instance == members.me().id {
         return false;
@@ -82,7 +82,7 @@
     if members.get(holder.instance).is_some() {
         return false;
     }
-    is_replaced(&members, holder) || is_acquainted || members.is_dead(holder.instance)
+    is_replaced(&members, holder) || is_warmed_up || members.is_dead(holder.instance)
 }
 
 /// Whether a holder's address answers under another id: it was started anew.
@@ -104,7 +104,7 @@
 fn due(
     node: &Node,
     noticed: &mut HashMap<JobId, Notice>,
-    is_acquainted: bool,
+    is_warmed_up: bool,
     now: Instant,
 ) -> Vec<JobId> {
     let directory = node.jobs.directory.borrow();
@@ -112,7 +112,7 @@
     let orphaned = directory.values().filter(|status| {
         !status.is_settled
             && !held_jobs.contains_key(&status.job)
-            && is_gone(node, status.holder, is_acquainted)
+            && is_gone(node, status.holder, is_warmed_up)
     });
     let orphaned: Vec<&Status> = orphaned.collect();
     noticed.retain(|id, _| orphaned.iter().any(|status| status.job == *id));
@@ -146,7 +146,7 @@
 
 /// Has another instance take a job over; this one, if no other does and it isn't
 /// stopping. `false` when nobody did.
-pub async fn pass(node: &Rc<Node>, id: &str, learnt: &Learnt) -> bool {
+pub async fn hand_off(node: &Rc<Node>, id: &str, learnt: &Learnt) -> bool {
     let mut ranked: Vec<Member> = node.members.borrow().workers().cloned().collect();
     ranked.sort_by_key(|member| std::cmp::Reverse(hash::weight(id.as_bytes(), member.id)));
     for member in ranked {
@@ -154,10 +154,10 @@
             if node.is_stopping() {
                 continue;
             }
-            return adopt(node, id, learnt.clone()).await.is_some();
+            return take_over(node, id, learnt.clone()).await.is_some();
         }
         let ask = Ask::Adopt(id.to_owned(), learnt.clone());
-        if node.ask(member.peer, &ask, PASS_LIMIT).await.is_ok() {
+        if node.ask(member.peer, &ask, HANDOFF_TIMEOUT).await.is_ok() {
             slog::info!(node.log, "job passed on"; "job" => id, "to" => %member.peer,
                 "partials" => learnt.partials.len(), "failures" => learnt.failures.len(),
                 "outcomes" => learnt.outcomes.len());
@@ -170,8 +170,8 @@
 
 /// Takes a job over, unless it is settled or another holder is at work; `None`
 /// when it can't be done now, or there is no such job.
-pub async fn adopt(node: &Rc<Node>, id: &str, learnt: Learnt) -> Option<Rc<HeldJob>> {
-    match try_adopt(node, id, &learnt).await {
+pub async fn take_over(node: &Rc<Node>, id: &str, learnt: Learnt) -> Option<Rc<HeldJob>> {
+    match try_take_over(node, id, &learnt).await {
         Ok(held) => held,
         Err(fault) => {
             slog::info!(node.log, "job not taken over"; "job" => id, "fault" => %fault);
@@ -185,46 +185,47 @@
 ///
 /// Guards against a job that lies for the rest of the day because its holder couldn't
 /// read it at that moment (seen 41 s long, on a platform three hundred times slower).
-pub async fn adopt_when_able(node: &Rc<Node>, id: &str, learnt: Learnt) {
+pub async fn take_over_with_retry(node: &Rc<Node>, id: &str, learnt: Learnt) {
     let is_first = {
-        let mut adopting = node.jobs.adopting.borrow_mut();
-        let is_first = !adopting.contains_key(id);
-        adopting.entry(id.to_owned()).or_default().push(learnt);
+        let mut pending_takeovers = node.jobs.pending_takeovers.borrow_mut();
+        let is_first = !pending_takeovers.contains_key(id);
+        pending_takeovers.entry(id.to_owned()).or_default().push(learnt);
         is_first
     };
     if !is_first {
         return; // The one under way takes it in.
     }
-    while let Err(fault) = try_adopt(node, id, &Learnt::default()).await {
+    while let Err(fault) = try_take_over(node, id, &Learnt::default()).await {
         slog::info!(node.log, "job not taken over"; "job" => id, "fault" => %fault,
             "again" => !node.is_stopping());
         if node.is_stopping() {
-            for learnt in node.jobs.adopting.borrow_mut().remove(id).unwrap_or_default() {
-                spawn_local(pass_on(node.clone(), id.to_owned(), learnt));
+            for learnt in node.jobs.pending_takeovers.borrow_mut().remove(id).unwrap_or_default() {
+                spawn_local(hand_off_detached(node.clone(), id.to_owned(), learnt));
             }
             return;
         }
-        tokio::time::sleep(node.store.backoff_remaining(clock::now()).max(ADOPT_AGAIN)).await;
+        tokio::time::sleep(node.store.backoff_remaining(clock::now()).max(TAKEOVER_RETRY_DELAY))
+            .await;
     }
-    let learnt = node.jobs.adopting.borrow_mut().remove(id).unwrap_or_default();
+    let learnt = node.jobs.pending_takeovers.borrow_mut().remove(id).unwrap_or_default();
     for learnt in learnt {
-        hand_on(node, id, learnt).await;
+        forward_handoff(node, id, learnt).await;
     }
 }
 
-async fn pass_on(node: Rc<Node>, id: JobId, learnt: Learnt) {
-    pass(&node, &id, &learnt).await;
+async fn hand_off_detached(node: Rc<Node>, id: JobId, learnt: Learnt) {
+    hand_off(&node, &id, &learnt).await;
 }
 
 /// Brings what was learnt of a job to its holder, be it this instance.
-async fn hand_on(node: &Rc<Node>, id: &str, learnt: Learnt) {
+async fn forward_handoff(node: &Rc<Node>, id: &str, learnt: Learnt) {
     if let Some(held) = node.jobs.held_job(id) {
         learn(node, &held, learnt);
         return;
     }
     let holder = node.jobs.directory.borrow().get(id).map(|status| status.holder);
     if let Some(holder) = holder.filter(|holder| holder.instance != node.id()) {
-        tell_learnt(node.clone(), id.to_owned(), holder, learnt).await;
+        send_handoff(node.clone(), id.to_owned(), holder, learnt).await;
     }
 }
 
@@ -237,29 +238,29 @@
 
 /// Tells the holder of a job what was learnt here, until it has heard it: it may be
 /// out of sight for as long as a cut lasts.
-pub async fn tell_learnt(node: Rc<Node>, id: JobId, holder: Holder, learnt: Learnt) {
+pub async fn send_handoff(node: Rc<Node>, id: JobId, holder: Holder, learnt: Learnt) {
     if learnt.is_empty() {
         return;
     }
-    let until = clock::now() + LEARNT_LIMIT;
+    let until = clock::now() + SEND_HANDOFF_TIMEOUT;
     let ask = Ask::Adopt(id.clone(), learnt);
     while clock::now() < until {
-        if node.ask(holder.address, &ask, PASS_LIMIT).await.is_ok() {
+        if node.ask(holder.address, &ask, HANDOFF_TIMEOUT).await.is_ok() {
             slog::info!(node.log, "what was learnt passed on"; "job" => &id,
                 "to" => %holder.address);
             return;
         }
-        tokio::time::sleep(ADOPT_AGAIN).await;
+        tokio::time::sleep(TAKEOVER_RETRY_DELAY).await;
     }
     slog::info!(node.log, "what was learnt is lost"; "job" => &id, "to" => %holder.address);
 }
 
-/// As [`adopt`]; `None` when the job isn't to be taken over.
+/// As [`take_over`]; `None` when the job isn't to be taken over.
 ///
 /// # Errors
 ///
 /// Why it can't be done now.
-async fn try_adopt(
+async fn try_take_over(
     node: &Rc<Node>,
     id: &str,
     learnt: &Learnt,
