--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -39,14 +39,14 @@
 /// Longest time between looks at the seeds while no other member is known.
 const SEED_ALONE: Duration = Duration::from_millis(300);
 
-/// Answers other instances.
+/// PeerHandler other instances.
 #[derive(Clone)]
-pub struct Answers {
+pub struct PeerHandler {
     /// The instance.
     pub node: Rc<Node>,
 }
 
-impl Handler for Answers {
+impl Handler for PeerHandler {
     async fn ping(&self, from: Member, notes: Vec<Note>) -> (Member, Vec<Note>) {
         let id = from.id;
         hear(&self.node, from, &notes);
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -3,7 +3,7 @@
 use super::front::Front;
 use super::measure::Probe;
 use super::node::Node;
-use super::peers::{Answers, PING_TIMEOUT};
+use super::peers::{PING_TIMEOUT, PeerHandler};
 use super::{
     account, anti_entropy, discovery, items, job_scan, peers, platform_health, quarantine,
     takeover, wake, watch,
@@ -66,7 +66,7 @@
         "platform" => %node.settings.platform);
     let stop = CancellationToken::new();
     let front_stop = CancellationToken::new();
-    spawn_local(serve(peer, Answers { node: node.clone() }, traffic, stop.clone()));
+    spawn_local(serve(peer, PeerHandler { node: node.clone() }, traffic, stop.clone()));
     spawn_local(peers::run(node.clone(), stop.clone()));
     watch::start(&node, &stop);
     spawn_local(platform_health::run(node.clone(), stop.clone()));
