--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -305,7 +305,7 @@
         futures_util::future::join_all(asked).await;
         tries += 1;
         if node.members.borrow().others().next().is_none() && tries.is_multiple_of(8) {
-            for address in watch::registered(&node).await {
+            for address in watch::registered_addresses(&node).await {
                 if address != own {
                     ask_members(&node, address).await;
                 }
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -25,7 +25,7 @@
 /// centre has one that asks for signs of life.
 const RANK: &str = "watch";
 /// Instances of a data centre that watch.
-const SEATS: usize = 1;
+const WATCHER_COUNT: usize = 1;
 /// Longest wait of one watch of the targets. What [`super::platform_health`] can't see, a
 /// watch that was lost alone, is noticed when it is overdue, after 1.9 s: targets that
 /// leave get nothing 2 s after their word. Each watch costs a call.
@@ -49,7 +49,7 @@
 const MEET: Duration = Duration::from_millis(150);
 /// The same for what one instance watches for all: nothing waits for it.
 const MEET_ALL: Duration = Duration::from_secs(2);
-/// A seat counts as lost after this long: members come and go in a cut, and to watch
+/// A role counts as lost after this long: members come and go in a cut, and to watch
 /// anew costs a list and a watch.
 const LOST_FOR: Duration = Duration::from_millis(500);
 /// Pauses between tries of a watcher that can't reach the platform.
@@ -113,11 +113,11 @@
         let has_lost_contact = is_disconnected(node, member.id, now);
         Candidate { id: member.id, has_lost_contact }
     };
-    watch::is_watcher(RANK, members.me().id, here.map(candidate), SEATS)
+    watch::is_watcher(RANK, members.me().id, here.map(candidate), WATCHER_COUNT)
 }
 
 async fn watch_topic(node: Rc<Node>, topic: Topic, stop: CancellationToken) {
-    let mut seat = Seat { node: node.clone(), topic, is_held: false };
+    let mut role = WatcherRole { node: node.clone(), topic, is_held: false };
     let mut is_registered = topic != Topic::Config;
     let mut revision: Option<Revision> = None;
     let mut failures = 0_u32;
@@ -127,7 +127,7 @@
     }
     while !stop.is_cancelled() {
         // Without a sign of life the platform is left alone until there is one.
-        if !seat.look() || node.store.is_disconnected() {
+        if !role.look() || node.store.is_disconnected() {
             revision = None;
             tokio::time::sleep(LOOK).await;
             continue;
@@ -136,7 +136,7 @@
         let result = tokio::select! {
             result = step(&node, topic, revision) => result,
             () = node.store.disconnected() => Err(Fault::Lost(String::from("no sign of life"))),
-            () = seat.lost() => continue,
+            () = role.lost() => continue,
             () = node.woken.notified() => {
                 revision = None;
                 continue;
@@ -191,13 +191,13 @@
 }
 
 /// The right to watch a topic for others, as this instance has it or not.
-struct Seat {
+struct WatcherRole {
     node: Rc<Node>,
     topic: Topic,
     is_held: bool,
 }
 
-impl Seat {
+impl WatcherRole {
     /// Returns once it is clear that others hold it. A watch that goes on to its end
     /// costs signs of life all the while.
     async fn lost(&self) {
@@ -341,7 +341,7 @@
 }
 
 /// Addresses that instances have left on the platform.
-pub async fn registered(node: &Rc<Node>) -> Vec<SocketAddr> {
+pub async fn registered_addresses(node: &Rc<Node>) -> Vec<SocketAddr> {
     let objects = match node.store.list_all(Cause::Address, instance::KIND).await {
         Ok(objects) => objects,
         Err(fault) => {
