--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -9,7 +9,7 @@
 use coordination::hash;
 use coordination::slots::Chance;
 use protocol::ServiceId;
-use state::progress::{Millis, Sheet};
+use state::progress::{JobState, Millis};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -54,22 +54,22 @@
 /// Services that items wait for.
 fn services(node: &Node) -> HashSet<ServiceId> {
     let held_jobs = node.jobs.held.borrow();
-    let held = held_jobs.values().filter(|held| held.sheet.borrow().runnable() > 0);
-    held.filter_map(|held| service_of(node, &held.sheet.borrow())).collect()
+    let held = held_jobs.values().filter(|held| held.state.borrow().runnable() > 0);
+    held.filter_map(|held| service_of(node, &held.state.borrow())).collect()
 }
 
-fn service_of(node: &Node, sheet: &Sheet) -> Option<ServiceId> {
-    let job = sheet.job();
+fn service_of(node: &Node, state: &JobState) -> Option<ServiceId> {
+    let job = state.job();
     let draw = hash::of(job.id.as_bytes());
     route_of(node, job)?.service(draw).cloned()
 }
 
 /// When the next item of a job must go on to be done by the time it is due: for sure,
 /// and at all.
-fn latest(node: &Node, sheet: &Sheet) -> (Millis, Millis) {
-    let made = sheet.next_made().unwrap_or_default();
+fn latest(node: &Node, state: &JobState) -> (Millis, Millis) {
+    let made = state.next_made().unwrap_or_default();
     let span = node.jobs.span.borrow();
-    let before_due = |time: Duration| sheet.job().due.saturating_sub(time.as_millis() as Millis);
+    let before_due = |time: Duration| state.job().due.saturating_sub(time.as_millis() as Millis);
     let spare = node.settings.policy.spare;
     (before_due(span.surely(made, spare)), before_due(span.left(made)))
 }
@@ -80,11 +80,11 @@
 
 /// What can't be in time any more comes last: in its turn it would make the others
 /// late as well. What was begun goes before what wasn't.
-fn turn(node: &Node, sheet: &Sheet, now: Millis) -> Turn {
-    let (sure, in_time) = latest(node, sheet);
-    let is_begun = sheet.next_made().unwrap_or_default() > 0;
+fn turn(node: &Node, state: &JobState, now: Millis) -> Turn {
+    let (sure, in_time) = latest(node, state);
+    let is_begun = state.next_made().unwrap_or_default() > 0;
     let is_fresh = node.settings.policy.begun_first && !is_begun;
-    (Chance::of(now, sure, in_time), is_fresh, sheet.job().due)
+    (Chance::of(now, sure, in_time), is_fresh, state.job().due)
 }
 
 /// HeldJob jobs with items that wait for the service, the most urgent first.
@@ -92,11 +92,11 @@
     let now = millis();
     let held_jobs = node.jobs.held.borrow();
     let fits = |held: &&Rc<HeldJob>| {
-        let sheet = held.sheet.borrow();
-        sheet.runnable() > 0 && service_of(node, &sheet).as_deref() == Some(service)
+        let state = held.state.borrow();
+        state.runnable() > 0 && service_of(node, &state).as_deref() == Some(service)
     };
     let mut held: Vec<Rc<HeldJob>> = held_jobs.values().filter(fits).cloned().collect();
-    held.sort_by_cached_key(|held| turn(node, &held.sheet.borrow(), now));
+    held.sort_by_cached_key(|held| turn(node, &held.state.borrow(), now));
     held
 }
 
@@ -105,15 +105,15 @@
 fn alike(node: &Node, waiting: &[Rc<HeldJob>]) -> usize {
     let now = millis();
     let class = |held: &Rc<HeldJob>| {
-        let (chance, is_fresh, _) = turn(node, &held.sheet.borrow(), now);
+        let (chance, is_fresh, _) = turn(node, &held.state.borrow(), now);
         (chance, is_fresh)
     };
     let first = waiting.first().map(class);
     let of_class = waiting.iter().filter(|held| Some(class(held)) == first);
     let is_begun = node.settings.policy.begun_first && matches!(first, Some((_, false)));
     let items = |held: &Rc<HeldJob>| {
-        let sheet = held.sheet.borrow();
-        if is_begun { sheet.begun() } else { sheet.runnable() }
+        let state = held.state.borrow();
+        if is_begun { state.begun() } else { state.runnable() }
     };
     of_class.map(items).sum()
 }
@@ -127,14 +127,14 @@
     most: usize,
 ) -> account::Batch<'a> {
     let now = millis();
-    let sheet = held.sheet.borrow();
-    let made = sheet.next_made().unwrap_or_default();
+    let state = held.state.borrow();
+    let made = state.next_made().unwrap_or_default();
     let until = |at: Millis| Duration::from_millis(at.saturating_sub(now));
-    let (sure, in_time) = latest(node, &sheet);
+    let (sure, in_time) = latest(node, &state);
     account::Batch {
         data_centre,
         service,
-        due: until(sheet.job().due),
+        due: until(state.job().due),
         in_time: until(in_time),
         sure: until(sure),
         left: node.jobs.span.borrow().left(made),
@@ -168,7 +168,7 @@
         return;
     }
     for held in waiting(node, service) {
-        let item = held.sheet.borrow_mut().start_next();
+        let item = held.state.borrow_mut().start_next();
         if let Some(item) = item {
             spawn_local(run::run_item(node.clone(), held, item, lease));
             return;
@@ -180,7 +180,7 @@
 pub async fn hand_off_jobs(node: &Rc<Node>) {
     let held_jobs: Vec<Rc<HeldJob>> = node.jobs.held.borrow().values().cloned().collect();
     let open: Vec<Rc<HeldJob>> =
-        held_jobs.into_iter().filter(|h| !h.sheet.borrow().is_settled()).collect();
+        held_jobs.into_iter().filter(|h| !h.state.borrow().is_settled()).collect();
     for held in &open {
         held.released.cancel();
     }
@@ -189,15 +189,15 @@
     tokio::time::sleep(job_writer::RUN_STOP_DELAY).await;
     let mut left = Vec::new();
     for held in open {
-        let is_fresh = held.sheet.borrow().draft().is_some();
+        let is_fresh = held.state.borrow().draft().is_some();
         if is_fresh && !job_writer::write(node, &held).await {
             slog::warn!(node.log, "results not written before the stop";
-                "job" => &held.sheet.borrow().job().id);
+                "job" => &held.state.borrow().job().id);
         }
-        let sheet = held.sheet.borrow();
-        let id = sheet.job().id.clone();
+        let state = held.state.borrow();
+        let id = state.job().id.clone();
         node.jobs.held.borrow_mut().remove(&id);
-        left.push((id, sheet.learnt()));
+        left.push((id, state.learnt()));
     }
     // While it is cut off there is nobody to pass a job to, and what it accepted
     // meanwhile is known to nobody else. The bound of the stop ends this.
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -40,7 +40,7 @@
 
 /// Runs an item on a slot, unless it is held because it crashes its targets.
 pub(super) async fn run_item(node: Rc<Node>, held: Rc<HeldJob>, item: Item, lease: Lease) {
-    let mut partial = held.sheet.borrow().partial(&item.id);
+    let mut partial = held.state.borrow().partial(&item.id);
     let before = partial.texts.len();
     let began = clock::now();
     held.began.borrow_mut().entry(item.id.clone()).or_insert(began);
@@ -68,7 +68,7 @@
         Ended::Stopped(_, fault) => ("stopped", fault.clone()),
     };
     slog::info!(node.log, "item run"; "item" => &item.id, "content" => hex(content),
-        "job" => &held.sheet.borrow().job().id, "target" => target, "how" => how,
+        "job" => &held.state.borrow().job().id, "target" => target, "how" => how,
         "fault" => &fault, "events" => partial.texts.len(), "resumed_at" => before,
         "registry" => lease.registry,
         "ran_ms" => clock::since(began).as_millis() as u64);
@@ -84,15 +84,15 @@
             lease.end(End::Good);
             let text = partial.texts.join("\n");
             let outcome = Outcome { item: item.id.clone(), is_complete: true, text };
-            held.sheet.borrow_mut().on_done(&item.id, outcome);
+            held.state.borrow_mut().on_done(&item.id, outcome);
         }
         Ended::Failed(failure) => {
             // An item that has failed elsewhere says nothing of this target, and one
             // that can't be done nothing of any.
-            let is_first = !held.sheet.borrow().has_failed(&item.id);
+            let is_first = !held.state.borrow().has_failed(&item.id);
             let is_evidence = is_first && failure == Failure::Failed;
             lease.end(if is_evidence { End::Failed } else { End::Unused });
-            held.sheet.borrow_mut().on_failed(&item.id, failure);
+            held.state.borrow_mut().on_failed(&item.id, failure);
         }
         Ended::Stopped(end, _) => {
             if end == End::Broken {
@@ -102,7 +102,7 @@
             if end != End::Unused {
                 pause = ITEM_PAUSE;
             }
-            held.sheet.borrow_mut().on_stopped(&item.id, partial);
+            held.state.borrow_mut().on_stopped(&item.id, partial);
         }
     }
     held.wake();
@@ -113,25 +113,25 @@
 /// Leaves an item that crashes its targets alone for a while.
 async fn withhold(node: &Rc<Node>, held: &HeldJob, item: &Item, left: Duration) {
     slog::info!(node.log, "item withheld"; "item" => &item.id,
-        "job" => &held.sheet.borrow().job().id, "for_ms" => left.as_millis() as u64);
-    let give_up = held.sheet.borrow().job().give_up;
-    held.sheet.borrow_mut().withhold(&item.id);
+        "job" => &held.state.borrow().job().id, "for_ms" => left.as_millis() as u64);
+    let give_up = held.state.borrow().job().give_up;
+    held.state.borrow_mut().withhold(&item.id);
     let left = left.min(Duration::from_millis(give_up.saturating_sub(millis())));
     tokio::select! {
         () = tokio::time::sleep(left) => {}
         () = held.released.cancelled() => {}
         () = held.ended.cancelled() => {}
     }
-    held.sheet.borrow_mut().on_released(&item.id);
+    held.state.borrow_mut().on_released(&item.id);
     node.jobs.wake();
 }
 
 /// What an item asks for, the same as for a request of its own.
 fn content_of(held: &HeldJob, item: &Item) -> ContentId {
-    let sheet = held.sheet.borrow();
+    let state = held.state.borrow();
     // A body that can't be decoded is never sent.
     let body = job::body_of(&item.body).unwrap_or_default();
-    hash::content("POST", &sheet.job().host, &item.path, &body)
+    hash::content("POST", &state.job().host, &item.path, &body)
 }
 
 async fn attempt(
@@ -141,7 +141,7 @@
     lease: &Lease,
     partial: &mut Partial,
 ) -> Ended {
-    let host = held.sheet.borrow().job().host.clone();
+    let host = held.state.borrow().job().host.clone();
     let request = match request(&host, item, lease, partial) {
         Ok(request) => request,
         Err(fault) => {
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -202,14 +202,14 @@
     let held_jobs: Vec<Rc<HeldJob>> = node.jobs.held.borrow().values().cloned().collect();
     for held in held_jobs {
         let (id, is_over) = {
-            let sheet = held.sheet.borrow();
-            let is_old = sheet.job().accepted + retention < now;
-            (sheet.job().id.clone(), is_old && sheet.is_settled())
+            let state = held.state.borrow();
+            let is_old = state.job().accepted + retention < now;
+            (state.job().id.clone(), is_old && state.is_settled())
         };
         if !is_over {
             continue;
         }
-        let is_own = held.sheet.borrow().holder().instance == node.id();
+        let is_own = held.state.borrow().holder().instance == node.id();
         node.jobs.held.borrow_mut().remove(&id);
         node.jobs.directory.borrow_mut().remove(&id);
         if is_own {
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -11,7 +11,7 @@
 use coordination::run_time::Span;
 use protocol::ServiceId;
 use protocol::routing::Route;
-use state::progress::{ItemId, Job, JobId, Learnt, Sheet};
+use state::progress::{ItemId, Job, JobId, JobState, Learnt};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -33,8 +33,8 @@
 
 /// One job in memory.
 pub struct HeldJob {
-    /// Its sheet.
-    pub sheet: RefCell<Sheet>,
+    /// Its state.
+    pub state: RefCell<JobState>,
     /// Revision of its object.
     pub revision: Cell<u64>,
     /// What of it lies in overflow on the platform.
@@ -68,10 +68,10 @@
     /// Something is to be written.
     pub fn wake(&self) {
         let now = clock::now();
-        let sheet = self.sheet.borrow();
+        let state = self.state.borrow();
         let since = |is_any: bool, known: Option<Instant>| is_any.then(|| known.unwrap_or(now));
-        self.oldest.set(since(sheet.fresh() > 0, self.oldest.get()));
-        self.verdict.set(since(sheet.has_fresh_verdict(), self.verdict.get()));
+        self.oldest.set(since(state.fresh() > 0, self.oldest.get()));
+        self.verdict.set(since(state.has_fresh_verdict(), self.verdict.get()));
         self.dirty.notify_one();
     }
 
@@ -133,9 +133,9 @@
         let held_jobs = self.held.borrow();
         let held = held_jobs.values().filter(|held| !held.is_frozen);
         let here: u64 = held
-            .map(|held| held.sheet.borrow())
-            .filter(|sheet| route_of(node, sheet.job()).is_some_and(|found| found.name == route))
-            .map(|sheet| sheet.waiting_tokens())
+            .map(|held| held.state.borrow())
+            .filter(|state| route_of(node, state.job()).is_some_and(|found| found.name == route))
+            .map(|state| state.waiting_tokens())
             .sum();
         let directory = self.directory.borrow();
         let others = directory.values().filter(|status| {
@@ -170,10 +170,10 @@
     let StoredJob { job, progress, overflow, revision } = stored_job;
     let id = job.id.clone();
     let attempts = route_of(node, &job).map_or(ATTEMPTS, |route| route.attempts);
-    let sheet = Sheet::new(job, progress, attempts);
-    let is_frozen = sheet.is_settled();
+    let state = JobState::new(job, progress, attempts);
+    let is_frozen = state.is_settled();
     let held = Rc::new(HeldJob {
-        sheet: RefCell::new(sheet),
+        state: RefCell::new(state),
         revision: Cell::new(revision),
         overflow: RefCell::new(overflow),
         began: RefCell::default(),
@@ -198,21 +198,21 @@
 /// This instance no longer holds the job: its runs stop.
 pub fn release(node: &Node, held: &HeldJob) {
     held.released.cancel();
-    let id = held.sheet.borrow().job().id.clone();
+    let id = held.state.borrow().job().id.clone();
     node.jobs.held.borrow_mut().remove(&id);
     held.changed.notify_waiters();
 }
 
 fn status(node: &Node, held: &HeldJob) -> Status {
-    let sheet = held.sheet.borrow();
+    let state = held.state.borrow();
     Status {
-        job: sheet.job().id.clone(),
+        job: state.job().id.clone(),
         holder: node.as_holder(),
         data_centre: node.data_centre().clone(),
         revision: held.revision.get(),
-        route: route_of(node, sheet.job()).map_or_else(String::new, |route| route.name),
-        waiting_tokens: sheet.waiting_tokens(),
-        is_settled: sheet.is_settled(),
+        route: route_of(node, state.job()).map_or_else(String::new, |route| route.name),
+        waiting_tokens: state.waiting_tokens(),
+        is_settled: state.is_settled(),
     }
 }
 
@@ -244,7 +244,7 @@
     members.retain(|member| !node.is_shunned(member.peer, now));
     // One far and one near, where there are such.
     let near = |member: &Member| member.data_centre == *node.data_centre();
-    let id = held.sheet.borrow().job().id.clone();
+    let id = held.state.borrow().job().id.clone();
     members.sort_by_key(|member| hash::weight(id.as_bytes(), member.id));
     let witnesses =
         [members.iter().find(|member| !near(member)), members.iter().find(|member| near(member))];
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -36,10 +36,10 @@
 
 /// Looks whether a job is still held here.
 pub async fn verify(node: &Rc<Node>, held: &Rc<HeldJob>) {
-    let id = held.sheet.borrow().job().id.clone();
+    let id = held.state.borrow().job().id.clone();
     match node.store.get(Cause::Check, job::KIND, &id).await {
         Ok(Some(object)) if object.revision > held.revision.get() => {
-            let draft = held.sheet.borrow().snapshot();
+            let draft = held.state.borrow().snapshot();
             // Not read now, it is met again with the next write.
             on_found(node, held, &draft, &object).await;
         }
@@ -64,7 +64,7 @@
             verify(&node, &held).await;
         }
         looked = clock::now();
-        held.sheet.borrow_mut().on_time(millis());
+        held.state.borrow_mut().on_time(millis());
         if node.is_isolated() {
             isolated = Some(looked);
         }
@@ -85,13 +85,13 @@
         if held.released.is_cancelled() {
             return;
         }
-        if held.sheet.borrow().is_settled() {
-            let sheet = held.sheet.borrow();
-            slog::info!(node.log, "job settled"; "job" => &sheet.job().id,
-                "results" => sheet.listed().len(), "items" => sheet.job().items.len(),
-                "ended" => sheet.is_ended(),
-                "age_ms" => millis().saturating_sub(sheet.job().accepted));
-            drop(sheet);
+        if held.state.borrow().is_settled() {
+            let state = held.state.borrow();
+            slog::info!(node.log, "job settled"; "job" => &state.job().id,
+                "results" => state.listed().len(), "items" => state.job().items.len(),
+                "ended" => state.is_ended(),
+                "age_ms" => millis().saturating_sub(state.job().accepted));
+            drop(state);
             job_table::announce(&node, &held);
             return;
         }
@@ -100,19 +100,19 @@
 
 /// Time until something is to be written; the longest there is if nothing is.
 fn until_write(node: &Node, held: &HeldJob, now: Instant) -> Duration {
-    let sheet = held.sheet.borrow();
-    if !sheet.has_news() {
+    let state = held.state.borrow();
+    if !state.has_news() {
         return Duration::MAX;
     }
-    let (due, at) = (sheet.job().due, millis());
+    let (due, at) = (state.job().due, millis());
     let overdue = Duration::from_millis(at.saturating_sub(due));
     let due_in = Duration::from_millis(due.saturating_sub(at));
-    let is_end = sheet.is_ended() && !sheet.is_end_durable();
+    let is_end = state.is_ended() && !state.is_end_durable();
     let fresh = flush::Fresh {
         oldest: held.oldest.get().unwrap_or(now),
         verdict: held.verdict.get(),
         due: now.checked_sub(overdue).unwrap_or(now) + due_in,
-        is_last: is_end || sheet.is_done(),
+        is_last: is_end || state.is_done(),
     };
     let policy = flush::Policy { gather: node.settings.policy.gather, ..flush::Policy::default() };
     flush::due_at(policy, fresh).saturating_duration_since(now)
@@ -121,8 +121,8 @@
 /// One write of a job's progress; `false` when it has to be tried again later.
 pub async fn write(node: &Rc<Node>, held: &Rc<HeldJob>) -> bool {
     let (id, draft) = {
-        let sheet = held.sheet.borrow();
-        (sheet.job().id.clone(), sheet.snapshot())
+        let state = held.state.borrow();
+        (state.job().id.clone(), state.snapshot())
     };
     let revision = held.revision.get();
     let overflow = held.overflow.borrow().clone();
@@ -165,8 +165,8 @@
 async fn hand_off_progress(node: Rc<Node>, held: Rc<HeldJob>, holder: Holder) {
     tokio::time::sleep(RUN_STOP_DELAY).await;
     let (id, learnt) = {
-        let sheet = held.sheet.borrow();
-        (sheet.job().id.clone(), sheet.learnt())
+        let state = held.state.borrow();
+        (state.job().id.clone(), state.learnt())
     };
     takeover::send_handoff(node, id, holder, learnt).await;
 }
@@ -174,11 +174,11 @@
 fn on_durable(node: &Rc<Node>, held: &Rc<HeldJob>, draft: &Progress, revision: u64) {
     held.revision.set(revision);
     held.on_confirmed(clock::now());
-    held.sheet.borrow_mut().on_durable(draft);
+    held.state.borrow_mut().on_durable(draft);
     held.oldest.set(None);
     held.verdict.set(None);
     held.wake();
-    slog::info!(node.log, "results durable"; "job" => &held.sheet.borrow().job().id,
+    slog::info!(node.log, "results durable"; "job" => &held.state.borrow().job().id,
         "results" => draft.outcomes.len(), "revision" => revision, "ended" => draft.ended);
     held.changed.notify_waiters();
     job_table::announce(node, held);
@@ -207,8 +207,8 @@
         return true;
     }
     held.revision.set(object.revision);
-    held.sheet.borrow_mut().on_overtaken(progress);
-    let holder = held.sheet.borrow().holder();
+    held.state.borrow_mut().on_overtaken(progress);
+    let holder = held.state.borrow().holder();
     held.changed.notify_waiters();
     if holder.instance != node.id() {
         slog::info!(node.log, "job overtaken"; "job" => &object.name,
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -116,12 +116,12 @@
     loop {
         let changed = held.changed.notified();
         {
-            let sheet = held.sheet.borrow();
-            let outcomes = sheet.listed().get(from..).unwrap_or_default();
-            let is_over = sheet.is_ended() || held.released.is_cancelled();
-            let is_all = sheet.listed().len() >= sheet.job().items.len();
+            let state = held.state.borrow();
+            let outcomes = state.listed().get(from..).unwrap_or_default();
+            let is_over = state.is_ended() || held.released.is_cancelled();
+            let is_all = state.listed().len() >= state.job().items.len();
             if !outcomes.is_empty() || is_over || is_all || tokio::time::Instant::now() >= until {
-                return (sheet.job().items.len(), outcomes.to_vec());
+                return (state.job().items.len(), outcomes.to_vec());
             }
         }
         tokio::select! {
@@ -135,7 +135,7 @@
 async fn body(node: &Rc<Node>, id: &str, item: &str) -> Response<Body> {
     let ask = |id| Ask::Body(id, item.to_owned());
     let found = match find(node, id, ask, Duration::ZERO).await {
-        Found::Here(held) => body_in(held.sheet.borrow().job(), item),
+        Found::Here(held) => body_in(held.state.borrow().job(), item),
         Found::Reply(Reply::Body(body)) => body,
         Found::Stored(job, _) => body_in(&job, item),
         Found::Missing => None,
@@ -211,7 +211,7 @@
 pub fn on_ended(node: &Node, id: &str) {
     if let Some(held) = node.jobs.held_job(id) {
         slog::info!(node.log, "job ended elsewhere"; "job" => id);
-        held.sheet.borrow_mut().end();
+        held.state.borrow_mut().end();
         held.stop_runs();
         held.wake();
     }
@@ -220,16 +220,16 @@
 /// Ends a held job; `true` once that is durable.
 async fn end_held(node: &Rc<Node>, held: &Rc<HeldJob>) -> bool {
     let until = tokio::time::Instant::now() + END_LIMIT;
-    if held.sheet.borrow().is_all_listed() {
+    if held.state.borrow().is_all_listed() {
         return true; // Nothing is left that could be ended.
     }
-    held.sheet.borrow_mut().end();
-    slog::info!(node.log, "job ended by its submitter"; "job" => &held.sheet.borrow().job().id);
+    held.state.borrow_mut().end();
+    slog::info!(node.log, "job ended by its submitter"; "job" => &held.state.borrow().job().id);
     held.stop_runs();
     held.wake();
     loop {
         let changed = held.changed.notified();
-        if held.sheet.borrow().is_end_durable() {
+        if held.state.borrow().is_end_durable() {
             return true;
         }
         if held.released.is_cancelled() {
@@ -237,7 +237,7 @@
         }
         let wait = tokio::time::timeout_at(until, changed);
         if wait.await.is_err() {
-            return held.sheet.borrow().is_end_durable();
+            return held.state.borrow().is_end_durable();
         }
     }
 }
@@ -346,7 +346,7 @@
 /// Body of an item for another instance.
 pub fn on_body(node: &Node, id: &str, item: &str) -> Reply {
     match node.jobs.held_job(id) {
-        Some(held) => Reply::Body(body_in(held.sheet.borrow().job(), item)),
+        Some(held) => Reply::Body(body_in(held.state.borrow().job(), item)),
         None => Reply::NotHere,
     }
 }
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -231,7 +231,7 @@
 
 /// Takes in what another holder has learnt.
 fn learn(node: &Node, held: &HeldJob, learnt: Learnt) {
-    held.sheet.borrow_mut().learn(learnt);
+    held.state.borrow_mut().learn(learnt);
     held.wake();
     node.jobs.wake();
 }
--- a/crates/state/src/progress.rs
+++ b/crates/state/src/progress.rs
@@ -4,22 +4,22 @@
 //! [`Progress`]: who holds it, which results are listed, how often items failed,
 //! whether it was ended. Both lie on the platform, in one object for each job,
 //! and each change of the progress is a write on the condition that nobody else
-//! has written since. A [`Sheet`] is the holder's copy: the progress that is
+//! has written since. A [`JobState`] is the holder's copy: the progress that is
 //! durable, what came after it, and what runs.
 //!
 //! Nothing here reads or writes; the present time is an argument.
 //!
 //! ```
-//! use state::progress::{Job, Outcome, Progress, Sheet};
+//! use state::progress::{Job, Outcome, Progress, JobState};
 //!
 //! let job = Job::example("7c41", &["a", "b"]);
-//! let mut sheet = Sheet::new(job, Progress::default(), 3);
-//! assert_eq!(sheet.start_next().map(|item| item.id.clone()), Some("a".into()));
-//! sheet.on_done("a", Outcome { item: "a".into(), is_complete: true, text: "x".into() });
-//! assert!(sheet.listed().is_empty(), "listed only once it is durable");
-//! let draft = sheet.draft().unwrap();
-//! sheet.on_durable(&draft);
-//! assert_eq!(sheet.listed().len(), 1);
+//! let mut state = JobState::new(job, Progress::default(), 3);
+//! assert_eq!(state.start_next().map(|item| item.id.clone()), Some("a".into()));
+//! state.on_done("a", Outcome { item: "a".into(), is_complete: true, text: "x".into() });
+//! assert!(state.listed().is_empty(), "listed only once it is durable");
+//! let draft = state.draft().unwrap();
+//! state.on_durable(&draft);
+//! assert_eq!(state.listed().len(), 1);
 //! ```
 
 mod job;
@@ -34,7 +34,7 @@
 
 /// The holder's copy of a job.
 #[derive(Clone, Debug)]
-pub struct Sheet {
+pub struct JobState {
     job: Arc<Job>,
     durable: Progress,
     /// Results that are not durable yet.
@@ -49,12 +49,12 @@
     attempts: u32,
 }
 
-impl Sheet {
+impl JobState {
     /// A copy of what is durable; `attempts` failed runs make an item fail for
     /// good.
-    pub fn new(job: Job, durable: Progress, attempts: u32) -> Sheet {
+    pub fn new(job: Job, durable: Progress, attempts: u32) -> JobState {
         let done = durable.outcomes.iter().map(|outcome| outcome.item.clone()).collect();
-        Sheet {
+        JobState {
             job: Arc::new(job),
             fresh: Vec::new(),
             failures: durable.failures.clone(),
@@ -261,7 +261,7 @@
 
     /// The progress to write next; `None` when all is durable. Failures alone
     /// are not worth a write: they go along with the next results, or when a
-    /// failure is the only thing that has happened, with [`Sheet::failures_due`].
+    /// failure is the only thing that has happened, with [`JobState::failures_due`].
     pub fn draft(&self) -> Option<Progress> {
         if self.has_news() { Some(self.snapshot()) } else { None }
     }
@@ -288,7 +288,7 @@
         }
     }
 
-    /// A progress made from this sheet was written.
+    /// A progress made from this state was written.
     pub fn on_durable(&mut self, written: &Progress) {
         let listed: HashSet<&str> = written.outcomes.iter().map(|o| o.item.as_str()).collect();
         self.fresh.retain(|outcome| !listed.contains(outcome.item.as_str()));
--- a/crates/state/src/progress/learnt.rs
+++ b/crates/state/src/progress/learnt.rs
@@ -1,6 +1,6 @@
 //! What a holder has learnt of its items beyond what is durable, and how another takes it in.
 
-use super::{Failures, ItemId, Outcome, Sheet};
+use super::{Failures, ItemId, JobState, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
@@ -45,7 +45,7 @@
     }
 }
 
-impl Sheet {
+impl JobState {
     /// All that is known here and isn't durable, for the next holder.
     pub fn learnt(&self) -> Learnt {
         Learnt {
--- a/crates/state/tests/progress.rs
+++ b/crates/state/tests/progress.rs
@@ -2,7 +2,7 @@
 //! answers, runs that fail, ends at any moment.
 
 use proptest::prelude::*;
-use state::progress::{Failure, Job, Outcome, Partial, Progress, Sheet};
+use state::progress::{Failure, Job, JobState, Outcome, Partial, Progress};
 use std::collections::BTreeSet;
 
 const ITEMS: [&str; 5] = ["a", "b", "c", "d", "e"];
@@ -13,13 +13,13 @@
 
 #[test]
 fn an_item_fails_for_good_after_its_attempts_also_across_holders() {
-    let mut first = Sheet::new(Job::example("j", &["a"]), Progress::default(), 3);
+    let mut first = JobState::new(Job::example("j", &["a"]), Progress::default(), 3);
     for _ in 0..2 {
         first.start_next().expect("an item");
         first.on_failed("a", Failure::Failed);
     }
     assert!(first.failures_due());
-    let mut second = Sheet::new(Job::example("j", &["a"]), first.snapshot(), 3);
+    let mut second = JobState::new(Job::example("j", &["a"]), first.snapshot(), 3);
     second.start_next().expect("an item");
     second.on_failed("a", Failure::Failed);
     let draft = second.draft().expect("a result");
@@ -29,46 +29,46 @@
 
 #[test]
 fn an_impossible_item_runs_once() {
-    let mut sheet = Sheet::new(Job::example("j", &["a"]), Progress::default(), 3);
-    sheet.start_next().expect("an item");
-    sheet.on_failed("a", Failure::Impossible);
-    assert!(sheet.is_done());
+    let mut state = JobState::new(Job::example("j", &["a"]), Progress::default(), 3);
+    state.start_next().expect("an item");
+    state.on_failed("a", Failure::Impossible);
+    assert!(state.is_done());
 }
 
 /// Regression: of the items that were stopped the first in the list went on, so
 /// some stayed nearly done until the whole job was late.
 #[test]
 fn the_item_with_the_least_left_goes_on_first() {
-    let mut sheet = Sheet::new(Job::example("j", &["a", "b", "c"]), Progress::default(), 3);
+    let mut state = JobState::new(Job::example("j", &["a", "b", "c"]), Progress::default(), 3);
     let partial = |made: usize| Partial {
         last_event: Some(made as u64),
         texts: vec![String::from("x"); made],
     };
-    sheet.merge_partials([("a".to_owned(), partial(3)), ("b".to_owned(), partial(9))].into());
-    assert_eq!(sheet.next_made(), Some(9));
-    assert_eq!(sheet.start_next().map(|item| item.id), Some(String::from("b")));
+    state.merge_partials([("a".to_owned(), partial(3)), ("b".to_owned(), partial(9))].into());
+    assert_eq!(state.next_made(), Some(9));
+    assert_eq!(state.start_next().map(|item| item.id), Some(String::from("b")));
 }
 
 #[test]
 fn a_stopped_item_goes_on_where_it_stood() {
-    let mut sheet = Sheet::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
-    let item = sheet.start_next().expect("an item").id;
+    let mut state = JobState::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
+    let item = state.start_next().expect("an item").id;
     let made = Partial { last_event: Some(3), texts: vec!["x".into(); 3] };
-    sheet.on_stopped(&item, made.clone());
-    assert_eq!(sheet.start_next().expect("it again").id, item);
-    assert_eq!(sheet.partial(&item), made);
+    state.on_stopped(&item, made.clone());
+    assert_eq!(state.start_next().expect("it again").id, item);
+    assert_eq!(state.partial(&item), made);
     // What a failed run had made is worth nothing.
-    sheet.on_failed(&item, Failure::Failed);
-    assert_eq!(sheet.partial(&item), Partial::default());
+    state.on_failed(&item, Failure::Failed);
+    assert_eq!(state.partial(&item), Partial::default());
 }
 
 #[test]
 fn nothing_starts_after_the_end_and_what_is_late_is_given_up() {
-    let mut sheet = Sheet::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
-    sheet.end();
-    assert!(sheet.start_next().is_none());
-    assert_eq!(sheet.waiting_tokens(), 0);
-    let mut late = Sheet::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
+    let mut state = JobState::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
+    state.end();
+    assert!(state.start_next().is_none());
+    assert_eq!(state.waiting_tokens(), 0);
+    let mut late = JobState::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
     late.on_time(59_999);
     assert!(!late.is_done());
     late.on_time(60_000);
@@ -80,31 +80,31 @@
 /// had still made; whoever had read the ended job showed fewer results for good.
 #[test]
 fn nothing_is_listed_once_an_end_is_durable() {
-    let mut sheet = Sheet::new(Job::example("j", &["a", "b", "c"]), Progress::default(), 3);
+    let mut state = JobState::new(Job::example("j", &["a", "b", "c"]), Progress::default(), 3);
     for _ in 0..3 {
-        sheet.start_next().expect("an item");
+        state.start_next().expect("an item");
     }
-    sheet.on_done("a", outcome("a", "holder"));
+    state.on_done("a", outcome("a", "holder"));
     let ended = Progress { ended: true, ..Progress::default() };
-    sheet.on_overtaken(ended);
-    assert!(sheet.draft().is_none(), "made before it knew of the end");
-    sheet.on_done("b", outcome("b", "holder"));
-    assert!(sheet.draft().is_none(), "made after it knew");
-    sheet.on_failed("c", Failure::Impossible);
-    assert!(sheet.is_settled());
-    assert!(sheet.listed().is_empty());
+    state.on_overtaken(ended);
+    assert!(state.draft().is_none(), "made before it knew of the end");
+    state.on_done("b", outcome("b", "holder"));
+    assert!(state.draft().is_none(), "made after it knew");
+    state.on_failed("c", Failure::Impossible);
+    assert!(state.is_settled());
+    assert!(state.listed().is_empty());
 }
 
 #[test]
 fn what_is_done_before_an_end_is_listed_with_it() {
-    let mut sheet = Sheet::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
-    sheet.start_next().expect("an item");
-    sheet.on_done("a", outcome("a", "holder"));
-    sheet.end();
-    let draft = sheet.draft().expect("the end");
+    let mut state = JobState::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
+    state.start_next().expect("an item");
+    state.on_done("a", outcome("a", "holder"));
+    state.end();
+    let draft = state.draft().expect("the end");
     assert_eq!((draft.outcomes.len(), draft.ended), (1, true));
-    sheet.on_durable(&draft);
-    assert!(sheet.is_settled());
+    state.on_durable(&draft);
+    assert!(state.is_settled());
 }
 
 /// What the platform keeps of the job, with a revision.
@@ -117,7 +117,7 @@
 /// One holder with its idea of the revision.
 struct Worker {
     name: &'static str,
-    sheet: Sheet,
+    state: JobState,
     revision: u64,
 }
 
@@ -141,14 +141,14 @@
 }
 
 fn write(worker: &mut Worker, store: &mut Store, is_answer_lost: bool) {
-    let draft = worker.sheet.snapshot();
+    let draft = worker.state.snapshot();
     if store.revision != worker.revision {
         let found = store.progress.clone();
         worker.revision = store.revision;
         if found == draft {
-            worker.sheet.on_durable(&draft);
+            worker.state.on_durable(&draft);
         } else {
-            worker.sheet.on_overtaken(found);
+            worker.state.on_overtaken(found);
         }
         return;
     }
@@ -156,7 +156,7 @@
     store.revision += 1;
     if !is_answer_lost {
         worker.revision = store.revision;
-        worker.sheet.on_durable(&draft);
+        worker.state.on_durable(&draft);
     }
 }
 
@@ -170,7 +170,7 @@
         let mut store = Store { progress: Progress::default(), revision: 1 };
         let worker = |name| Worker {
             name,
-            sheet: Sheet::new(Job::example("j", &ITEMS), Progress::default(), 3),
+            state: JobState::new(Job::example("j", &ITEMS), Progress::default(), 3),
             revision: 1,
         };
         let mut workers = [worker("one"), worker("two")];
@@ -180,11 +180,11 @@
                 Step::Finish(w, item) => {
                     let worker = &mut workers[w];
                     let outcome = outcome(ITEMS[item], worker.name);
-                    worker.sheet.on_done(ITEMS[item], outcome);
+                    worker.state.on_done(ITEMS[item], outcome);
                 }
-                Step::Fail(w, item) => workers[w].sheet.on_failed(ITEMS[item], Failure::Failed),
+                Step::Fail(w, item) => workers[w].state.on_failed(ITEMS[item], Failure::Failed),
                 Step::Write(w, lost) => write(&mut workers[w], &mut store, lost),
-                Step::End(w) => workers[w].sheet.end(),
+                Step::End(w) => workers[w].state.end(),
             }
             let kept = &store.progress;
             prop_assert_eq!(&kept.outcomes[..before.outcomes.len()], &before.outcomes[..]);
@@ -193,7 +193,7 @@
             let items: BTreeSet<&str> = kept.outcomes.iter().map(|o| o.item.as_str()).collect();
             prop_assert_eq!(items.len(), kept.outcomes.len(), "each item once");
             for worker in &workers {
-                let listed = worker.sheet.listed();
+                let listed = worker.state.listed();
                 prop_assert_eq!(listed, &kept.outcomes[..listed.len()], "listed is durable");
             }
         }
@@ -204,7 +204,7 @@
             }
         }
         for worker in &workers {
-            prop_assert_eq!(worker.sheet.listed(), &store.progress.outcomes[..]);
+            prop_assert_eq!(worker.state.listed(), &store.progress.outcomes[..]);
         }
     }
 }
@@ -214,7 +214,7 @@
 #[test]
 fn what_a_holder_has_learnt_saves_the_next_one_the_runs() {
     let job = || Job::example("j", &["never", "done", "begun", "failed"]);
-    let mut first = Sheet::new(job(), Progress::default(), 3);
+    let mut first = JobState::new(job(), Progress::default(), 3);
     while first.start_next().is_some() {}
     first.on_failed("never", Failure::Impossible);
     first.on_done("done", outcome("done", "first"));
@@ -222,7 +222,7 @@
     first.on_stopped("begun", made.clone());
     first.on_failed("failed", Failure::Failed);
     first.on_failed("failed", Failure::Failed);
-    let mut second = Sheet::new(job(), Progress::default(), 3);
+    let mut second = JobState::new(job(), Progress::default(), 3);
     second.learn(first.learnt());
     assert_eq!(second.runnable(), 2, "neither what is done nor what can't be");
     assert_eq!(second.partial("begun"), made);
@@ -237,12 +237,12 @@
 #[test]
 fn what_two_holders_learnt_of_the_same_runs_counts_once() {
     let job = || Job::example("j", &["a", "b"]);
-    let mut first = Sheet::new(job(), Progress::default(), 3);
+    let mut first = JobState::new(job(), Progress::default(), 3);
     while first.start_next().is_some() {}
     first.on_failed("a", Failure::Failed);
     first.on_failed("a", Failure::Failed);
     first.on_done("b", outcome("b", "first"));
-    let mut second = Sheet::new(job(), Progress::default(), 3);
+    let mut second = JobState::new(job(), Progress::default(), 3);
     while second.start_next().is_some() {}
     second.on_failed("a", Failure::Failed);
     second.learn(first.learnt());
@@ -256,11 +256,11 @@
 #[test]
 fn nothing_learnt_is_listed_once_an_end_is_durable() {
     let job = || Job::example("j", &["a", "b"]);
-    let mut first = Sheet::new(job(), Progress::default(), 3);
+    let mut first = JobState::new(job(), Progress::default(), 3);
     first.start_next().expect("an item");
     first.on_done("a", outcome("a", "first"));
     let ended = Progress { ended: true, ..Progress::default() };
-    let mut second = Sheet::new(job(), ended, 3);
+    let mut second = JobState::new(job(), ended, 3);
     second.learn(first.learnt());
     assert!(second.draft().is_none());
 }
