--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -197,7 +197,7 @@
         let state = held.state.borrow();
         let id = state.job().id.clone();
         node.jobs.held.borrow_mut().remove(&id);
-        left.push((id, state.learnt()));
+        left.push((id, state.handoff()));
     }
     // While it is cut off there is nobody to pass a job to, and what it accepted
     // meanwhile is known to nobody else. The bound of the stop ends this.
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -17,7 +17,7 @@
 use coordination::range_scan::{Range, share};
 use platform::job;
 use platform::store::Object;
-use state::progress::Learnt;
+use state::progress::Handoff;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
@@ -128,7 +128,7 @@
                 Look::Orphan(status) => of_page.push(*status),
                 Look::Own => {
                     is_done &=
-                        takeover::take_over(node, &object.name, Learnt::default()).await.is_some();
+                        takeover::take_over(node, &object.name, Handoff::default()).await.is_some();
                 }
                 // Unless it is passed on, it has no holder in a moment.
                 Look::Leaving => is_done = false,
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -11,7 +11,7 @@
 use coordination::run_time::Span;
 use protocol::ServiceId;
 use protocol::routing::Route;
-use state::progress::{ItemId, Job, JobId, JobState, Learnt};
+use state::progress::{Handoff, ItemId, Job, JobId, JobState};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -99,7 +99,7 @@
     pub(super) span: RefCell<Span>,
     /// What was learnt elsewhere of jobs that this instance is about to take over, as
     /// others have asked.
-    pub(super) pending_takeovers: RefCell<HashMap<JobId, Vec<Learnt>>>,
+    pub(super) pending_takeovers: RefCell<HashMap<JobId, Vec<Handoff>>>,
     pub(super) filling: RefCell<HashSet<(String, ServiceId)>>,
 }
 
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -166,7 +166,7 @@
     tokio::time::sleep(RUN_STOP_DELAY).await;
     let (id, learnt) = {
         let state = held.state.borrow();
-        (state.job().id.clone(), state.learnt())
+        (state.job().id.clone(), state.handoff())
     };
     takeover::send_handoff(node, id, holder, learnt).await;
 }
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -12,7 +12,7 @@
 use platform::store::Fault;
 use platform::{header, job};
 use protocol::{Error, Kind};
-use state::progress::{Job, Learnt, Outcome, Progress};
+use state::progress::{Handoff, Job, Outcome, Progress};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use transport::listen::Body;
@@ -288,7 +288,7 @@
         Found::Stored(Box::new(stored_job.job), Box::new(stored_job.progress))
     };
     if keeper.instance == node.id() {
-        return match takeover::take_over(node, id, Learnt::default()).await {
+        return match takeover::take_over(node, id, Handoff::default()).await {
             Some(held) => Found::Here(held),
             None => stored(stored_job),
         };
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -10,7 +10,7 @@
 use protocol::routing::Version;
 use protocol::{ContentId, DataCentreId, InstanceId, ServiceId, TargetId};
 use serde::{Deserialize, Serialize};
-use state::progress::{Holder, ItemId, JobId, Learnt, Outcome};
+use state::progress::{Handoff, Holder, ItemId, JobId, Outcome};
 use std::net::SocketAddr;
 
 /// Names a wish among those of one asker.
@@ -180,7 +180,7 @@
     /// The end of a job.
     End(JobId),
     /// The receiver should hold the job; with what another holder has learnt of it.
-    Adopt(JobId, Learnt),
+    Adopt(JobId, Handoff),
     /// May a held request be tried? The receiver decides for it.
     Trial(ContentId),
     /// Strikes of requests that have several.
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -15,7 +15,7 @@
 use platform::store::Fault;
 use protocol::routing::Route;
 use protocol::{Error, Kind};
-use state::progress::{Job, JobId, Learnt, Progress};
+use state::progress::{Handoff, Job, JobId, Progress};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
@@ -224,7 +224,7 @@
         slog::info!(node.log, "holder not told of its job"; "job" => &id, "fault" => fault,
             "again" => !node.is_stopping());
         if node.is_stopping() {
-            takeover::hand_off(&node, &id, &Learnt::default()).await;
+            takeover::hand_off(&node, &id, &Handoff::default()).await;
             return;
         }
         tokio::time::sleep(node.store.backoff_remaining(clock::now()).max(TELL_AGAIN)).await;
@@ -251,10 +251,10 @@
     let member = node.members.borrow().get(summary.holder.instance).cloned();
     let Some(member) = member else {
         // Its own, or that of an instance that is gone.
-        takeover::take_over_with_retry(node, id, Learnt::default()).await;
+        takeover::take_over_with_retry(node, id, Handoff::default()).await;
         return Ok(());
     };
-    let ask = Ask::Adopt(id.to_owned(), Learnt::default());
+    let ask = Ask::Adopt(id.to_owned(), Handoff::default());
     let told = node.ask(member.peer, &ask, TELL_LIMIT).await;
     told.map(|_| ()).map_err(|fault| format!("{fault:?}"))
 }
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -16,7 +16,7 @@
 use coordination::membership::{Member, State, Table};
 use platform::job;
 use platform::store::{Fault, Object};
-use state::progress::{Holder, JobId, Learnt};
+use state::progress::{Handoff, Holder, JobId};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -62,7 +62,7 @@
         }
         let is_warmed_up = now >= began + MEMBERSHIP_WARM_UP;
         for id in due(&node, &mut noticed, is_warmed_up, now) {
-            take_over(&node, &id, Learnt::default()).await;
+            take_over(&node, &id, Handoff::default()).await;
         }
     }
 }
@@ -146,7 +146,7 @@
 
 /// Has another instance take a job over; this one, if no other does and it isn't
 /// stopping. `false` when nobody did.
-pub async fn hand_off(node: &Rc<Node>, id: &str, learnt: &Learnt) -> bool {
+pub async fn hand_off(node: &Rc<Node>, id: &str, learnt: &Handoff) -> bool {
     let mut ranked: Vec<Member> = node.members.borrow().workers().cloned().collect();
     ranked.sort_by_key(|member| std::cmp::Reverse(hash::weight(id.as_bytes(), member.id)));
     for member in ranked {
@@ -170,7 +170,7 @@
 
 /// Takes a job over, unless it is settled or another holder is at work; `None`
 /// when it can't be done now, or there is no such job.
-pub async fn take_over(node: &Rc<Node>, id: &str, learnt: Learnt) -> Option<Rc<HeldJob>> {
+pub async fn take_over(node: &Rc<Node>, id: &str, learnt: Handoff) -> Option<Rc<HeldJob>> {
     match try_take_over(node, id, &learnt).await {
         Ok(held) => held,
         Err(fault) => {
@@ -185,7 +185,7 @@
 ///
 /// Guards against a job that lies for the rest of the day because its holder couldn't
 /// read it at that moment (seen 41 s long, on a platform three hundred times slower).
-pub async fn take_over_with_retry(node: &Rc<Node>, id: &str, learnt: Learnt) {
+pub async fn take_over_with_retry(node: &Rc<Node>, id: &str, learnt: Handoff) {
     let is_first = {
         let mut pending_takeovers = node.jobs.pending_takeovers.borrow_mut();
         let is_first = !pending_takeovers.contains_key(id);
@@ -195,7 +195,7 @@
     if !is_first {
         return; // The one under way takes it in.
     }
-    while let Err(fault) = try_take_over(node, id, &Learnt::default()).await {
+    while let Err(fault) = try_take_over(node, id, &Handoff::default()).await {
         slog::info!(node.log, "job not taken over"; "job" => id, "fault" => %fault,
             "again" => !node.is_stopping());
         if node.is_stopping() {
@@ -213,12 +213,12 @@
     }
 }
 
-async fn hand_off_detached(node: Rc<Node>, id: JobId, learnt: Learnt) {
+async fn hand_off_detached(node: Rc<Node>, id: JobId, learnt: Handoff) {
     hand_off(&node, &id, &learnt).await;
 }
 
 /// Brings what was learnt of a job to its holder, be it this instance.
-async fn forward_handoff(node: &Rc<Node>, id: &str, learnt: Learnt) {
+async fn forward_handoff(node: &Rc<Node>, id: &str, learnt: Handoff) {
     if let Some(held) = node.jobs.held_job(id) {
         learn(node, &held, learnt);
         return;
@@ -230,15 +230,15 @@
 }
 
 /// Takes in what another holder has learnt.
-fn learn(node: &Node, held: &HeldJob, learnt: Learnt) {
-    held.state.borrow_mut().learn(learnt);
+fn learn(node: &Node, held: &HeldJob, learnt: Handoff) {
+    held.state.borrow_mut().merge_handoff(learnt);
     held.wake();
     node.jobs.wake();
 }
 
 /// Tells the holder of a job what was learnt here, until it has heard it: it may be
 /// out of sight for as long as a cut lasts.
-pub async fn send_handoff(node: Rc<Node>, id: JobId, holder: Holder, learnt: Learnt) {
+pub async fn send_handoff(node: Rc<Node>, id: JobId, holder: Holder, learnt: Handoff) {
     if learnt.is_empty() {
         return;
     }
@@ -263,7 +263,7 @@
 async fn try_take_over(
     node: &Rc<Node>,
     id: &str,
-    learnt: &Learnt,
+    learnt: &Handoff,
 ) -> Result<Option<Rc<HeldJob>>, Fault> {
     let mut conflict = None;
     for _ in 0..TRIES {
@@ -306,7 +306,7 @@
         // Others were faster: whoever holds it now is told, in case it doesn't
         // know, and asked from now on.
         slog::info!(node.log, "job is held"; "job" => &object.name, "holder" => %holder.peer);
-        node.tell(holder.peer, Ask::Adopt(object.name.clone(), Learnt::default()));
+        node.tell(holder.peer, Ask::Adopt(object.name.clone(), Handoff::default()));
         node.jobs.on_status(Status {
             job: object.name.clone(),
             holder: former,
--- a/crates/state/src/progress.rs
+++ b/crates/state/src/progress.rs
@@ -22,11 +22,11 @@
 //! assert_eq!(state.listed().len(), 1);
 //! ```
 
+mod handoff;
 mod job;
-mod learnt;
 
+pub use handoff::{Failure, Handoff, Partial};
 pub use job::{Failures, Holder, Item, ItemId, Job, JobId, Millis, Outcome, Progress};
-pub use learnt::{Failure, Learnt, Partial};
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, HashSet};
--- a/crates/state/src/progress/learnt.rs
+++ b/crates/state/src/progress/handoff.rs
@@ -29,7 +29,7 @@
 /// done was run by three holders within 4.4 s, four times in all, since each wrote its
 /// verdict down only after it had lost the job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Learnt {
+pub struct Handoff {
     /// What stopped runs have made.
     pub partials: HashMap<ItemId, Partial>,
     /// How often items failed.
@@ -38,7 +38,7 @@
     pub outcomes: Vec<Outcome>,
 }
 
-impl Learnt {
+impl Handoff {
     /// Whether there is nothing to pass on.
     pub fn is_empty(&self) -> bool {
         self.partials.is_empty() && self.failures.is_empty() && self.outcomes.is_empty()
@@ -47,8 +47,8 @@
 
 impl JobState {
     /// All that is known here and isn't durable, for the next holder.
-    pub fn learnt(&self) -> Learnt {
-        Learnt {
+    pub fn handoff(&self) -> Handoff {
+        Handoff {
             partials: self.partials.clone(),
             failures: self.failures.clone(),
             outcomes: self.fresh.clone(),
@@ -58,7 +58,7 @@
     /// Takes in what another holder has learnt. Both may have counted the same failed
     /// runs, so the higher count stands: an item runs too often rather than being
     /// given up too soon.
-    pub fn learn(&mut self, learnt: Learnt) {
+    pub fn merge_handoff(&mut self, learnt: Handoff) {
         learnt.outcomes.into_iter().for_each(|outcome| self.settle(outcome));
         self.merge_failures(&learnt.failures);
         self.merge_partials(learnt.partials);
--- a/crates/state/tests/progress.rs
+++ b/crates/state/tests/progress.rs
@@ -223,7 +223,7 @@
     first.on_failed("failed", Failure::Failed);
     first.on_failed("failed", Failure::Failed);
     let mut second = JobState::new(job(), Progress::default(), 3);
-    second.learn(first.learnt());
+    second.merge_handoff(first.handoff());
     assert_eq!(second.runnable(), 2, "neither what is done nor what can't be");
     assert_eq!(second.partial("begun"), made);
     second.on_failed("failed", Failure::Failed);
@@ -245,8 +245,8 @@
     let mut second = JobState::new(job(), Progress::default(), 3);
     while second.start_next().is_some() {}
     second.on_failed("a", Failure::Failed);
-    second.learn(first.learnt());
-    second.learn(first.learnt());
+    second.merge_handoff(first.handoff());
+    second.merge_handoff(first.handoff());
     assert!(!second.is_done(), "two failures are known for sure, not three or five");
     second.on_done("b", outcome("b", "second"));
     let draft = second.draft().expect("a result");
@@ -261,6 +261,6 @@
     first.on_done("a", outcome("a", "first"));
     let ended = Progress { ended: true, ..Progress::default() };
     let mut second = JobState::new(job(), ended, 3);
-    second.learn(first.learnt());
+    second.merge_handoff(first.handoff());
     assert!(second.draft().is_none());
 }
