--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -22,7 +22,8 @@
 mod row;
 
 pub use lease::{
-    Ask, Chance, End, Grant, Held, LeaseId, Policy, Purpose, Report, Revocation, Verdict, WaiterId,
+    Chance, End, Grant, Held, LeaseId, Policy, Purpose, Report, Request, Revocation, Verdict,
+    WaiterId,
 };
 
 use crate::run_time::Span;
@@ -49,7 +50,7 @@
 
 #[derive(Clone, Debug)]
 struct Waiter {
-    ask: Ask,
+    ask: Request,
     since: Instant,
 }
 
@@ -60,7 +61,7 @@
 
 /// The account.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct Allocator {
     policy: Policy,
     since: Instant,
     rows: BTreeMap<TargetId, Row>,
@@ -75,10 +76,10 @@
     span: Span,
 }
 
-impl Ledger {
+impl Allocator {
     /// An empty account; `seed` makes its lease ids differ from those of others.
-    pub fn new(policy: Policy, seed: u64, now: Instant) -> Ledger {
-        Ledger {
+    pub fn new(policy: Policy, seed: u64, now: Instant) -> Allocator {
+        Allocator {
             policy,
             since: now,
             rows: BTreeMap::new(),
@@ -116,7 +117,7 @@
     }
 
     /// Whether the account has a target that may be used for a wish.
-    pub fn has_service(&self, ask: &Ask) -> bool {
+    pub fn has_service(&self, ask: &Request) -> bool {
         self.rows.values().any(|row| row.serves(ask))
     }
 
@@ -132,7 +133,7 @@
     }
 
     /// Answers a wish.
-    pub fn on_ask(&mut self, ask: Ask, now: Instant) -> Verdict {
+    pub fn on_request(&mut self, ask: Request, now: Instant) -> Verdict {
         if !self.has_service(&ask) {
             return Verdict::Unknown;
         }
@@ -160,7 +161,7 @@
     }
 
     /// Whether somebody waits who goes before this wish.
-    fn is_behind_others(&self, ask: &Ask, now: Instant) -> bool {
+    fn is_behind_others(&self, ask: &Request, now: Instant) -> bool {
         let turn = ask.turn(&self.policy, now);
         self.waiters
             .values()
@@ -171,7 +172,7 @@
     /// come free one after the other as online requests end, in all the accounts
     /// in which they wait. The others are taken to have lost as large a share of
     /// their targets as this one.
-    fn expected_wait(&self, ask: &Ask, ahead: usize, now: Instant) -> Duration {
+    fn expected_wait(&self, ask: &Request, ahead: usize, now: Instant) -> Duration {
         let fits = |row: &&Row| row.serves(ask);
         let own: u32 = self.rows.values().filter(fits).map(|row| row.target.slots).sum();
         let in_use = self.rows.values().filter(fits).filter(|row| row.is_in_use(now));
@@ -181,7 +182,7 @@
         Duration::from_secs_f64(self.hold * (ahead + 1) as f64 / slots)
     }
 
-    fn grant(&mut self, ask: &Ask, now: Instant) -> Option<(Grant, Option<Revocation>)> {
+    fn grant(&mut self, ask: &Request, now: Instant) -> Option<(Grant, Option<Revocation>)> {
         let is_settling = now < self.since + self.policy.settle;
         if ask.purpose == Purpose::Batch && (is_settling || !self.has_headroom(ask)) {
             return None;
@@ -203,7 +204,7 @@
 
     /// The target for a wish, and its rank: one with a free slot, the least loaded
     /// first; for online, else one where batch can be stopped.
-    fn choose(&self, ask: &Ask, now: Instant) -> Option<(TargetId, Rank)> {
+    fn choose(&self, ask: &Request, now: Instant) -> Option<(TargetId, Rank)> {
         let median = self.median_pace();
         let mut best: Option<(Rank, &TargetId)> = None;
         for (id, row) in &self.rows {
@@ -224,7 +225,7 @@
         known.get(known.len() / 2).copied().unwrap_or(0.0)
     }
 
-    fn add(&mut self, id: LeaseId, ask: &Ask, target: TargetId, now: Instant) {
+    fn add(&mut self, id: LeaseId, ask: &Request, target: TargetId, now: Instant) {
         if let Some(row) = self.rows.get_mut(&target) {
             *row.count(ask.purpose) += 1;
         }
@@ -276,7 +277,7 @@
     pub fn next_grants(&mut self, now: Instant) -> Vec<(WaiterId, Grant, Option<Revocation>)> {
         let mut grants = Vec::new();
         // Wishes that found nothing: nobody behind goes before.
-        let mut full: Vec<Ask> = Vec::new();
+        let mut full: Vec<Request> = Vec::new();
         let mut passed_over: HashSet<WaiterId> = HashSet::new();
         while let Some(id) = self.first_in_turn(&full, &passed_over, now) {
             let Some(ask) = self.waiters.get(&id).map(|waiter| waiter.ask.clone()) else {
@@ -304,11 +305,11 @@
     /// has taken; mean of 2,000 calls), on instances that have an eighth of a core.
     fn first_in_turn(
         &self,
-        full: &[Ask],
+        full: &[Request],
         passed_over: &HashSet<WaiterId>,
         now: Instant,
     ) -> Option<WaiterId> {
-        let is_kept_back = |ask: &Ask| full.iter().any(|first| first.keeps_back(ask));
+        let is_kept_back = |ask: &Request| full.iter().any(|first| first.keeps_back(ask));
         let open = self
             .waiters
             .iter()
--- a/crates/coordination/src/slots/batch.rs
+++ b/crates/coordination/src/slots/batch.rs
@@ -1,9 +1,9 @@
 //! How batch gives way to online: the slots that it leaves free, and the leases that are
 //! taken back from it.
 
-use super::lease::{Ask, LeaseId, Purpose, Revocation};
+use super::lease::{LeaseId, Purpose, Request, Revocation};
 use super::row::{Rank, Row};
-use super::{Lease, Ledger};
+use super::{Allocator, Lease};
 use crate::TargetId;
 use std::collections::HashSet;
 use std::time::Instant;
@@ -11,9 +11,9 @@
 /// Slots that batch leaves free however few requests come, if its share is that much:
 /// two that come together stop nothing.
 const PAIR: f64 = 2.0;
-impl Ledger {
+impl Allocator {
     /// Whether batch may take one more slot of the service.
-    pub(super) fn has_headroom(&self, ask: &Ask) -> bool {
+    pub(super) fn has_headroom(&self, ask: &Request) -> bool {
         let fits = |row: &&Row| row.serves(ask);
         let slots: u32 = self.rows.values().filter(fits).map(|row| row.target.slots).sum();
         let used: u32 = self.rows.values().filter(fits).map(Row::used).sum();
@@ -36,7 +36,7 @@
     }
 
     /// Targets that are as good for a wish as the best, which is full.
-    pub(super) fn alike(&self, ask: &Ask, rank: Rank, now: Instant) -> HashSet<TargetId> {
+    pub(super) fn alike(&self, ask: &Request, rank: Rank, now: Instant) -> HashSet<TargetId> {
         let median = self.median_pace();
         let is_alike = |row: &Row| row.rank(ask, median, &self.policy, now) == Some(rank);
         let alike = self.rows.iter().filter(|(_, row)| is_alike(row));
--- a/crates/coordination/src/slots/holders.rs
+++ b/crates/coordination/src/slots/holders.rs
@@ -1,13 +1,13 @@
 //! Makes an account agree with what its holders say, whatever was lost between.
 
-use super::lease::{Ask, Held, LeaseId, Purpose, Revocation};
+use super::lease::{Held, LeaseId, Purpose, Request, Revocation};
 use super::row::Row;
-use super::{Lease, Ledger};
+use super::{Allocator, Lease};
 use crate::{InstanceId, TargetId};
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-impl Ledger {
+impl Allocator {
     /// Instances that hold leases.
     pub fn holders(&self) -> HashSet<InstanceId> {
         self.leases.values().map(|lease| lease.holder).collect()
@@ -72,7 +72,7 @@
             if self.leases.contains_key(&held.lease) || !self.rows.contains_key(&held.target) {
                 continue;
             }
-            let ask = Ask {
+            let ask = Request {
                 holder,
                 data_centre: String::new(),
                 service: String::new(),
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -77,7 +77,7 @@
 
 /// A wish for a slot.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Request {
     /// Who asks.
     pub holder: InstanceId,
     /// Data centre of the account that is asked. One instance may keep several.
@@ -135,14 +135,14 @@
     }
 }
 
-impl Ask {
+impl Request {
     /// Whether another wish asks for the same slots.
-    pub(super) fn is_like(&self, other: &Ask) -> bool {
+    pub(super) fn is_like(&self, other: &Request) -> bool {
         self.service == other.service && self.data_centre == other.data_centre
     }
 
     /// Whether a wish that found nothing says the same for another, whose turn is later.
-    pub(super) fn keeps_back(&self, other: &Ask) -> bool {
+    pub(super) fn keeps_back(&self, other: &Request) -> bool {
         let is_before = self.purpose == Purpose::Online || self.purpose == other.purpose;
         is_before && self.is_like(other)
     }
--- a/crates/coordination/src/slots/row.rs
+++ b/crates/coordination/src/slots/row.rs
@@ -1,6 +1,6 @@
 //! One target in the account: what is out there, and how it has done lately.
 
-use super::lease::{Ask, End, Policy, Purpose, Report};
+use super::lease::{End, Policy, Purpose, Report, Request};
 use crate::ejection::{Health, Use};
 use protocol::routing::Target;
 use std::time::{Duration, Instant};
@@ -95,7 +95,7 @@
     }
 
     /// Whether new requests of a wish's service and data centre may go there.
-    pub(super) fn serves(&self, ask: &Ask) -> bool {
+    pub(super) fn serves(&self, ask: &Request) -> bool {
         let Target { service, data_centre, leaving, .. } = &self.target;
         *service == ask.service && *data_centre == ask.data_centre && !leaving
     }
@@ -104,7 +104,7 @@
     /// usual pace of the account's targets, in seconds.
     pub(super) fn rank(
         &self,
-        ask: &Ask,
+        ask: &Request,
         median: f64,
         policy: &Policy,
         now: Instant,
--- a/crates/coordination/tests/overload.rs
+++ b/crates/coordination/tests/overload.rs
@@ -3,7 +3,9 @@
 
 mod common;
 
-use coordination::slots::{Ask, End, Grant, Ledger, Policy, Purpose, Report, Verdict, WaiterId};
+use coordination::slots::{
+    Allocator, End, Grant, Policy, Purpose, Report, Request, Verdict, WaiterId,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
@@ -31,7 +33,7 @@
 }
 
 struct World {
-    ledger: Ledger,
+    ledger: Allocator,
     now: Instant,
     /// Leases by the time at which they end.
     ends: BinaryHeap<Reverse<(Instant, u64)>>,
@@ -41,7 +43,7 @@
 
 impl World {
     fn new(policy: Policy, now: Instant) -> World {
-        let mut ledger = Ledger::new(policy, 0, now - Duration::from_secs(10));
+        let mut ledger = Allocator::new(policy, 0, now - Duration::from_secs(10));
         ledger.set_targets(&common::targets(TARGETS, SLOTS));
         let (ends, waiting) = (BinaryHeap::new(), HashMap::new());
         World { ledger, now, ends, waiting, tally: Tally::default() }
@@ -58,7 +60,7 @@
 
     fn arrive(&mut self) {
         let now = self.now;
-        let ask = Ask {
+        let ask = Request {
             holder: 1,
             data_centre: String::from("east"),
             service: String::from("llm"),
@@ -73,7 +75,7 @@
             avoid: Vec::new(),
             may_wait: true,
         };
-        match self.ledger.on_ask(ask, now) {
+        match self.ledger.on_request(ask, now) {
             Verdict::Granted(grant, _) => self.on_grant(&grant, now),
             Verdict::Waiting(id) => {
                 self.waiting.insert(id, now);
--- a/crates/coordination/tests/shortage.rs
+++ b/crates/coordination/tests/shortage.rs
@@ -6,7 +6,7 @@
 
 use coordination::run_time::{Done, Span};
 use coordination::slots::{
-    Ask, End, Grant, LeaseId, Ledger, Policy, Purpose, Report, Revocation, Verdict, WaiterId,
+    Allocator, End, Grant, LeaseId, Policy, Purpose, Report, Request, Revocation, Verdict, WaiterId,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -69,7 +69,7 @@
 }
 
 struct World {
-    ledger: Ledger,
+    ledger: Allocator,
     /// What the holders know of how long items run, and whether the account tells them.
     span: Span,
     is_told: bool,
@@ -85,7 +85,7 @@
 
 impl World {
     fn new(policy: Policy, is_told: bool, now: Instant) -> World {
-        let mut ledger = Ledger::new(policy, 0, now - Duration::from_secs(10));
+        let mut ledger = Allocator::new(policy, 0, now - Duration::from_secs(10));
         ledger.set_targets(&common::targets(TARGETS, SLOTS));
         World {
             ledger,
@@ -102,9 +102,9 @@
         }
     }
 
-    fn ask(&self, purpose: Purpose) -> Ask {
+    fn ask(&self, purpose: Purpose) -> Request {
         let now = self.now;
-        Ask {
+        Request {
             holder: 1,
             data_centre: String::from("east"),
             service: String::from("llm"),
@@ -123,7 +123,7 @@
 
     fn arrive(&mut self) {
         self.online_all += 1;
-        match self.ledger.on_ask(self.ask(Purpose::Online), self.now) {
+        match self.ledger.on_request(self.ask(Purpose::Online), self.now) {
             Verdict::Granted(grant, stopped) => self.on_online(&grant, stopped, self.now),
             Verdict::Waiting(id) => {
                 self.online_waits.insert(id, self.now);
@@ -164,7 +164,7 @@
                 let due = self.jobs[job].due;
                 let made = self.made(&self.jobs[job].items[next]);
                 let latest = |time: Duration| due.checked_sub(time).expect("a time");
-                let ask = Ask {
+                let ask = Request {
                     due: due.max(self.now),
                     left: self.span.left(made),
                     is_begun: made > 0,
@@ -172,7 +172,7 @@
                     sure_until: latest(self.span.surely(made, SPARE)),
                     ..self.ask(Purpose::Batch)
                 };
-                match self.ledger.on_ask(ask, self.now) {
+                match self.ledger.on_request(ask, self.now) {
                     Verdict::Granted(grant, _) => self.on_batch(job, &grant),
                     Verdict::Waiting(id) => {
                         self.jobs[job].wish = Some((id, self.now));
--- a/crates/coordination/tests/slots/health.rs
+++ b/crates/coordination/tests/slots/health.rs
@@ -1,7 +1,7 @@
 //! Targets that fail, fall silent or are doubted.
 
 use crate::{MS, ask, grant, ledger, target};
-use coordination::slots::{Ask, End, Grant, Ledger, Policy, Purpose, Report, Verdict};
+use coordination::slots::{Allocator, End, Grant, Policy, Purpose, Report, Request, Verdict};
 use protocol::routing::Target;
 use rstest::rstest;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
     let back = grant(&mut ledger, ask(Purpose::Online, later), later);
     assert_eq!(back.target, lost.target);
     // One at a time until it has done a few.
-    assert!(matches!(ledger.on_ask(ask(Purpose::Online, later), later), Verdict::Full(_)));
+    assert!(matches!(ledger.on_request(ask(Purpose::Online, later), later), Verdict::Full(_)));
 }
 
 /// Regression: when all connections of the fleet were reset, each target lost eight
@@ -29,7 +29,7 @@
 #[test]
 fn requests_that_break_off_together_are_one_event() {
     let now = Instant::now();
-    let mut ledger = Ledger::new(Policy::default(), 0, now - Duration::from_secs(10));
+    let mut ledger = Allocator::new(Policy::default(), 0, now - Duration::from_secs(10));
     ledger.set_targets(&[target(0, 8)]);
     let leases: Vec<Grant> =
         (0..8).map(|_| grant(&mut ledger, ask(Purpose::Online, now), now)).collect();
@@ -44,7 +44,7 @@
         ledger.on_release(next.lease, broken, at + MS);
     }
     let after = later + MS * 10;
-    let verdict = ledger.on_ask(ask(Purpose::Online, after), after);
+    let verdict = ledger.on_request(ask(Purpose::Online, after), after);
     assert!(matches!(verdict, Verdict::Full(_)), "one after the other they are: {verdict:?}");
 }
 
@@ -60,9 +60,9 @@
 }
 
 /// A request on a target ended so.
-fn end_at(ledger: &mut Ledger, target: &str, end: End, now: Instant) {
+fn end_at(ledger: &mut Allocator, target: &str, end: End, now: Instant) {
     let avoid = (0..8).map(|n| format!("t{n}")).filter(|id| id != target).collect();
-    let grant = grant(ledger, Ask { avoid, ..ask(Purpose::Online, now) }, now);
+    let grant = grant(ledger, Request { avoid, ..ask(Purpose::Online, now) }, now);
     ledger.on_release(grant.lease, Report { end, ..Report::default() }, now);
 }
 
@@ -83,9 +83,10 @@
     for _ in 0..2 {
         assert_eq!(grant(&mut ledger, ask(Purpose::Batch, now), now).target, "t1");
     }
-    assert!(matches!(ledger.on_ask(ask(Purpose::Batch, now), now), Verdict::Full(_)));
+    assert!(matches!(ledger.on_request(ask(Purpose::Batch, now), now), Verdict::Full(_)));
     // A slot of batch at the sound target goes before a free one at the other.
-    let Verdict::Granted(online, Some(_)) = ledger.on_ask(ask(Purpose::Online, now), now) else {
+    let Verdict::Granted(online, Some(_)) = ledger.on_request(ask(Purpose::Online, now), now)
+    else {
         panic!("batch isn't stopped");
     };
     assert_eq!(online.target, "t1");
@@ -117,7 +118,7 @@
     let lost = grant(&mut ledger, ask(Purpose::Online, now), now);
     let silent = Report { end: End::Silent, ..Report::default() };
     ledger.on_release(lost.lease, silent, now);
-    let verdict = ledger.on_ask(ask(Purpose::Online, now), now);
+    let verdict = ledger.on_request(ask(Purpose::Online, now), now);
     assert!(matches!(verdict, Verdict::Full(_)), "out of use: {verdict:?}");
     ledger.set_targets(&[Target { born: 7, revision: 2, ..target(0, 2) }]);
     for _ in 0..2 {
@@ -126,6 +127,6 @@
     // The end of a run of the earlier start frees no slot of this one.
     ledger.on_release(old.lease, Report::default(), now);
     assert_eq!(ledger.in_use(), [2, 0]);
-    let verdict = ledger.on_ask(ask(Purpose::Online, now), now);
+    let verdict = ledger.on_request(ask(Purpose::Online, now), now);
     assert!(matches!(verdict, Verdict::Full(_)), "{verdict:?}");
 }
--- a/crates/coordination/tests/slots/main.rs
+++ b/crates/coordination/tests/slots/main.rs
@@ -7,7 +7,7 @@
 mod order;
 mod waits;
 
-use coordination::slots::{Ask, Grant, Ledger, Policy, Purpose, Verdict};
+use coordination::slots::{Allocator, Grant, Policy, Purpose, Request, Verdict};
 use protocol::routing::Target;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -28,16 +28,16 @@
 }
 
 /// An account of `targets` targets with two slots each, past its settling time.
-fn ledger(targets: u16, now: Instant) -> Ledger {
+fn ledger(targets: u16, now: Instant) -> Allocator {
     let policy = Policy { headroom: 0.0, ..Policy::default() };
-    let mut ledger = Ledger::new(policy, 0, now - Duration::from_secs(10));
+    let mut ledger = Allocator::new(policy, 0, now - Duration::from_secs(10));
     let targets: Vec<Target> = (0..targets).map(|n| target(n, 2)).collect();
     ledger.set_targets(&targets);
     ledger
 }
 
-fn ask(purpose: Purpose, now: Instant) -> Ask {
-    Ask {
+fn ask(purpose: Purpose, now: Instant) -> Request {
+    Request {
         holder: 1,
         data_centre: String::from("east"),
         service: String::from("llm"),
@@ -55,8 +55,8 @@
 }
 
 #[track_caller]
-fn grant(ledger: &mut Ledger, ask: Ask, now: Instant) -> Grant {
-    match ledger.on_ask(ask, now) {
+fn grant(ledger: &mut Allocator, ask: Request, now: Instant) -> Grant {
+    match ledger.on_request(ask, now) {
         Verdict::Granted(grant, _) => grant,
         other => panic!("no slot: {other:?}"),
     }
--- a/crates/coordination/tests/slots/model.rs
+++ b/crates/coordination/tests/slots/model.rs
@@ -1,7 +1,7 @@
 //! Random wishes and releases against a count of one's own.
 
 use crate::{MS, ask, ledger};
-use coordination::slots::{Ask, Grant, Purpose, Report, Verdict};
+use coordination::slots::{Grant, Purpose, Report, Request, Verdict};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -62,12 +62,12 @@
             now += MS * 7;
             let verdict = match step {
                 Step::Online => {
-                    let ask = Ask { may_wait: true, ..ask(Purpose::Online, now) };
-                    Some((Purpose::Online, ledger.on_ask(ask, now)))
+                    let ask = Request { may_wait: true, ..ask(Purpose::Online, now) };
+                    Some((Purpose::Online, ledger.on_request(ask, now)))
                 }
                 Step::Batch => {
-                    let ask = Ask { may_wait: true, ..ask(Purpose::Batch, now) };
-                    Some((Purpose::Batch, ledger.on_ask(ask, now)))
+                    let ask = Request { may_wait: true, ..ask(Purpose::Batch, now) };
+                    Some((Purpose::Batch, ledger.on_request(ask, now)))
                 }
                 Step::Release(n) => {
                     let id = model.out.keys().nth(n % model.out.len().max(1)).copied();
--- a/crates/coordination/tests/slots/order.rs
+++ b/crates/coordination/tests/slots/order.rs
@@ -2,7 +2,7 @@
 
 use crate::waits::wait;
 use crate::{MS, ask, grant, ledger, target};
-use coordination::slots::{Ask, Ledger, Policy, Purpose, Report, Verdict};
+use coordination::slots::{Allocator, Policy, Purpose, Report, Request, Verdict};
 use protocol::routing::Target;
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
     let now = Instant::now();
     let mut ledger = ledger(2, now);
     let batch = grant(&mut ledger, ask(Purpose::Batch, now), now);
-    match ledger.on_ask(ask(Purpose::Online, now), now) {
+    match ledger.on_request(ask(Purpose::Online, now), now) {
         Verdict::Granted(grant, None) => assert_ne!(grant.target, batch.target, "the emptier one"),
         other => panic!("{other:?}"),
     }
@@ -21,9 +21,9 @@
 fn online_stops_the_least_urgent_item_when_nothing_is_free() {
     let now = Instant::now();
     let mut ledger = ledger(1, now);
-    let soon = grant(&mut ledger, Ask { due: now, ..ask(Purpose::Batch, now) }, now);
+    let soon = grant(&mut ledger, Request { due: now, ..ask(Purpose::Batch, now) }, now);
     let later = grant(&mut ledger, ask(Purpose::Batch, now), now);
-    match ledger.on_ask(ask(Purpose::Online, now), now) {
+    match ledger.on_request(ask(Purpose::Online, now), now) {
         Verdict::Granted(_, Some(revocation)) => assert_eq!(revocation.lease, later.lease),
         other => panic!("{other:?}"),
     }
@@ -39,14 +39,14 @@
 fn batch_leaves_headroom_to_online() {
     let now = Instant::now();
     let policy = Policy { headroom: 0.25, ..Policy::default() };
-    let mut ledger = Ledger::new(policy, 0, now - Duration::from_secs(10));
+    let mut ledger = Allocator::new(policy, 0, now - Duration::from_secs(10));
     let targets = [target(0, 4), target(1, 4)];
     ledger.set_targets(&targets);
     for _ in 0..6 {
         grant(&mut ledger, ask(Purpose::Batch, now), now);
     }
-    assert!(matches!(ledger.on_ask(ask(Purpose::Batch, now), now), Verdict::Full(_)));
-    assert!(matches!(ledger.on_ask(ask(Purpose::Online, now), now), Verdict::Granted(_, None)));
+    assert!(matches!(ledger.on_request(ask(Purpose::Batch, now), now), Verdict::Full(_)));
+    assert!(matches!(ledger.on_request(ask(Purpose::Online, now), now), Verdict::Granted(_, None)));
 }
 
 #[test]
@@ -55,13 +55,13 @@
     let mut ledger = ledger(1, now);
     let first = grant(&mut ledger, ask(Purpose::Online, now), now);
     grant(&mut ledger, ask(Purpose::Online, now), now);
-    let waits = |purpose| Ask { may_wait: true, ..ask(purpose, now) };
-    let Verdict::Waiting(batch) = ledger.on_ask(waits(Purpose::Batch), now) else {
+    let waits = |purpose| Request { may_wait: true, ..ask(purpose, now) };
+    let Verdict::Waiting(batch) = ledger.on_request(waits(Purpose::Batch), now) else {
         panic!("batch waits");
     };
     ledger.on_release(first.lease, Report::default(), now);
     let second = grant(&mut ledger, ask(Purpose::Online, now), now);
-    let Verdict::Waiting(online) = ledger.on_ask(waits(Purpose::Online), now) else {
+    let Verdict::Waiting(online) = ledger.on_request(waits(Purpose::Online), now) else {
         panic!("online waits");
     };
     ledger.on_release(second.lease, Report::default(), now);
@@ -76,7 +76,7 @@
 fn batch_that_cannot_be_in_time_waits_last_and_gives_way_first() {
     let now = Instant::now();
     let mut ledger = ledger(1, now);
-    let item = |due: u32, in_time: u32| Ask {
+    let item = |due: u32, in_time: u32| Request {
         due: now + MS * due,
         in_time_until: now + MS * in_time,
         ..ask(Purpose::Batch, now)
@@ -86,7 +86,7 @@
     let in_time = grant(&mut ledger, item(9_000, 4_000), later);
     let waits_late = wait(&mut ledger, item(500, 0), later);
     let waits = wait(&mut ledger, item(9_500, 4_500), later);
-    match ledger.on_ask(ask(Purpose::Online, later), later) {
+    match ledger.on_request(ask(Purpose::Online, later), later) {
         Verdict::Granted(_, Some(revocation)) => assert_eq!(revocation.lease, late.lease),
         other => panic!("{other:?}"),
     }
@@ -101,12 +101,12 @@
 #[test]
 fn a_wish_gets_slots_of_the_data_centre_that_it_asks_alone() {
     let now = Instant::now();
-    let mut ledger = Ledger::new(Policy::default(), 0, now - Duration::from_secs(10));
+    let mut ledger = Allocator::new(Policy::default(), 0, now - Duration::from_secs(10));
     let west = Target { data_centre: String::from("west"), ..target(0, 8) };
     ledger.set_targets(&[west, target(1, 1)]);
     assert_eq!(grant(&mut ledger, ask(Purpose::Online, now), now).target, "t1");
-    assert!(matches!(ledger.on_ask(ask(Purpose::Online, now), now), Verdict::Full(_)));
-    let for_west = Ask { data_centre: String::from("west"), ..ask(Purpose::Online, now) };
+    assert!(matches!(ledger.on_request(ask(Purpose::Online, now), now), Verdict::Full(_)));
+    let for_west = Request { data_centre: String::from("west"), ..ask(Purpose::Online, now) };
     assert_eq!(grant(&mut ledger, for_west, now).target, "t0");
 }
 
@@ -118,9 +118,9 @@
     let mut ledger = ledger(1, now);
     let taken = grant(&mut ledger, ask(Purpose::Online, now), now);
     grant(&mut ledger, ask(Purpose::Online, now), now);
-    let fresh = Ask { due: now + MS * 3_000, ..ask(Purpose::Batch, now) };
+    let fresh = Request { due: now + MS * 3_000, ..ask(Purpose::Batch, now) };
     let fresh = wait(&mut ledger, fresh, now);
-    let begun = wait(&mut ledger, Ask { is_begun: true, ..ask(Purpose::Batch, now) }, now);
+    let begun = wait(&mut ledger, Request { is_begun: true, ..ask(Purpose::Batch, now) }, now);
     ledger.on_release(taken.lease, Report::default(), now);
     let grants = ledger.next_grants(now);
     assert_eq!(grants.iter().map(|(id, ..)| *id).collect::<Vec<_>>(), [begun]);
@@ -133,7 +133,7 @@
     let mut ledger = ledger(2, now);
     let taken: Vec<_> =
         (0..4).map(|_| grant(&mut ledger, ask(Purpose::Online, now), now)).collect();
-    let item = |sure_ms: u32, in_time_ms: u32| Ask {
+    let item = |sure_ms: u32, in_time_ms: u32| Request {
         sure_until: now + MS * sure_ms,
         in_time_until: now + MS * in_time_ms,
         due: now + MS * (in_time_ms + 1_000),
@@ -156,12 +156,12 @@
 fn online_stops_the_item_with_most_of_its_time_before_it_on_whatever_target() {
     let now = Instant::now();
     let mut ledger = ledger(2, now);
-    let item = |left_ms: u32| Ask { left: MS * left_ms, ..ask(Purpose::Batch, now) };
+    let item = |left_ms: u32| Request { left: MS * left_ms, ..ask(Purpose::Batch, now) };
     let leases: Vec<_> =
         [300, 900, 4_000, 2_000].map(|left| grant(&mut ledger, item(left), now)).into();
     let mut stopped = Vec::new();
     for _ in 0..3 {
-        match ledger.on_ask(ask(Purpose::Online, now), now) {
+        match ledger.on_request(ask(Purpose::Online, now), now) {
             Verdict::Granted(_, Some(revocation)) => stopped.push(revocation.lease),
             other => panic!("{other:?}"),
         }
@@ -173,14 +173,14 @@
 #[test]
 fn batch_leaves_few_slots_free_where_few_requests_come() {
     let now = Instant::now();
-    let mut ledger = Ledger::new(Policy::default(), 0, now - Duration::from_secs(10));
+    let mut ledger = Allocator::new(Policy::default(), 0, now - Duration::from_secs(10));
     let targets: Vec<Target> = (0..30).map(|n| target(n, 7)).collect();
     ledger.set_targets(&targets);
     for _ in 0..46 {
         grant(&mut ledger, ask(Purpose::Online, now), now);
     }
     let wants =
-        |_: &u32| matches!(ledger.on_ask(ask(Purpose::Batch, now), now), Verdict::Granted(..));
+        |_: &u32| matches!(ledger.on_request(ask(Purpose::Batch, now), now), Verdict::Granted(..));
     let granted = (0..210).take_while(wants).count();
     // By its share alone it left 13 free. Requests of half a second come 92 a second.
     assert_eq!(granted, 210 - 46 - 5);
--- a/crates/coordination/tests/slots/waits.rs
+++ b/crates/coordination/tests/slots/waits.rs
@@ -1,7 +1,7 @@
 //! How long a wish is expected to wait, and who is refused for it.
 
 use crate::{MS, ask, grant, ledger};
-use coordination::slots::{Ask, End, Grant, Ledger, Purpose, Report, Verdict};
+use coordination::slots::{Allocator, End, Grant, Purpose, Report, Request, Verdict};
 use std::time::Instant;
 
 #[test]
@@ -10,15 +10,15 @@
     let mut ledger = ledger(1, now);
     grant(&mut ledger, ask(Purpose::Online, now), now);
     grant(&mut ledger, ask(Purpose::Online, now), now);
-    let hopeless = Ask { until: now + MS * 10, may_wait: true, ..ask(Purpose::Online, now) };
-    match ledger.on_ask(hopeless, now) {
+    let hopeless = Request { until: now + MS * 10, may_wait: true, ..ask(Purpose::Online, now) };
+    match ledger.on_request(hopeless, now) {
         Verdict::Full(after) => assert!(after >= MS * 100 && after <= MS * 1_500),
         other => panic!("{other:?}"),
     }
 }
 
 /// An account of one target whose two slots are taken.
-pub fn full_ledger(now: Instant) -> Ledger {
+pub fn full_ledger(now: Instant) -> Allocator {
     let mut ledger = ledger(1, now);
     for _ in 0..2 {
         grant(&mut ledger, ask(Purpose::Online, now), now);
@@ -27,8 +27,8 @@
 }
 
 #[track_caller]
-pub fn wait(ledger: &mut Ledger, ask: Ask, now: Instant) -> u64 {
-    match ledger.on_ask(Ask { may_wait: true, ..ask }, now) {
+pub fn wait(ledger: &mut Allocator, ask: Request, now: Instant) -> u64 {
+    match ledger.on_request(Request { may_wait: true, ..ask }, now) {
         Verdict::Waiting(id) => id,
         other => panic!("it waits: {other:?}"),
     }
@@ -39,7 +39,7 @@
     let now = Instant::now();
     let mut ledger = full_ledger(now);
     // Leases are taken to last half a second: with two slots, one each 250 ms.
-    let patient = Ask { until: now + MS * 400, ..ask(Purpose::Online, now) };
+    let patient = Request { until: now + MS * 400, ..ask(Purpose::Online, now) };
     let id = wait(&mut ledger, patient, now);
     assert!(ledger.hopeless(now + MS * 100).is_empty(), "its turn is expected before");
     let refused = ledger.hopeless(now + MS * 200);
@@ -54,7 +54,7 @@
     let mut ledger = ledger(2, now);
     let taken: Vec<Grant> =
         (0..4).map(|_| grant(&mut ledger, ask(Purpose::Online, now), now)).collect();
-    let late = |until| Ask { in_time_until: now, until, ..ask(Purpose::Online, now) };
+    let late = |until| Request { in_time_until: now, until, ..ask(Purpose::Online, now) };
     let stays = wait(&mut ledger, late(now + MS * 1_900), now);
     let leaves = wait(&mut ledger, late(now + MS * 1_400), now);
     let in_time = wait(&mut ledger, ask(Purpose::Online, now), now);
@@ -73,9 +73,9 @@
 fn a_wait_in_several_accounts_counts_the_slots_of_all() {
     let now = Instant::now();
     let mut ledger = full_ledger(now);
-    let hurried = Ask { until: now + MS * 100, may_wait: true, ..ask(Purpose::Online, now) };
-    assert!(matches!(ledger.on_ask(hurried.clone(), now), Verdict::Full(_)));
-    wait(&mut ledger, Ask { reach: 16, ..hurried }, now);
+    let hurried = Request { until: now + MS * 100, may_wait: true, ..ask(Purpose::Online, now) };
+    assert!(matches!(ledger.on_request(hurried.clone(), now), Verdict::Full(_)));
+    wait(&mut ledger, Request { reach: 16, ..hurried }, now);
 }
 
 /// Regression: a wait was expected as if targets out of use served, so requests were
@@ -93,6 +93,6 @@
         }
     }
     // Two slots are left: half a second each, so the next comes in a quarter.
-    let hurried = Ask { until: now + MS * 200, may_wait: true, ..ask(Purpose::Online, now) };
-    assert!(matches!(ledger.on_ask(hurried, now), Verdict::Full(_)));
+    let hurried = Request { until: now + MS * 200, may_wait: true, ..ask(Purpose::Online, now) };
+    assert!(matches!(ledger.on_request(hurried, now), Verdict::Full(_)));
 }
--- a/crates/daemon/src/gateway/account.rs
+++ b/crates/daemon/src/gateway/account.rs
@@ -14,7 +14,7 @@
 use super::node::Node;
 use crate::clock;
 use coordination::membership::Member;
-use coordination::slots::{self, Grant, LeaseId, Ledger, Policy, Purpose, WaiterId};
+use coordination::slots::{self, Allocator, Grant, LeaseId, Policy, Purpose, WaiterId};
 use coordination::{capacity, hash};
 use lease::{Keeper, Out, hold, take};
 use protocol::{DataCentreId, InstanceId, TargetId};
@@ -61,7 +61,7 @@
 
 /// Leases that this instance holds, and the accounts that it keeps.
 pub struct Accounts {
-    pub(super) ledger: RefCell<Ledger>,
+    pub(super) ledger: RefCell<Allocator>,
     pub(super) kept: RefCell<BTreeSet<DataCentreId>>,
     /// Versions of members and targets that the ledger was last set for.
     pub(super) seen: Cell<(u64, u64)>,
@@ -82,7 +82,7 @@
         // Ids differ between accounts: the upper half comes from the keeper.
         let seed = (id << 32) & !OWN;
         Accounts {
-            ledger: RefCell::new(Ledger::new(policy, seed, now)),
+            ledger: RefCell::new(Allocator::new(policy, seed, now)),
             kept: RefCell::default(),
             seen: Cell::new((u64::MAX, u64::MAX)),
             places: RefCell::default(),
@@ -201,7 +201,7 @@
 /// One wish at one account.
 struct Visit {
     data_centre: DataCentreId,
-    ask: slots::Ask,
+    ask: slots::Request,
     ticket: Ticket,
     /// How long it may wait there; zero if it may not.
     wait: Duration,
@@ -210,7 +210,7 @@
 impl Visit {
     /// A look for a slot that is free now.
     fn look(node: &Node, want: &Want, data_centre: &str) -> Visit {
-        let ask = slots::Ask {
+        let ask = slots::Request {
             holder: node.id(),
             data_centre: data_centre.to_owned(),
             service: want.service.clone(),
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -22,7 +22,7 @@
 pub async fn on_wish(node: &Rc<Node>, wish: Wish) -> Reply {
     let now = clock::now();
     let after = |millis: u64| now + Duration::from_millis(millis);
-    let ask = |may_wait| slots::Ask {
+    let ask = |may_wait| slots::Request {
         holder: wish.from,
         data_centre: wish.data_centre.clone(),
         service: wish.service.clone(),
@@ -99,7 +99,7 @@
 pub async fn serve(
     node: &Rc<Node>,
     data_centre: &str,
-    ask: slots::Ask,
+    ask: slots::Request,
     ticket: Ticket,
     wait: Duration,
 ) -> Served {
@@ -108,7 +108,7 @@
         return Served::NotHere;
     }
     let wish = (ask.holder, ticket);
-    let verdict = node.accounts.ledger.borrow_mut().on_ask(ask, clock::now());
+    let verdict = node.accounts.ledger.borrow_mut().on_request(ask, clock::now());
     match verdict {
         Verdict::Granted(grant, revocation) => {
             revocation.into_iter().for_each(|revocation| revoke(node, revocation));
