--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -22,7 +22,7 @@
 mod row;
 
 pub use lease::{
-    Chance, End, Grant, Held, LeaseId, Policy, Purpose, Report, Request, Revocation, Verdict,
+    Chance, Decision, End, Grant, Held, LeaseId, Policy, Purpose, Report, Request, Revocation,
     WaiterId,
 };
 
@@ -133,15 +133,15 @@
     }
 
     /// Answers a wish.
-    pub fn on_request(&mut self, ask: Request, now: Instant) -> Verdict {
+    pub fn on_request(&mut self, ask: Request, now: Instant) -> Decision {
         if !self.has_service(&ask) {
-            return Verdict::Unknown;
+            return Decision::NoTarget;
         }
         self.on_heard(ask.holder, now);
         if !self.is_behind_others(&ask, now)
             && let Some((grant, revocation)) = self.grant(&ask, now)
         {
-            return Verdict::Granted(grant, revocation);
+            return Decision::Granted(grant, revocation);
         }
         self.drop_silent(now);
         let turn = ask.turn(&self.policy, now);
@@ -152,12 +152,12 @@
         let wait = self.expected_wait(&ask, ahead, now);
         let is_hopeless = ask.purpose == Purpose::Online && now + wait > ask.until;
         if !ask.may_wait || is_hopeless {
-            return Verdict::Full(wait.clamp(COME_BACK[0], COME_BACK[1]));
+            return Decision::Full(wait.clamp(COME_BACK[0], COME_BACK[1]));
         }
         self.next += 1;
         let id = self.next;
         self.waiters.insert(id, Waiter { ask, since: now });
-        Verdict::Waiting(id)
+        Decision::Queued(id)
     }
 
     /// Whether somebody waits who goes before this wish.
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -199,15 +199,15 @@
 
 /// The answer to a wish.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// A slot, and what has to be stopped for it.
     Granted(Grant, Option<Revocation>),
     /// It waits; an answer follows.
-    Waiting(WaiterId),
+    Queued(WaiterId),
     /// Nothing is free; a slot is expected after this long.
     Full(Duration),
     /// There is no target of that service here.
-    Unknown,
+    NoTarget,
 }
 
 /// How a lease was used.
--- a/crates/coordination/tests/overload.rs
+++ b/crates/coordination/tests/overload.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use coordination::slots::{
-    Allocator, End, Grant, Policy, Purpose, Report, Request, Verdict, WaiterId,
+    Allocator, Decision, End, Grant, Policy, Purpose, Report, Request, WaiterId,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -76,11 +76,11 @@
             may_wait: true,
         };
         match self.ledger.on_request(ask, now) {
-            Verdict::Granted(grant, _) => self.on_grant(&grant, now),
-            Verdict::Waiting(id) => {
+            Decision::Granted(grant, _) => self.on_grant(&grant, now),
+            Decision::Queued(id) => {
                 self.waiting.insert(id, now);
             }
-            Verdict::Full(_) | Verdict::Unknown => self.tally.refused += 1,
+            Decision::Full(_) | Decision::NoTarget => self.tally.refused += 1,
         }
     }
 
--- a/crates/coordination/tests/shortage.rs
+++ b/crates/coordination/tests/shortage.rs
@@ -6,7 +6,8 @@
 
 use coordination::run_time::{Done, Span};
 use coordination::slots::{
-    Allocator, End, Grant, LeaseId, Policy, Purpose, Report, Request, Revocation, Verdict, WaiterId,
+    Allocator, Decision, End, Grant, LeaseId, Policy, Purpose, Report, Request, Revocation,
+    WaiterId,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -124,11 +125,11 @@
     fn arrive(&mut self) {
         self.online_all += 1;
         match self.ledger.on_request(self.ask(Purpose::Online), self.now) {
-            Verdict::Granted(grant, stopped) => self.on_online(&grant, stopped, self.now),
-            Verdict::Waiting(id) => {
+            Decision::Granted(grant, stopped) => self.on_online(&grant, stopped, self.now),
+            Decision::Queued(id) => {
                 self.online_waits.insert(id, self.now);
             }
-            Verdict::Full(_) | Verdict::Unknown => self.online_late += 1,
+            Decision::Full(_) | Decision::NoTarget => self.online_late += 1,
         }
     }
 
@@ -173,12 +174,12 @@
                     ..self.ask(Purpose::Batch)
                 };
                 match self.ledger.on_request(ask, self.now) {
-                    Verdict::Granted(grant, _) => self.on_batch(job, &grant),
-                    Verdict::Waiting(id) => {
+                    Decision::Granted(grant, _) => self.on_batch(job, &grant),
+                    Decision::Queued(id) => {
                         self.jobs[job].wish = Some((id, self.now));
                         break;
                     }
-                    Verdict::Full(_) | Verdict::Unknown => break,
+                    Decision::Full(_) | Decision::NoTarget => break,
                 }
             }
         }
--- a/crates/coordination/tests/slots/health.rs
+++ b/crates/coordination/tests/slots/health.rs
@@ -1,7 +1,7 @@
 //! Targets that fail, fall silent or are doubted.
 
 use crate::{MS, ask, grant, ledger, target};
-use coordination::slots::{Allocator, End, Grant, Policy, Purpose, Report, Request, Verdict};
+use coordination::slots::{Allocator, Decision, End, Grant, Policy, Purpose, Report, Request};
 use protocol::routing::Target;
 use rstest::rstest;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
     let back = grant(&mut ledger, ask(Purpose::Online, later), later);
     assert_eq!(back.target, lost.target);
     // One at a time until it has done a few.
-    assert!(matches!(ledger.on_request(ask(Purpose::Online, later), later), Verdict::Full(_)));
+    assert!(matches!(ledger.on_request(ask(Purpose::Online, later), later), Decision::Full(_)));
 }
 
 /// Regression: when all connections of the fleet were reset, each target lost eight
@@ -45,7 +45,7 @@
     }
     let after = later + MS * 10;
     let verdict = ledger.on_request(ask(Purpose::Online, after), after);
-    assert!(matches!(verdict, Verdict::Full(_)), "one after the other they are: {verdict:?}");
+    assert!(matches!(verdict, Decision::Full(_)), "one after the other they are: {verdict:?}");
 }
 
 #[test]
@@ -83,9 +83,9 @@
     for _ in 0..2 {
         assert_eq!(grant(&mut ledger, ask(Purpose::Batch, now), now).target, "t1");
     }
-    assert!(matches!(ledger.on_request(ask(Purpose::Batch, now), now), Verdict::Full(_)));
+    assert!(matches!(ledger.on_request(ask(Purpose::Batch, now), now), Decision::Full(_)));
     // A slot of batch at the sound target goes before a free one at the other.
-    let Verdict::Granted(online, Some(_)) = ledger.on_request(ask(Purpose::Online, now), now)
+    let Decision::Granted(online, Some(_)) = ledger.on_request(ask(Purpose::Online, now), now)
     else {
         panic!("batch isn't stopped");
     };
@@ -119,7 +119,7 @@
     let silent = Report { end: End::Silent, ..Report::default() };
     ledger.on_release(lost.lease, silent, now);
     let verdict = ledger.on_request(ask(Purpose::Online, now), now);
-    assert!(matches!(verdict, Verdict::Full(_)), "out of use: {verdict:?}");
+    assert!(matches!(verdict, Decision::Full(_)), "out of use: {verdict:?}");
     ledger.set_targets(&[Target { born: 7, revision: 2, ..target(0, 2) }]);
     for _ in 0..2 {
         grant(&mut ledger, ask(Purpose::Online, now), now);
@@ -128,5 +128,5 @@
     ledger.on_release(old.lease, Report::default(), now);
     assert_eq!(ledger.in_use(), [2, 0]);
     let verdict = ledger.on_request(ask(Purpose::Online, now), now);
-    assert!(matches!(verdict, Verdict::Full(_)), "{verdict:?}");
+    assert!(matches!(verdict, Decision::Full(_)), "{verdict:?}");
 }
--- a/crates/coordination/tests/slots/holders.rs
+++ b/crates/coordination/tests/slots/holders.rs
@@ -2,7 +2,7 @@
 
 use crate::waits::wait;
 use crate::{MS, ask, grant, ledger};
-use coordination::slots::{Held, Purpose, Report, Request, Verdict};
+use coordination::slots::{Decision, Held, Purpose, Report, Request};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -10,13 +10,13 @@
     let now = Instant::now();
     let mut ledger = ledger(1, now);
     ledger.settle(now);
-    assert!(matches!(ledger.on_request(ask(Purpose::Batch, now), now), Verdict::Full(_)));
+    assert!(matches!(ledger.on_request(ask(Purpose::Batch, now), now), Decision::Full(_)));
     let held = |lease, purpose| Held { lease, target: String::from("t0"), purpose };
     let reported = [held(91, Purpose::Online), held(92, Purpose::Batch)];
     ledger.on_held(7, &reported, now);
     assert_eq!(ledger.in_use(), [1, 1]);
     let later = now + MS * 400;
-    assert!(matches!(ledger.on_request(ask(Purpose::Batch, later), later), Verdict::Full(_)));
+    assert!(matches!(ledger.on_request(ask(Purpose::Batch, later), later), Decision::Full(_)));
     ledger.on_holder_gone(7);
     assert_eq!(ledger.in_use(), [0, 0]);
 }
@@ -67,12 +67,12 @@
     let woken = now + Duration::from_secs(20);
     ledger.on_wake(woken);
     let next = Request { holder: 2, ..ask(Purpose::Online, woken) };
-    assert!(matches!(ledger.on_request(next, woken), Verdict::Full(_)));
+    assert!(matches!(ledger.on_request(next, woken), Decision::Full(_)));
     assert_eq!(ledger.in_use(), [2, 0]);
     // Who stays silent from now on has gone.
     let later = woken + Duration::from_secs(4);
     let next = Request { holder: 2, ..ask(Purpose::Online, later) };
     let found = ledger.on_request(next.clone(), later);
-    assert!(matches!(found, Verdict::Full(_)), "found out at the first wish: {found:?}");
+    assert!(matches!(found, Decision::Full(_)), "found out at the first wish: {found:?}");
     grant(&mut ledger, next, later + MS);
 }
--- a/crates/coordination/tests/slots/main.rs
+++ b/crates/coordination/tests/slots/main.rs
@@ -7,7 +7,7 @@
 mod order;
 mod waits;
 
-use coordination::slots::{Allocator, Grant, Policy, Purpose, Request, Verdict};
+use coordination::slots::{Allocator, Decision, Grant, Policy, Purpose, Request};
 use protocol::routing::Target;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -57,7 +57,7 @@
 #[track_caller]
 fn grant(ledger: &mut Allocator, ask: Request, now: Instant) -> Grant {
     match ledger.on_request(ask, now) {
-        Verdict::Granted(grant, _) => grant,
+        Decision::Granted(grant, _) => grant,
         other => panic!("no slot: {other:?}"),
     }
 }
--- a/crates/coordination/tests/slots/model.rs
+++ b/crates/coordination/tests/slots/model.rs
@@ -1,7 +1,7 @@
 //! Random wishes and releases against a count of one's own.
 
 use crate::{MS, ask, ledger};
-use coordination::slots::{Grant, Purpose, Report, Request, Verdict};
+use coordination::slots::{Decision, Grant, Purpose, Report, Request};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -86,11 +86,11 @@
                 }
             };
             match verdict {
-                Some((purpose, Verdict::Granted(grant, revocation))) => {
+                Some((purpose, Decision::Granted(grant, revocation))) => {
                     model.revoked.extend(revocation.map(|r| r.lease));
                     model.on_grant(&grant, purpose);
                 }
-                Some((purpose, Verdict::Waiting(id))) => {
+                Some((purpose, Decision::Queued(id))) => {
                     waiting.insert(id, purpose);
                 }
                 _ => {}
--- a/crates/coordination/tests/slots/order.rs
+++ b/crates/coordination/tests/slots/order.rs
@@ -2,7 +2,7 @@
 
 use crate::waits::wait;
 use crate::{MS, ask, grant, ledger, target};
-use coordination::slots::{Allocator, Policy, Purpose, Report, Request, Verdict};
+use coordination::slots::{Allocator, Decision, Policy, Purpose, Report, Request};
 use protocol::routing::Target;
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
     let mut ledger = ledger(2, now);
     let batch = grant(&mut ledger, ask(Purpose::Batch, now), now);
     match ledger.on_request(ask(Purpose::Online, now), now) {
-        Verdict::Granted(grant, None) => assert_ne!(grant.target, batch.target, "the emptier one"),
+        Decision::Granted(grant, None) => assert_ne!(grant.target, batch.target, "the emptier one"),
         other => panic!("{other:?}"),
     }
 }
@@ -24,7 +24,7 @@
     let soon = grant(&mut ledger, Request { due: now, ..ask(Purpose::Batch, now) }, now);
     let later = grant(&mut ledger, ask(Purpose::Batch, now), now);
     match ledger.on_request(ask(Purpose::Online, now), now) {
-        Verdict::Granted(_, Some(revocation)) => assert_eq!(revocation.lease, later.lease),
+        Decision::Granted(_, Some(revocation)) => assert_eq!(revocation.lease, later.lease),
         other => panic!("{other:?}"),
     }
     assert_eq!(ledger.in_use(), [1, 1]);
@@ -45,8 +45,11 @@
     for _ in 0..6 {
         grant(&mut ledger, ask(Purpose::Batch, now), now);
     }
-    assert!(matches!(ledger.on_request(ask(Purpose::Batch, now), now), Verdict::Full(_)));
-    assert!(matches!(ledger.on_request(ask(Purpose::Online, now), now), Verdict::Granted(_, None)));
+    assert!(matches!(ledger.on_request(ask(Purpose::Batch, now), now), Decision::Full(_)));
+    assert!(matches!(
+        ledger.on_request(ask(Purpose::Online, now), now),
+        Decision::Granted(_, None)
+    ));
 }
 
 #[test]
@@ -56,12 +59,12 @@
     let first = grant(&mut ledger, ask(Purpose::Online, now), now);
     grant(&mut ledger, ask(Purpose::Online, now), now);
     let waits = |purpose| Request { may_wait: true, ..ask(purpose, now) };
-    let Verdict::Waiting(batch) = ledger.on_request(waits(Purpose::Batch), now) else {
+    let Decision::Queued(batch) = ledger.on_request(waits(Purpose::Batch), now) else {
         panic!("batch waits");
     };
     ledger.on_release(first.lease, Report::default(), now);
     let second = grant(&mut ledger, ask(Purpose::Online, now), now);
-    let Verdict::Waiting(online) = ledger.on_request(waits(Purpose::Online), now) else {
+    let Decision::Queued(online) = ledger.on_request(waits(Purpose::Online), now) else {
         panic!("online waits");
     };
     ledger.on_release(second.lease, Report::default(), now);
@@ -87,7 +90,7 @@
     let waits_late = wait(&mut ledger, item(500, 0), later);
     let waits = wait(&mut ledger, item(9_500, 4_500), later);
     match ledger.on_request(ask(Purpose::Online, later), later) {
-        Verdict::Granted(_, Some(revocation)) => assert_eq!(revocation.lease, late.lease),
+        Decision::Granted(_, Some(revocation)) => assert_eq!(revocation.lease, late.lease),
         other => panic!("{other:?}"),
     }
     ledger.on_release(in_time.lease, Report::default(), later);
@@ -105,7 +108,7 @@
     let west = Target { data_centre: String::from("west"), ..target(0, 8) };
     ledger.set_targets(&[west, target(1, 1)]);
     assert_eq!(grant(&mut ledger, ask(Purpose::Online, now), now).target, "t1");
-    assert!(matches!(ledger.on_request(ask(Purpose::Online, now), now), Verdict::Full(_)));
+    assert!(matches!(ledger.on_request(ask(Purpose::Online, now), now), Decision::Full(_)));
     let for_west = Request { data_centre: String::from("west"), ..ask(Purpose::Online, now) };
     assert_eq!(grant(&mut ledger, for_west, now).target, "t0");
 }
@@ -162,7 +165,7 @@
     let mut stopped = Vec::new();
     for _ in 0..3 {
         match ledger.on_request(ask(Purpose::Online, now), now) {
-            Verdict::Granted(_, Some(revocation)) => stopped.push(revocation.lease),
+            Decision::Granted(_, Some(revocation)) => stopped.push(revocation.lease),
             other => panic!("{other:?}"),
         }
     }
@@ -180,7 +183,7 @@
         grant(&mut ledger, ask(Purpose::Online, now), now);
     }
     let wants =
-        |_: &u32| matches!(ledger.on_request(ask(Purpose::Batch, now), now), Verdict::Granted(..));
+        |_: &u32| matches!(ledger.on_request(ask(Purpose::Batch, now), now), Decision::Granted(..));
     let granted = (0..210).take_while(wants).count();
     // By its share alone it left 13 free. Requests of half a second come 92 a second.
     assert_eq!(granted, 210 - 46 - 5);
--- a/crates/coordination/tests/slots/waits.rs
+++ b/crates/coordination/tests/slots/waits.rs
@@ -1,7 +1,7 @@
 //! How long a wish is expected to wait, and who is refused for it.
 
 use crate::{MS, ask, grant, ledger};
-use coordination::slots::{Allocator, End, Grant, Purpose, Report, Request, Verdict};
+use coordination::slots::{Allocator, Decision, End, Grant, Purpose, Report, Request};
 use std::time::Instant;
 
 #[test]
@@ -12,7 +12,7 @@
     grant(&mut ledger, ask(Purpose::Online, now), now);
     let hopeless = Request { until: now + MS * 10, may_wait: true, ..ask(Purpose::Online, now) };
     match ledger.on_request(hopeless, now) {
-        Verdict::Full(after) => assert!(after >= MS * 100 && after <= MS * 1_500),
+        Decision::Full(after) => assert!(after >= MS * 100 && after <= MS * 1_500),
         other => panic!("{other:?}"),
     }
 }
@@ -29,7 +29,7 @@
 #[track_caller]
 pub fn wait(ledger: &mut Allocator, ask: Request, now: Instant) -> u64 {
     match ledger.on_request(Request { may_wait: true, ..ask }, now) {
-        Verdict::Waiting(id) => id,
+        Decision::Queued(id) => id,
         other => panic!("it waits: {other:?}"),
     }
 }
@@ -74,7 +74,7 @@
     let now = Instant::now();
     let mut ledger = full_ledger(now);
     let hurried = Request { until: now + MS * 100, may_wait: true, ..ask(Purpose::Online, now) };
-    assert!(matches!(ledger.on_request(hurried.clone(), now), Verdict::Full(_)));
+    assert!(matches!(ledger.on_request(hurried.clone(), now), Decision::Full(_)));
     wait(&mut ledger, Request { reach: 16, ..hurried }, now);
 }
 
@@ -94,5 +94,5 @@
     }
     // Two slots are left: half a second each, so the next comes in a quarter.
     let hurried = Request { until: now + MS * 200, may_wait: true, ..ask(Purpose::Online, now) };
-    assert!(matches!(ledger.on_request(hurried, now), Verdict::Full(_)));
+    assert!(matches!(ledger.on_request(hurried, now), Decision::Full(_)));
 }
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -9,7 +9,7 @@
 use super::wake;
 use crate::clock;
 use coordination::slots::{
-    self, End, Grant, Held, LOOK, LeaseId, Purpose, Report, Revocation, Verdict, WaiterId,
+    self, Decision, End, Grant, Held, LOOK, LeaseId, Purpose, Report, Revocation, WaiterId,
 };
 use protocol::{DataCentreId, InstanceId};
 use std::collections::BTreeSet;
@@ -110,13 +110,13 @@
     let wish = (ask.holder, ticket);
     let verdict = node.accounts.ledger.borrow_mut().on_request(ask, clock::now());
     match verdict {
-        Verdict::Granted(grant, revocation) => {
+        Decision::Granted(grant, revocation) => {
             revocation.into_iter().for_each(|revocation| revoke(node, revocation));
             Served::Grant(grant)
         }
-        Verdict::Full(after) => Served::Full(after),
-        Verdict::Unknown => Served::NotHere,
-        Verdict::Waiting(id) => {
+        Decision::Full(after) => Served::Full(after),
+        Decision::NoTarget => Served::NotHere,
+        Decision::Queued(id) => {
             let (sender, receiver) = oneshot::channel();
             node.accounts.waiters.borrow_mut().insert(id, sender);
             node.accounts.tickets.borrow_mut().insert(wish, id);
