--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -22,8 +22,8 @@
 mod row;
 
 pub use lease::{
-    Chance, Decision, End, Grant, Held, LeaseId, Policy, Purpose, Report, Request, Revocation,
-    WaiterId,
+    Chance, Decision, Grant, Held, LeaseId, LeaseOutcome, LeaseReport, Policy, Purpose, Request,
+    Revocation, WaiterId,
 };
 
 use crate::run_time::Span;
@@ -243,13 +243,13 @@
     }
 
     /// A lease was given back.
-    pub fn on_release(&mut self, id: LeaseId, report: Report, now: Instant) {
+    pub fn on_release(&mut self, id: LeaseId, report: LeaseReport, now: Instant) {
         let Some(lease) = self.leases.remove(&id) else {
             return;
         };
         self.on_heard(lease.holder, now);
         let fresh = self.policy.fresh;
-        if lease.purpose == Purpose::Online && report.end == End::Good {
+        if lease.purpose == Purpose::Online && report.end == LeaseOutcome::Completed {
             let held = now.saturating_duration_since(lease.granted).as_secs_f64();
             self.hold += (held - self.hold) * fresh;
         }
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -212,9 +212,9 @@
 
 /// How a lease was used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LeaseReport {
     /// How it ended.
-    pub end: End,
+    pub end: LeaseOutcome,
     /// Time to the first event, if one came.
     pub first: Option<Duration>,
     /// Mean time between events, if several came.
@@ -225,23 +225,27 @@
 
 /// How the use of a lease ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum LeaseOutcome {
     /// The answer came to its end.
     #[default]
-    Good,
+    #[serde(rename = "Good")]
+    Completed,
     /// It was not used, or stopped by its holder.
     Unused,
     /// The target ran the request and answered with a failure.
     Failed,
     /// The target turned the request away.
-    Refused,
+    #[serde(rename = "Refused")]
+    Rejected,
     /// Another target answers at its address: it isn't there any more, whatever its entry
     /// says.
     Misdirected,
     /// The answer broke off or was no answer.
-    Broken,
+    #[serde(rename = "Broken")]
+    Interrupted,
     /// The target can't be reached or says nothing.
-    Silent,
+    #[serde(rename = "Silent")]
+    Unresponsive,
 }
 
 /// A lease as its holder reports it.
--- a/crates/coordination/src/slots/row.rs
+++ b/crates/coordination/src/slots/row.rs
@@ -1,6 +1,6 @@
 //! One target in the account: what is out there, and how it has done lately.
 
-use super::lease::{End, Policy, Purpose, Report, Request};
+use super::lease::{LeaseOutcome, LeaseReport, Policy, Purpose, Request};
 use crate::ejection::{Health, Use};
 use protocol::routing::Target;
 use std::time::{Duration, Instant};
@@ -148,8 +148,14 @@
 
     /// A lease that was granted at `granted` was given back; `fresh` is the weight
     /// of a new measurement.
-    pub(super) fn on_report(&mut self, report: Report, granted: Instant, fresh: f64, now: Instant) {
-        if report.end == End::Broken {
+    pub(super) fn on_report(
+        &mut self,
+        report: LeaseReport,
+        granted: Instant,
+        fresh: f64,
+        now: Instant,
+    ) {
+        if report.end == LeaseOutcome::Interrupted {
             // Requests that were under way together break off together when
             // connections are reset: that is one event, whatever their number.
             // Only one that began after it tells more. Silence is another matter:
@@ -160,22 +166,22 @@
             self.broke = Some(now);
         }
         match report.end {
-            End::Unused => {}
-            End::Good => {
+            LeaseOutcome::Unused => {}
+            LeaseOutcome::Completed => {
                 self.health.on_success();
                 self.doubted = None;
                 self.failures.note(false, now);
             }
             // The request may be the reason: many in a row don't eject a target.
-            End::Failed => self.failures.note(true, now),
-            End::Refused => self.doubted = Some(now),
-            End::Broken => {
+            LeaseOutcome::Failed => self.failures.note(true, now),
+            LeaseOutcome::Rejected => self.doubted = Some(now),
+            LeaseOutcome::Interrupted => {
                 self.health.on_failure(now);
                 self.failures.note(true, now);
             }
             // Guards against slots of targets that are gone and turn each request away at
             // once: 840 runs of items in 7 s, at 12 targets, on a day of late entries.
-            End::Silent | End::Misdirected => {
+            LeaseOutcome::Unresponsive | LeaseOutcome::Misdirected => {
                 self.health.on_silence(now);
                 self.doubted = Some(now);
                 self.failures.note(true, now);
--- a/crates/coordination/tests/overload.rs
+++ b/crates/coordination/tests/overload.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use coordination::slots::{
-    Allocator, Decision, End, Grant, Policy, Purpose, Report, Request, WaiterId,
+    Allocator, Decision, Grant, LeaseOutcome, LeaseReport, Policy, Purpose, Request, WaiterId,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -90,7 +90,7 @@
             && at <= self.now
         {
             self.ends.pop();
-            let report = Report { end: End::Good, ..Report::default() };
+            let report = LeaseReport { end: LeaseOutcome::Completed, ..LeaseReport::default() };
             self.ledger.on_release(lease, report, self.now);
         }
         for (id, grant, _) in self.ledger.next_grants(self.now) {
--- a/crates/coordination/tests/shortage.rs
+++ b/crates/coordination/tests/shortage.rs
@@ -6,8 +6,8 @@
 
 use coordination::run_time::{Done, Span};
 use coordination::slots::{
-    Allocator, Decision, End, Grant, LeaseId, Policy, Purpose, Report, Request, Revocation,
-    WaiterId,
+    Allocator, Decision, Grant, LeaseId, LeaseOutcome, LeaseReport, Policy, Purpose, Request,
+    Revocation, WaiterId,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -142,7 +142,7 @@
             item.had += (self.now - run.began).saturating_sub(START);
             self.cuts += 1;
             let lease = stopped.map(|stopped| stopped.lease).expect("it was stopped");
-            let unused = Report { end: End::Unused, ..Report::default() };
+            let unused = LeaseReport { end: LeaseOutcome::Unused, ..LeaseReport::default() };
             self.ledger.on_release(lease, unused, self.now);
         }
     }
@@ -187,7 +187,7 @@
 
     fn on_batch(&mut self, job: usize, grant: &Grant) {
         let Some(next) = self.jobs[job].next() else {
-            let unused = Report { end: End::Unused, ..Report::default() };
+            let unused = LeaseReport { end: LeaseOutcome::Unused, ..LeaseReport::default() };
             self.ledger.on_release(grant.lease, unused, self.now);
             return;
         };
@@ -204,7 +204,7 @@
             self.online.iter().filter(|(_, at)| **at <= now).map(|(id, _)| *id).collect();
         for lease in ended {
             self.online.remove(&lease);
-            self.ledger.on_release(lease, Report::default(), now);
+            self.ledger.on_release(lease, LeaseReport::default(), now);
         }
         let is_done = |run: &Run| {
             let item = &self.jobs[run.job].items[run.item];
@@ -221,7 +221,7 @@
             let took = now - item.began.expect("it began");
             let events = (item.needs.as_secs_f64() / ITEM.as_secs_f64() * f64::from(EVENTS)) as u32;
             let done = Done { events, pace: ITEM / EVENTS, took };
-            let report = Report { done: Some(done), ..Report::default() };
+            let report = LeaseReport { done: Some(done), ..LeaseReport::default() };
             self.ledger.on_release(lease, report, now);
         }
         // Every job's holder is another instance: what it knows is the account's word.
--- a/crates/coordination/tests/slots/health.rs
+++ b/crates/coordination/tests/slots/health.rs
@@ -1,7 +1,9 @@
 //! Targets that fail, fall silent or are doubted.
 
 use crate::{MS, ask, grant, ledger, target};
-use coordination::slots::{Allocator, Decision, End, Grant, Policy, Purpose, Report, Request};
+use coordination::slots::{
+    Allocator, Decision, Grant, LeaseOutcome, LeaseReport, Policy, Purpose, Request,
+};
 use protocol::routing::Target;
 use rstest::rstest;
 use std::time::{Duration, Instant};
@@ -11,7 +13,7 @@
     let now = Instant::now();
     let mut ledger = ledger(2, now);
     let lost = grant(&mut ledger, ask(Purpose::Online, now), now);
-    let silent = Report { end: End::Silent, ..Report::default() };
+    let silent = LeaseReport { end: LeaseOutcome::Unresponsive, ..LeaseReport::default() };
     ledger.on_release(lost.lease, silent, now);
     for _ in 0..2 {
         assert_ne!(grant(&mut ledger, ask(Purpose::Online, now), now).target, lost.target);
@@ -33,7 +35,7 @@
     ledger.set_targets(&[target(0, 8)]);
     let leases: Vec<Grant> =
         (0..8).map(|_| grant(&mut ledger, ask(Purpose::Online, now), now)).collect();
-    let broken = Report { end: End::Broken, ..Report::default() };
+    let broken = LeaseReport { end: LeaseOutcome::Interrupted, ..LeaseReport::default() };
     for (n, lease) in leases.iter().enumerate() {
         ledger.on_release(lease.lease, broken, now + MS * (100 + n as u32));
     }
@@ -60,24 +62,24 @@
 }
 
 /// A request on a target ended so.
-fn end_at(ledger: &mut Allocator, target: &str, end: End, now: Instant) {
+fn end_at(ledger: &mut Allocator, target: &str, end: LeaseOutcome, now: Instant) {
     let avoid = (0..8).map(|n| format!("t{n}")).filter(|id| id != target).collect();
     let grant = grant(ledger, Request { avoid, ..ask(Purpose::Online, now) }, now);
-    ledger.on_release(grant.lease, Report { end, ..Report::default() }, now);
+    ledger.on_release(grant.lease, LeaseReport { end, ..LeaseReport::default() }, now);
 }
 
 /// Regression: only failures in a row took a target out of use, so one that failed
 /// every second request was given as many as the others.
 #[rstest]
-#[case::breaks_off(End::Broken)]
-#[case::answers_with_a_failure(End::Failed)]
-fn a_target_that_fails_in_part_is_used_last_and_not_for_batch(#[case] failure: End) {
+#[case::breaks_off(LeaseOutcome::Interrupted)]
+#[case::answers_with_a_failure(LeaseOutcome::Failed)]
+fn a_target_that_fails_in_part_is_used_last_and_not_for_batch(#[case] failure: LeaseOutcome) {
     let now = Instant::now();
     let mut ledger = ledger(2, now);
     for _ in 0..4 {
         end_at(&mut ledger, "t0", failure, now);
-        end_at(&mut ledger, "t0", End::Good, now);
-        end_at(&mut ledger, "t1", End::Good, now);
+        end_at(&mut ledger, "t0", LeaseOutcome::Completed, now);
+        end_at(&mut ledger, "t1", LeaseOutcome::Completed, now);
     }
     end_at(&mut ledger, "t0", failure, now);
     for _ in 0..2 {
@@ -101,9 +103,9 @@
     let mut ledger = ledger(1, now);
     for _ in 0..10 {
         for _ in 0..12 {
-            end_at(&mut ledger, "t0", End::Good, now);
+            end_at(&mut ledger, "t0", LeaseOutcome::Completed, now);
         }
-        end_at(&mut ledger, "t0", End::Failed, now);
+        end_at(&mut ledger, "t0", LeaseOutcome::Failed, now);
     }
     assert_eq!(grant(&mut ledger, ask(Purpose::Batch, now), now).target, "t0");
 }
@@ -116,7 +118,7 @@
     let mut ledger = ledger(1, now);
     let old = grant(&mut ledger, ask(Purpose::Online, now), now);
     let lost = grant(&mut ledger, ask(Purpose::Online, now), now);
-    let silent = Report { end: End::Silent, ..Report::default() };
+    let silent = LeaseReport { end: LeaseOutcome::Unresponsive, ..LeaseReport::default() };
     ledger.on_release(lost.lease, silent, now);
     let verdict = ledger.on_request(ask(Purpose::Online, now), now);
     assert!(matches!(verdict, Decision::Full(_)), "out of use: {verdict:?}");
@@ -125,7 +127,7 @@
         grant(&mut ledger, ask(Purpose::Online, now), now);
     }
     // The end of a run of the earlier start frees no slot of this one.
-    ledger.on_release(old.lease, Report::default(), now);
+    ledger.on_release(old.lease, LeaseReport::default(), now);
     assert_eq!(ledger.in_use(), [2, 0]);
     let verdict = ledger.on_request(ask(Purpose::Online, now), now);
     assert!(matches!(verdict, Decision::Full(_)), "{verdict:?}");
--- a/crates/coordination/tests/slots/holders.rs
+++ b/crates/coordination/tests/slots/holders.rs
@@ -2,7 +2,7 @@
 
 use crate::waits::wait;
 use crate::{MS, ask, grant, ledger};
-use coordination::slots::{Decision, Held, Purpose, Report, Request};
+use coordination::slots::{Decision, Held, LeaseReport, Purpose, Request};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -31,7 +31,7 @@
     let later = now + Duration::from_secs(2);
     ledger.on_held(1, &[], later);
     assert_eq!(ledger.in_use(), [0, 0]);
-    ledger.on_release(lost.lease, Report::default(), later);
+    ledger.on_release(lost.lease, LeaseReport::default(), later);
     assert_eq!(ledger.in_use(), [0, 0], "a late release changes nothing");
 }
 
--- a/crates/coordination/tests/slots/model.rs
+++ b/crates/coordination/tests/slots/model.rs
@@ -1,7 +1,7 @@
 //! Random wishes and releases against a count of one's own.
 
 use crate::{MS, ask, ledger};
-use coordination::slots::{Decision, Grant, Purpose, Report, Request};
+use coordination::slots::{Decision, Grant, LeaseReport, Purpose, Request};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -73,7 +73,7 @@
                     let id = model.out.keys().nth(n % model.out.len().max(1)).copied();
                     if let Some(id) = id {
                         model.out.remove(&id);
-                        ledger.on_release(id, Report::default(), now);
+                        ledger.on_release(id, LeaseReport::default(), now);
                     }
                     None
                 }
--- a/crates/coordination/tests/slots/order.rs
+++ b/crates/coordination/tests/slots/order.rs
@@ -2,7 +2,7 @@
 
 use crate::waits::wait;
 use crate::{MS, ask, grant, ledger, target};
-use coordination::slots::{Allocator, Decision, Policy, Purpose, Report, Request};
+use coordination::slots::{Allocator, Decision, LeaseReport, Policy, Purpose, Request};
 use protocol::routing::Target;
 use std::time::{Duration, Instant};
 
@@ -29,9 +29,9 @@
     }
     assert_eq!(ledger.in_use(), [1, 1]);
     // The holder gives it back: it must not be counted twice.
-    ledger.on_release(later.lease, Report::default(), now);
+    ledger.on_release(later.lease, LeaseReport::default(), now);
     assert_eq!(ledger.in_use(), [1, 1]);
-    ledger.on_release(soon.lease, Report::default(), now);
+    ledger.on_release(soon.lease, LeaseReport::default(), now);
     assert_eq!(ledger.in_use(), [1, 0]);
 }
 
@@ -62,12 +62,12 @@
     let Decision::Queued(batch) = ledger.on_request(waits(Purpose::Batch), now) else {
         panic!("batch waits");
     };
-    ledger.on_release(first.lease, Report::default(), now);
+    ledger.on_release(first.lease, LeaseReport::default(), now);
     let second = grant(&mut ledger, ask(Purpose::Online, now), now);
     let Decision::Queued(online) = ledger.on_request(waits(Purpose::Online), now) else {
         panic!("online waits");
     };
-    ledger.on_release(second.lease, Report::default(), now);
+    ledger.on_release(second.lease, LeaseReport::default(), now);
     let grants = ledger.next_grants(now);
     assert_eq!(grants.iter().map(|(id, ..)| *id).collect::<Vec<_>>(), [online]);
     assert_ne!(batch, online);
@@ -93,7 +93,7 @@
         Decision::Granted(_, Some(revocation)) => assert_eq!(revocation.lease, late.lease),
         other => panic!("{other:?}"),
     }
-    ledger.on_release(in_time.lease, Report::default(), later);
+    ledger.on_release(in_time.lease, LeaseReport::default(), later);
     let grants = ledger.next_grants(later);
     assert_eq!(grants.iter().map(|(id, ..)| *id).collect::<Vec<_>>(), [waits]);
     assert_ne!(waits, waits_late);
@@ -124,7 +124,7 @@
     let fresh = Request { due: now + MS * 3_000, ..ask(Purpose::Batch, now) };
     let fresh = wait(&mut ledger, fresh, now);
     let begun = wait(&mut ledger, Request { is_begun: true, ..ask(Purpose::Batch, now) }, now);
-    ledger.on_release(taken.lease, Report::default(), now);
+    ledger.on_release(taken.lease, LeaseReport::default(), now);
     let grants = ledger.next_grants(now);
     assert_eq!(grants.iter().map(|(id, ..)| *id).collect::<Vec<_>>(), [begun]);
     assert_ne!(begun, fresh);
@@ -147,7 +147,7 @@
     let sure = wait(&mut ledger, item(2_000, 5_000), now);
     let mut order = Vec::new();
     for lease in &taken[..3] {
-        ledger.on_release(lease.lease, Report::default(), now);
+        ledger.on_release(lease.lease, LeaseReport::default(), now);
         order.extend(ledger.next_grants(now).into_iter().map(|(id, ..)| id));
     }
     assert_eq!(order, [sure, doubtful, late]);
--- a/crates/coordination/tests/slots/waits.rs
+++ b/crates/coordination/tests/slots/waits.rs
@@ -1,7 +1,9 @@
 //! How long a wish is expected to wait, and who is refused for it.
 
 use crate::{MS, ask, grant, ledger};
-use coordination::slots::{Allocator, Decision, End, Grant, Purpose, Report, Request};
+use coordination::slots::{
+    Allocator, Decision, Grant, LeaseOutcome, LeaseReport, Purpose, Request,
+};
 use std::time::Instant;
 
 #[test]
@@ -61,7 +63,7 @@
     let soon = now + MS * 5;
     let mut order = Vec::new();
     for lease in taken {
-        ledger.on_release(lease.lease, Report::default(), soon);
+        ledger.on_release(lease.lease, LeaseReport::default(), soon);
         order.extend(ledger.next_grants(soon).into_iter().map(|(id, ..)| id));
     }
     assert_eq!(order, [in_time, leaves, stays]);
@@ -84,7 +86,7 @@
 fn a_wait_counts_no_target_that_is_out_of_use() {
     let now = Instant::now();
     let mut ledger = ledger(8, now);
-    let silent = Report { end: End::Silent, ..Report::default() };
+    let silent = LeaseReport { end: LeaseOutcome::Unresponsive, ..LeaseReport::default() };
     let leases: Vec<Grant> =
         (0..16).map(|_| grant(&mut ledger, ask(Purpose::Online, now), now)).collect();
     for lease in leases {
--- a/crates/daemon/src/gateway/account/lease.rs
+++ b/crates/daemon/src/gateway/account/lease.rs
@@ -4,7 +4,7 @@
 use crate::gateway::keeper;
 use crate::gateway::message::{Ask, News};
 use crate::gateway::node::Node;
-use coordination::slots::{End, Grant, Held, Purpose, Report};
+use coordination::slots::{Grant, Held, LeaseOutcome, LeaseReport, Purpose};
 use platform::store::Revision;
 use protocol::TargetId;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     /// Cancelled when the lease must be given back at once.
     pub stop: CancellationToken,
     /// How it was used.
-    pub report: Report,
+    pub report: LeaseReport,
     /// Highest revision of the registry known here when it was granted.
     pub registry: Revision,
     asked: Instant,
@@ -49,7 +49,7 @@
     }
 
     /// Notes how the use ended.
-    pub fn end(mut self, end: End) {
+    pub fn end(mut self, end: LeaseOutcome) {
         self.report.end = end;
     }
 
@@ -89,7 +89,7 @@
     let out = Out { held, keeper, stop: stop.clone() };
     node.accounts.out.borrow_mut().insert(grant.lease, out);
     // Whoever drops it without a word has not used it to the end.
-    let report = Report { end: End::Unused, ..Report::default() };
+    let report = LeaseReport { end: LeaseOutcome::Unused, ..LeaseReport::default() };
     let registry = node.registry.borrow().revision();
     Lease { node: node.clone(), grant, stop, report, registry, asked: clock::now() }
 }
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use coordination::hash;
 use coordination::run_time::Done;
-use coordination::slots::End;
+use coordination::slots::LeaseOutcome;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
 use platform::{header, job};
@@ -35,7 +35,7 @@
     Complete,
     Failed(Failure),
     /// It goes on later, where it stopped.
-    Stopped(End, String),
+    Stopped(LeaseOutcome, String),
 }
 
 /// Runs an item on a slot, unless it is held because it crashes its targets.
@@ -47,15 +47,15 @@
     let target = lease.grant.target.clone();
     let content = content_of(&held, &item);
     if let Admission::Held(left) = quarantine::admit(&node, || content).await {
-        lease.end(End::Unused);
+        lease.end(LeaseOutcome::Unused);
         withhold(&node, &held, &item, left).await;
         return;
     }
     let ended = tokio::select! {
         ended = attempt(&node, &held, &item, &lease, &mut partial) => ended,
-        () = lease.stop.cancelled() => Ended::Stopped(End::Unused, String::from("revoked")),
-        () = held.released.cancelled() => Ended::Stopped(End::Unused, String::from("released")),
-        () = held.ended.cancelled() => Ended::Stopped(End::Unused, String::from("job ended")),
+        () = lease.stop.cancelled() => Ended::Stopped(LeaseOutcome::Unused, String::from("revoked")),
+        () = held.released.cancelled() => Ended::Stopped(LeaseOutcome::Unused, String::from("released")),
+        () = held.ended.cancelled() => Ended::Stopped(LeaseOutcome::Unused, String::from("job ended")),
     };
     let mut lease = lease;
     let made = partial.texts.len() - before.min(partial.texts.len());
@@ -81,7 +81,7 @@
             if let Some(done) = lease.report.done {
                 node.jobs.span.borrow_mut().on_done(done);
             }
-            lease.end(End::Good);
+            lease.end(LeaseOutcome::Completed);
             let text = partial.texts.join("\n");
             let outcome = Outcome { item: item.id.clone(), is_complete: true, text };
             held.state.borrow_mut().on_done(&item.id, outcome);
@@ -91,15 +91,15 @@
             // that can't be done nothing of any.
             let is_first = !held.state.borrow().has_failed(&item.id);
             let is_evidence = is_first && failure == Failure::Failed;
-            lease.end(if is_evidence { End::Failed } else { End::Unused });
+            lease.end(if is_evidence { LeaseOutcome::Failed } else { LeaseOutcome::Unused });
             held.state.borrow_mut().on_failed(&item.id, failure);
         }
         Ended::Stopped(end, _) => {
-            if end == End::Broken {
+            if end == LeaseOutcome::Interrupted {
                 crash::on_break(&node, &lease.grant, Broken { id: item.id.clone(), content });
             }
             lease.end(end);
-            if end != End::Unused {
+            if end != LeaseOutcome::Unused {
                 pause = ITEM_PAUSE;
             }
             held.state.borrow_mut().on_stopped(&item.id, partial);
@@ -152,16 +152,23 @@
     let sent = node.targets.send(lease.grant.address, request);
     let mut exchange = match tokio::time::timeout(SILENCE, sent).await {
         Ok(Ok(exchange)) => exchange,
-        Ok(Err(Unsent::NotSent(fault))) => return Ended::Stopped(End::Silent, fault),
-        Ok(Err(Unsent::Lost(fault))) => return Ended::Stopped(End::Broken, fault),
-        Err(_) => return Ended::Stopped(End::Silent, String::from("no answer in time")),
+        Ok(Err(Unsent::NotSent(fault))) => {
+            return Ended::Stopped(LeaseOutcome::Unresponsive, fault);
+        }
+        Ok(Err(Unsent::Lost(fault))) => return Ended::Stopped(LeaseOutcome::Interrupted, fault),
+        Err(_) => {
+            return Ended::Stopped(LeaseOutcome::Unresponsive, String::from("no answer in time"));
+        }
     };
     let head = exchange.head();
     if is_not_run(head) {
         return Ended::Stopped(refusal_of(head), format!("turned away with {}", head.status));
     }
     if !is_own(&head.headers, &item.id) {
-        return Ended::Stopped(End::Broken, String::from("an answer to another request"));
+        return Ended::Stopped(
+            LeaseOutcome::Interrupted,
+            String::from("an answer to another request"),
+        );
     }
     let status = head.status;
     if status.is_success() {
@@ -178,16 +185,16 @@
     match status {
         StatusCode::UNPROCESSABLE_ENTITY => Ended::Failed(Failure::Impossible),
         StatusCode::INTERNAL_SERVER_ERROR => Ended::Failed(Failure::Failed),
-        _ => Ended::Stopped(End::Broken, format!("answered with {status}")),
+        _ => Ended::Stopped(LeaseOutcome::Interrupted, format!("answered with {status}")),
     }
 }
 
 async fn take_events(exchange: &mut Exchange, partial: &mut Partial) -> Ended {
-    let broken = |fault: &str| Ended::Stopped(End::Broken, fault.to_owned());
+    let broken = |fault: &str| Ended::Stopped(LeaseOutcome::Interrupted, fault.to_owned());
     let mut splitter = Splitter::default();
     loop {
         let piece = match tokio::time::timeout(SILENCE, exchange.next()).await {
-            Err(_) => return Ended::Stopped(End::Silent, String::from("silent")),
+            Err(_) => return Ended::Stopped(LeaseOutcome::Unresponsive, String::from("silent")),
             Ok(Err(fault)) => return broken(&fault),
             Ok(Ok(None)) if !splitter.is_empty() => return broken("ended within an event"),
             Ok(Ok(None)) => return Ended::Complete,
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -9,7 +9,8 @@
 use super::wake;
 use crate::clock;
 use coordination::slots::{
-    self, Decision, End, Grant, Held, LOOK, LeaseId, Purpose, Report, Revocation, WaiterId,
+    self, Decision, Grant, Held, LOOK, LeaseId, LeaseOutcome, LeaseReport, Purpose, Revocation,
+    WaiterId,
 };
 use protocol::{DataCentreId, InstanceId};
 use std::collections::BTreeSet;
@@ -182,7 +183,7 @@
 }
 
 /// A lease of an account kept here was given back.
-pub fn on_release(node: &Rc<Node>, lease: LeaseId, report: Report) {
+pub fn on_release(node: &Rc<Node>, lease: LeaseId, report: LeaseReport) {
     node.accounts.ledger.borrow_mut().on_release(lease, report, clock::now());
     pump(node);
 }
@@ -218,7 +219,7 @@
             let lease = grant.lease;
             let is_taken = sender.is_some_and(|sender| sender.send(Ok(grant)).is_ok());
             if !is_taken {
-                let unused = Report { end: End::Unused, ..Report::default() };
+                let unused = LeaseReport { end: LeaseOutcome::Unused, ..LeaseReport::default() };
                 node.accounts.ledger.borrow_mut().on_release(lease, unused, clock::now());
             }
         }
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -6,7 +6,7 @@
 use coordination::quarantine::Strike;
 use coordination::registry::Change;
 use coordination::run_time::Span;
-use coordination::slots::{Grant, Held, LeaseId, Purpose, Report};
+use coordination::slots::{Grant, Held, LeaseId, LeaseReport, Purpose};
 use protocol::routing::Version;
 use protocol::{ContentId, DataCentreId, InstanceId, ServiceId, TargetId};
 use serde::{Deserialize, Serialize};
@@ -135,7 +135,7 @@
     /// A wish that waits is withdrawn: its asker has a slot elsewhere, or has gone.
     Withdraw(InstanceId, Ticket),
     /// A lease is given back.
-    Release(LeaseId, Report),
+    Release(LeaseId, LeaseReport),
     /// Somebody waits in vain for a first event at a target.
     Doubt(TargetId),
     /// All leases that an instance holds at this account.
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use attempt::{Again, end_of};
 use coordination::hash;
-use coordination::slots::{End, Grant};
+use coordination::slots::{Grant, LeaseOutcome};
 use hyper::Response;
 use hyper::http::response::Parts;
 use platform::header;
@@ -161,7 +161,7 @@
         forward.avoid.push(begun.lease.grant.target.clone());
         forward.may_have_run = true;
         forward.on_break(&begun.lease.grant);
-        begun.lease.end(End::Broken);
+        begun.lease.end(LeaseOutcome::Interrupted);
         if !forward.may_send_again() {
             return Ok(forward.fail(&Failed::MayHaveRun(fault)));
         }
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::gateway::account::Lease;
 use bytes::Bytes;
-use coordination::slots::End;
+use coordination::slots::LeaseOutcome;
 use http_body_util::Full;
 use hyper::http::response::Parts;
 use hyper::{HeaderMap, Request, StatusCode};
@@ -39,7 +39,7 @@
                     Ok(result) => result,
                     Err(_) => {
                         self.sent += 1;
-                        lease.end(End::Silent);
+                        lease.end(LeaseOutcome::Unresponsive);
                         let is_over = self.call.left(clock::now()).is_zero();
                         let text = String::from("no answer in time");
                         return Err(if is_over {
@@ -53,13 +53,13 @@
         };
         match result {
             Err(Failure::NotSent(text)) => {
-                lease.end(End::Silent);
+                lease.end(LeaseOutcome::Unresponsive);
                 Err(Again::Unreached(text))
             }
             Err(Failure::Lost(text)) => {
                 self.sent += 1;
                 self.on_break(&lease.grant);
-                lease.end(End::Broken);
+                lease.end(LeaseOutcome::Interrupted);
                 Err(Again::MayHaveRun(text))
             }
             Ok(exchange) => {
@@ -103,7 +103,7 @@
             return Err(Again::NotRun);
         }
         if !is_own(&head.headers, &self.call.id) {
-            lease.end(End::Broken);
+            lease.end(LeaseOutcome::Interrupted);
             return Err(Again::MayHaveRun(String::from("an answer to another request")));
         }
         if head.status.is_server_error() && self.may_send_again() {
@@ -121,14 +121,14 @@
 }
 
 /// What it says of a target that it didn't run a request.
-pub fn refusal_of(head: &Parts) -> End {
+pub fn refusal_of(head: &Parts) -> LeaseOutcome {
     let is_another = head.status == StatusCode::MISDIRECTED_REQUEST;
-    if is_another { End::Misdirected } else { End::Refused }
+    if is_another { LeaseOutcome::Misdirected } else { LeaseOutcome::Rejected }
 }
 
 /// What a whole answer says of its target.
-pub(super) fn end_of(status: StatusCode) -> End {
-    if status.is_server_error() { End::Failed } else { End::Good }
+pub(super) fn end_of(status: StatusCode) -> LeaseOutcome {
+    if status.is_server_error() { LeaseOutcome::Failed } else { LeaseOutcome::Completed }
 }
 
 /// Whether an answer belongs to the request `id`.
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -8,7 +8,7 @@
 use super::online::{Begun, Failed, Forward, InHand, head_of, respond};
 use crate::clock;
 use bytes::{Bytes, BytesMut};
-use coordination::slots::End;
+use coordination::slots::LeaseOutcome;
 use hyper::Response;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -115,7 +115,7 @@
                 Ok(begun) if begun.exchange.head().status.is_success() => begun,
                 Ok(begun) => {
                     let status = begun.exchange.head().status;
-                    begun.lease.end(End::Good);
+                    begun.lease.end(LeaseOutcome::Completed);
                     return self.abort(&target, &format!("the next target answers {status}")).await;
                 }
                 Err(Failed::NotRun(Refusal::Quarantined(_))) => {
@@ -145,10 +145,10 @@
         lease.report.first = self.tally.first;
         lease.report.pace = self.tally.pace();
         lease.end(match stop {
-            Stop::Ended => End::Good,
-            Stop::Gone | Stop::TimeOver => End::Unused,
-            Stop::Broken(_) => End::Broken,
-            Stop::Silent => End::Silent,
+            Stop::Ended => LeaseOutcome::Completed,
+            Stop::Gone | Stop::TimeOver => LeaseOutcome::Unused,
+            Stop::Broken(_) => LeaseOutcome::Interrupted,
+            Stop::Silent => LeaseOutcome::Unresponsive,
         });
         stop
     }
