--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -22,8 +22,8 @@
 mod row;
 
 pub use lease::{
-    Chance, Decision, Grant, Held, LeaseId, LeaseOutcome, LeaseReport, Policy, Purpose, Request,
-    Revocation, WaiterId,
+    Chance, Decision, Grant, HeldLease, LeaseId, LeaseOutcome, LeaseReport, Policy, Purpose,
+    Request, Revocation, WaiterId,
 };
 
 use crate::run_time::Span;
--- a/crates/coordination/src/slots/holders.rs
+++ b/crates/coordination/src/slots/holders.rs
@@ -1,6 +1,6 @@
 //! Makes an account agree with what its holders say, whatever was lost between.
 
-use super::lease::{Held, LeaseId, Purpose, Request, Revocation};
+use super::lease::{HeldLease, LeaseId, Purpose, Request, Revocation};
 use super::row::Row;
 use super::{Allocator, Lease};
 use crate::{InstanceId, TargetId};
@@ -57,7 +57,7 @@
     }
 
     /// A holder reports all that it holds: the account is made to agree.
-    pub fn on_held(&mut self, holder: InstanceId, held: &[Held], now: Instant) {
+    pub fn on_held(&mut self, holder: InstanceId, held: &[HeldLease], now: Instant) {
         self.on_heard(holder, now);
         let reported: HashSet<LeaseId> = held.iter().map(|held| held.lease).collect();
         let is_lost = |(id, lease): &(&LeaseId, &Lease)| {
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -250,7 +250,7 @@
 
 /// A lease as its holder reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldLease {
     /// The lease.
     pub lease: LeaseId,
     /// The target.
--- a/crates/coordination/tests/slots/holders.rs
+++ b/crates/coordination/tests/slots/holders.rs
@@ -2,7 +2,7 @@
 
 use crate::waits::wait;
 use crate::{MS, ask, grant, ledger};
-use coordination::slots::{Decision, Held, LeaseReport, Purpose, Request};
+use coordination::slots::{Decision, HeldLease, LeaseReport, Purpose, Request};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -11,7 +11,7 @@
     let mut ledger = ledger(1, now);
     ledger.settle(now);
     assert!(matches!(ledger.on_request(ask(Purpose::Batch, now), now), Decision::Full(_)));
-    let held = |lease, purpose| Held { lease, target: String::from("t0"), purpose };
+    let held = |lease, purpose| HeldLease { lease, target: String::from("t0"), purpose };
     let reported = [held(91, Purpose::Online), held(92, Purpose::Batch)];
     ledger.on_held(7, &reported, now);
     assert_eq!(ledger.in_use(), [1, 1]);
--- a/crates/daemon/src/gateway/account/lease.rs
+++ b/crates/daemon/src/gateway/account/lease.rs
@@ -4,7 +4,7 @@
 use crate::gateway::keeper;
 use crate::gateway::message::{Ask, News};
 use crate::gateway::node::Node;
-use coordination::slots::{Grant, Held, LeaseOutcome, LeaseReport, Purpose};
+use coordination::slots::{Grant, HeldLease, LeaseOutcome, LeaseReport, Purpose};
 use platform::store::Revision;
 use protocol::TargetId;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 
 /// A lease that is out, as its holder keeps it.
 pub(super) struct Out {
-    pub(super) held: Held,
+    pub(super) held: HeldLease,
     pub(super) keeper: Keeper,
     pub(super) stop: CancellationToken,
 }
@@ -85,7 +85,7 @@
 /// Takes a granted slot into use.
 pub(super) fn hold(node: &Rc<Node>, grant: Grant, purpose: Purpose, keeper: Keeper) -> Lease {
     let stop = CancellationToken::new();
-    let held = Held { lease: grant.lease, target: grant.target.clone(), purpose };
+    let held = HeldLease { lease: grant.lease, target: grant.target.clone(), purpose };
     let out = Out { held, keeper, stop: stop.clone() };
     node.accounts.out.borrow_mut().insert(grant.lease, out);
     // Whoever drops it without a word has not used it to the end.
--- a/crates/daemon/src/gateway/account/report.rs
+++ b/crates/daemon/src/gateway/account/report.rs
@@ -5,7 +5,7 @@
 use crate::gateway::keeper as kept;
 use crate::gateway::message::Ask;
 use crate::gateway::node::Node;
-use coordination::slots::Held;
+use coordination::slots::HeldLease;
 use protocol::{DataCentreId, InstanceId};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -46,10 +46,11 @@
             continue;
         }
         let out = node.accounts.out.borrow();
-        let of_this = |held: &&Held| {
+        let of_this = |held: &&HeldLease| {
             registry.get(&held.target).is_some_and(|target| target.data_centre == name)
         };
-        let held: Vec<Held> = out.values().map(|out| &out.held).filter(of_this).cloned().collect();
+        let held: Vec<HeldLease> =
+            out.values().map(|out| &out.held).filter(of_this).cloned().collect();
         drop(out);
         if keeper.id == node.id() {
             node.accounts.ledger.borrow_mut().on_held(keeper.id, &held, clock::now());
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -9,8 +9,8 @@
 use super::wake;
 use crate::clock;
 use coordination::slots::{
-    self, Decision, Grant, Held, LOOK, LeaseId, LeaseOutcome, LeaseReport, Purpose, Revocation,
-    WaiterId,
+    self, Decision, Grant, HeldLease, LOOK, LeaseId, LeaseOutcome, LeaseReport, Purpose,
+    Revocation, WaiterId,
 };
 use protocol::{DataCentreId, InstanceId};
 use std::collections::BTreeSet;
@@ -194,7 +194,7 @@
 }
 
 /// A holder reports all that it holds.
-pub fn on_held(node: &Rc<Node>, holder: InstanceId, held: &[Held]) {
+pub fn on_held(node: &Rc<Node>, holder: InstanceId, held: &[HeldLease]) {
     refresh(node);
     let revocations = {
         let mut ledger = node.accounts.ledger.borrow_mut();
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -6,7 +6,7 @@
 use coordination::quarantine::Strike;
 use coordination::registry::Change;
 use coordination::run_time::Span;
-use coordination::slots::{Grant, Held, LeaseId, LeaseReport, Purpose};
+use coordination::slots::{Grant, HeldLease, LeaseId, LeaseReport, Purpose};
 use protocol::routing::Version;
 use protocol::{ContentId, DataCentreId, InstanceId, ServiceId, TargetId};
 use serde::{Deserialize, Serialize};
@@ -139,7 +139,7 @@
     /// Somebody waits in vain for a first event at a target.
     Doubt(TargetId),
     /// All leases that an instance holds at this account.
-    Held(InstanceId, Vec<Held>),
+    Held(InstanceId, Vec<HeldLease>),
     /// A batch lease must be given back at once.
     Revoke(LeaseId),
     /// How far the sender is; the reply brings what it lacks.
