--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -22,13 +22,13 @@
 mod row;
 
 pub use lease::{
-    Chance, Decision, Grant, HeldLease, LeaseId, LeaseOutcome, LeaseReport, Policy, Purpose,
+    Decision, Feasibility, Grant, HeldLease, LeaseId, LeaseOutcome, LeaseReport, Policy, Purpose,
     Request, Revocation, WaiterId,
 };
 
 use crate::run_time::Span;
 use crate::{InstanceId, TargetId};
-use lease::Turn;
+use lease::Priority;
 use protocol::routing::Target;
 use row::{Rank, Row};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -144,9 +144,9 @@
             return Decision::Granted(grant, revocation);
         }
         self.drop_silent(now);
-        let turn = ask.turn(&self.policy, now);
+        let turn = ask.priority(&self.policy, now);
         let before = |waiter: &&Waiter| {
-            waiter.ask.is_like(&ask) && waiter.ask.turn(&self.policy, now) < turn
+            waiter.ask.is_like(&ask) && waiter.ask.priority(&self.policy, now) < turn
         };
         let ahead = self.waiters.values().filter(before).count();
         let wait = self.expected_wait(&ask, ahead, now);
@@ -162,10 +162,10 @@
 
     /// Whether somebody waits who goes before this wish.
     fn is_behind_others(&self, ask: &Request, now: Instant) -> bool {
-        let turn = ask.turn(&self.policy, now);
+        let turn = ask.priority(&self.policy, now);
         self.waiters
             .values()
-            .any(|waiter| waiter.ask.is_like(ask) && waiter.ask.turn(&self.policy, now) < turn)
+            .any(|waiter| waiter.ask.is_like(ask) && waiter.ask.priority(&self.policy, now) < turn)
     }
 
     /// How long a wish with `ahead` others before it is expected to wait: slots
@@ -314,18 +314,18 @@
             .waiters
             .iter()
             .filter(|(id, waiter)| !is_kept_back(&waiter.ask) && !passed_over.contains(id));
-        open.min_by_key(|(id, waiter)| (waiter.ask.turn(&self.policy, now), **id))
+        open.min_by_key(|(id, waiter)| (waiter.ask.priority(&self.policy, now), **id))
             .map(|(id, _)| *id)
     }
 
     /// Online requests that wait, the first one first.
     fn in_turn(&self, now: Instant) -> Vec<WaiterId> {
         let is_online = |waiter: &Waiter| waiter.ask.purpose == Purpose::Online;
-        let mut order: Vec<(Turn, WaiterId)> = self
+        let mut order: Vec<(Priority, WaiterId)> = self
             .waiters
             .iter()
             .filter(|(_, waiter)| is_online(waiter))
-            .map(|(id, waiter)| (waiter.ask.turn(&self.policy, now), *id))
+            .map(|(id, waiter)| (waiter.ask.priority(&self.policy, now), *id))
             .collect();
         order.sort_unstable();
         order.into_iter().map(|(_, id)| id).collect()
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -109,28 +109,28 @@
 }
 
 /// Place in the order of those that wait; the lowest goes first.
-pub(super) type Turn = (u8, Chance, bool, Instant);
+pub(super) type Priority = (u8, Feasibility, bool, Instant);
 
 /// Whether work can be in time; the best chance goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Chance {
+pub enum Feasibility {
     /// For sure, as far as can be told.
-    Sure,
+    Safe,
     /// Perhaps: of those that take such a turn many end late, and then what they took is
     /// lost to others that would have been in time.
-    Doubtful,
+    AtRisk,
     /// It is late.
-    None,
+    Missed,
 }
 
-impl Chance {
+impl Feasibility {
     /// The chance of work that must go on until one of two times: to be in time for
     /// sure, or at all.
-    pub fn of<T: PartialOrd>(now: T, sure_until: T, in_time_until: T) -> Chance {
+    pub fn at<T: PartialOrd>(now: T, sure_until: T, in_time_until: T) -> Feasibility {
         match () {
-            () if now >= in_time_until => Chance::None,
-            () if now >= sure_until => Chance::Doubtful,
-            () => Chance::Sure,
+            () if now >= in_time_until => Feasibility::Missed,
+            () if now >= sure_until => Feasibility::AtRisk,
+            () => Feasibility::Safe,
         }
     }
 }
@@ -148,10 +148,10 @@
     }
 
     /// Whether the work of batch can be in time.
-    fn chance(&self, policy: &Policy, now: Instant) -> Chance {
+    fn chance(&self, policy: &Policy, now: Instant) -> Feasibility {
         match policy.late_last {
-            true => Chance::of(now, self.sure_until, self.in_time_until),
-            false => Chance::Sure,
+            true => Feasibility::at(now, self.sure_until, self.in_time_until),
+            false => Feasibility::Safe,
         }
     }
 
@@ -163,12 +163,12 @@
     /// begun otherwise and few are done. Of the events that a fleet made that was asked for
     /// far more than it can do, a tenth was of items that were never done, and a third on
     /// a day with trouble.
-    pub(super) fn turn(&self, policy: &Policy, now: Instant) -> Turn {
+    pub(super) fn priority(&self, policy: &Policy, now: Instant) -> Priority {
         match self.purpose {
             Purpose::Online if policy.late_last && now > self.in_time_until => {
-                (0, Chance::None, false, self.until)
+                (0, Feasibility::Missed, false, self.until)
             }
-            Purpose::Online => (0, Chance::Sure, false, self.in_time_until),
+            Purpose::Online => (0, Feasibility::Safe, false, self.in_time_until),
             Purpose::Batch => {
                 let is_fresh = policy.begun_first && !self.is_begun;
                 (1, self.chance(policy, now), is_fresh, self.due)
--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -7,7 +7,7 @@
 use super::node::{Node, millis};
 use super::{job_writer, takeover};
 use coordination::hash;
-use coordination::slots::Chance;
+use coordination::slots::Feasibility;
 use protocol::ServiceId;
 use state::progress::{JobState, Millis};
 use std::collections::HashSet;
@@ -76,7 +76,7 @@
 
 /// Place of a job among those whose items wait; the lowest goes first. The accounts
 /// order wishes alike, so a holder's slots go to the job for which it got them.
-type Turn = (Chance, bool, Millis);
+type Turn = (Feasibility, bool, Millis);
 
 /// What can't be in time any more comes last: in its turn it would make the others
 /// late as well. What was begun goes before what wasn't.
@@ -84,7 +84,7 @@
     let (sure, in_time) = latest(node, state);
     let is_begun = state.next_made().unwrap_or_default() > 0;
     let is_fresh = node.settings.policy.begun_first && !is_begun;
-    (Chance::of(now, sure, in_time), is_fresh, state.job().due)
+    (Feasibility::at(now, sure, in_time), is_fresh, state.job().due)
 }
 
 /// HeldJob jobs with items that wait for the service, the most urgent first.
