--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -150,7 +150,7 @@
         };
         let ahead = self.waiters.values().filter(before).count();
         let wait = self.expected_wait(&ask, ahead, now);
-        let is_hopeless = ask.purpose == Purpose::Online && now + wait > ask.until;
+        let is_hopeless = ask.purpose == Purpose::Online && now + wait > ask.expires;
         if !ask.may_wait || is_hopeless {
             return Decision::Full(wait.clamp(COME_BACK[0], COME_BACK[1]));
         }
@@ -178,7 +178,7 @@
         let in_use = self.rows.values().filter(fits).filter(|row| row.is_in_use(now));
         let in_use: u32 = in_use.map(|row| row.target.slots).sum();
         let share = f64::from(in_use) / f64::from(own.max(1));
-        let slots = (f64::from(own.max(ask.reach)) * share).max(1.0);
+        let slots = (f64::from(own.max(ask.total_slots)) * share).max(1.0);
         Duration::from_secs_f64(self.hold * (ahead + 1) as f64 / slots)
     }
 
@@ -235,8 +235,8 @@
             purpose: ask.purpose,
             granted: now,
             due: ask.due,
-            ends: now + ask.left,
-            is_late: self.policy.late_last && now > ask.in_time_until,
+            ends: now + ask.remaining,
+            is_late: self.policy.late_last && now > ask.latest_start,
             is_revoked: false,
         };
         self.leases.insert(id, lease);
@@ -288,7 +288,7 @@
                     self.waiters.remove(&id);
                     grants.push((id, grant, revocation));
                 }
-                None if ask.avoid.is_empty() => full.push(ask),
+                None if ask.excluded.is_empty() => full.push(ask),
                 None => {
                     passed_over.insert(id);
                 }
@@ -344,7 +344,7 @@
             };
             let ahead = ahead.entry((&ask.service, &ask.data_centre)).or_default();
             let wait = self.expected_wait(ask, *ahead, now);
-            if now + wait > ask.until {
+            if now + wait > ask.expires {
                 refused.push((id, wait.clamp(COME_BACK[0], COME_BACK[1])));
             } else {
                 *ahead += 1;
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -90,20 +90,20 @@
     pub due: Instant,
     /// Slot time that the work needs; of several items the one with most of it left
     /// gives way first. Zero where it isn't known.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Whether an earlier run has done a part of the work.
-    pub is_begun: bool,
+    pub is_started: bool,
     /// Until when a slot brings the answer within its objective.
-    pub in_time_until: Instant,
+    pub latest_start: Instant,
     /// Until when a slot brings the work to its end in time for sure; batch only. Between
     /// this and the one before it may or may not.
-    pub sure_until: Instant,
+    pub safe_start: Instant,
     /// Until when a slot is of any use: the caller leaves then.
-    pub until: Instant,
+    pub expires: Instant,
     /// Slots of all the accounts in which the request waits, this one's included.
-    pub reach: u32,
+    pub total_slots: u32,
     /// Targets that won't do.
-    pub avoid: Vec<TargetId>,
+    pub excluded: Vec<TargetId>,
     /// Whether it may wait.
     pub may_wait: bool,
 }
@@ -150,7 +150,7 @@
     /// Whether the work of batch can be in time.
     fn chance(&self, policy: &Policy, now: Instant) -> Feasibility {
         match policy.late_last {
-            true => Feasibility::at(now, self.sure_until, self.in_time_until),
+            true => Feasibility::at(now, self.safe_start, self.latest_start),
             false => Feasibility::Safe,
         }
     }
@@ -165,12 +165,12 @@
     /// a day with trouble.
     pub(super) fn priority(&self, policy: &Policy, now: Instant) -> Priority {
         match self.purpose {
-            Purpose::Online if policy.late_last && now > self.in_time_until => {
-                (0, Feasibility::Missed, false, self.until)
+            Purpose::Online if policy.late_last && now > self.latest_start => {
+                (0, Feasibility::Missed, false, self.expires)
             }
-            Purpose::Online => (0, Feasibility::Safe, false, self.in_time_until),
+            Purpose::Online => (0, Feasibility::Safe, false, self.latest_start),
             Purpose::Batch => {
-                let is_fresh = policy.begun_first && !self.is_begun;
+                let is_fresh = policy.begun_first && !self.is_started;
                 (1, self.chance(policy, now), is_fresh, self.due)
             }
         }
--- a/crates/coordination/src/slots/row.rs
+++ b/crates/coordination/src/slots/row.rs
@@ -109,7 +109,7 @@
         policy: &Policy,
         now: Instant,
     ) -> Option<Rank> {
-        if !self.serves(ask) || ask.avoid.contains(&self.target.id) {
+        if !self.serves(ask) || ask.excluded.contains(&self.target.id) {
             return None;
         }
         let is_online = ask.purpose == Purpose::Online;
--- a/crates/coordination/tests/shortage.rs
+++ b/crates/coordination/tests/shortage.rs
@@ -111,13 +111,13 @@
             service: String::from("llm"),
             purpose,
             due: now + Duration::from_secs(2),
-            left: Duration::ZERO,
-            is_begun: false,
-            in_time_until: now + MS * 195,
-            sure_until: now + MS * 195,
-            until: now + Duration::from_secs(2),
-            reach: 0,
-            avoid: Vec::new(),
+            remaining: Duration::ZERO,
+            is_started: false,
+            latest_start: now + MS * 195,
+            safe_start: now + MS * 195,
+            expires: now + Duration::from_secs(2),
+            total_slots: 0,
+            excluded: Vec::new(),
             may_wait: true,
         }
     }
@@ -167,10 +167,10 @@
                 let latest = |time: Duration| due.checked_sub(time).expect("a time");
                 let ask = Request {
                     due: due.max(self.now),
-                    left: self.span.left(made),
-                    is_begun: made > 0,
-                    in_time_until: latest(self.span.left(made)),
-                    sure_until: latest(self.span.surely(made, SPARE)),
+                    remaining: self.span.left(made),
+                    is_started: made > 0,
+                    latest_start: latest(self.span.left(made)),
+                    safe_start: latest(self.span.surely(made, SPARE)),
                     ..self.ask(Purpose::Batch)
                 };
                 match self.ledger.on_request(ask, self.now) {
--- a/crates/coordination/tests/slots/health.rs
+++ b/crates/coordination/tests/slots/health.rs
@@ -64,7 +64,7 @@
 /// A request on a target ended so.
 fn end_at(ledger: &mut Allocator, target: &str, end: LeaseOutcome, now: Instant) {
     let avoid = (0..8).map(|n| format!("t{n}")).filter(|id| id != target).collect();
-    let grant = grant(ledger, Request { avoid, ..ask(Purpose::Online, now) }, now);
+    let grant = grant(ledger, Request { excluded: avoid, ..ask(Purpose::Online, now) }, now);
     ledger.on_release(grant.lease, LeaseReport { end, ..LeaseReport::default() }, now);
 }
 
--- a/crates/coordination/tests/slots/order.rs
+++ b/crates/coordination/tests/slots/order.rs
@@ -81,7 +81,7 @@
     let mut ledger = ledger(1, now);
     let item = |due: u32, in_time: u32| Request {
         due: now + MS * due,
-        in_time_until: now + MS * in_time,
+        latest_start: now + MS * in_time,
         ..ask(Purpose::Batch, now)
     };
     let later = now + MS * 100;
@@ -123,7 +123,7 @@
     grant(&mut ledger, ask(Purpose::Online, now), now);
     let fresh = Request { due: now + MS * 3_000, ..ask(Purpose::Batch, now) };
     let fresh = wait(&mut ledger, fresh, now);
-    let begun = wait(&mut ledger, Request { is_begun: true, ..ask(Purpose::Batch, now) }, now);
+    let begun = wait(&mut ledger, Request { is_started: true, ..ask(Purpose::Batch, now) }, now);
     ledger.on_release(taken.lease, LeaseReport::default(), now);
     let grants = ledger.next_grants(now);
     assert_eq!(grants.iter().map(|(id, ..)| *id).collect::<Vec<_>>(), [begun]);
@@ -137,8 +137,8 @@
     let taken: Vec<_> =
         (0..4).map(|_| grant(&mut ledger, ask(Purpose::Online, now), now)).collect();
     let item = |sure_ms: u32, in_time_ms: u32| Request {
-        sure_until: now + MS * sure_ms,
-        in_time_until: now + MS * in_time_ms,
+        safe_start: now + MS * sure_ms,
+        latest_start: now + MS * in_time_ms,
         due: now + MS * (in_time_ms + 1_000),
         ..ask(Purpose::Batch, now)
     };
@@ -159,7 +159,7 @@
 fn online_stops_the_item_with_most_of_its_time_before_it_on_whatever_target() {
     let now = Instant::now();
     let mut ledger = ledger(2, now);
-    let item = |left_ms: u32| Request { left: MS * left_ms, ..ask(Purpose::Batch, now) };
+    let item = |left_ms: u32| Request { remaining: MS * left_ms, ..ask(Purpose::Batch, now) };
     let leases: Vec<_> =
         [300, 900, 4_000, 2_000].map(|left| grant(&mut ledger, item(left), now)).into();
     let mut stopped = Vec::new();
--- a/crates/coordination/tests/slots/waits.rs
+++ b/crates/coordination/tests/slots/waits.rs
@@ -12,7 +12,7 @@
     let mut ledger = ledger(1, now);
     grant(&mut ledger, ask(Purpose::Online, now), now);
     grant(&mut ledger, ask(Purpose::Online, now), now);
-    let hopeless = Request { until: now + MS * 10, may_wait: true, ..ask(Purpose::Online, now) };
+    let hopeless = Request { expires: now + MS * 10, may_wait: true, ..ask(Purpose::Online, now) };
     match ledger.on_request(hopeless, now) {
         Decision::Full(after) => assert!(after >= MS * 100 && after <= MS * 1_500),
         other => panic!("{other:?}"),
@@ -41,7 +41,7 @@
     let now = Instant::now();
     let mut ledger = full_ledger(now);
     // Leases are taken to last half a second: with two slots, one each 250 ms.
-    let patient = Request { until: now + MS * 400, ..ask(Purpose::Online, now) };
+    let patient = Request { expires: now + MS * 400, ..ask(Purpose::Online, now) };
     let id = wait(&mut ledger, patient, now);
     assert!(ledger.hopeless(now + MS * 100).is_empty(), "its turn is expected before");
     let refused = ledger.hopeless(now + MS * 200);
@@ -56,7 +56,7 @@
     let mut ledger = ledger(2, now);
     let taken: Vec<Grant> =
         (0..4).map(|_| grant(&mut ledger, ask(Purpose::Online, now), now)).collect();
-    let late = |until| Request { in_time_until: now, until, ..ask(Purpose::Online, now) };
+    let late = |until| Request { latest_start: now, expires: until, ..ask(Purpose::Online, now) };
     let stays = wait(&mut ledger, late(now + MS * 1_900), now);
     let leaves = wait(&mut ledger, late(now + MS * 1_400), now);
     let in_time = wait(&mut ledger, ask(Purpose::Online, now), now);
@@ -75,9 +75,9 @@
 fn a_wait_in_several_accounts_counts_the_slots_of_all() {
     let now = Instant::now();
     let mut ledger = full_ledger(now);
-    let hurried = Request { until: now + MS * 100, may_wait: true, ..ask(Purpose::Online, now) };
+    let hurried = Request { expires: now + MS * 100, may_wait: true, ..ask(Purpose::Online, now) };
     assert!(matches!(ledger.on_request(hurried.clone(), now), Decision::Full(_)));
-    wait(&mut ledger, Request { reach: 16, ..hurried }, now);
+    wait(&mut ledger, Request { total_slots: 16, ..hurried }, now);
 }
 
 /// Regression: a wait was expected as if targets out of use served, so requests were
@@ -95,6 +95,6 @@
         }
     }
     // Two slots are left: half a second each, so the next comes in a quarter.
-    let hurried = Request { until: now + MS * 200, may_wait: true, ..ask(Purpose::Online, now) };
+    let hurried = Request { expires: now + MS * 200, may_wait: true, ..ask(Purpose::Online, now) };
     assert!(matches!(ledger.on_request(hurried, now), Decision::Full(_)));
 }
--- a/crates/daemon/src/gateway/account.rs
+++ b/crates/daemon/src/gateway/account.rs
@@ -216,13 +216,13 @@
             service: want.service.clone(),
             purpose: Purpose::Online,
             due: want.until,
-            left: Duration::ZERO,
-            is_begun: false,
-            in_time_until: want.in_time_until,
-            sure_until: want.in_time_until,
-            until: want.until,
-            reach: 0,
-            avoid: want.avoid.clone(),
+            remaining: Duration::ZERO,
+            is_started: false,
+            latest_start: want.in_time_until,
+            safe_start: want.in_time_until,
+            expires: want.until,
+            total_slots: 0,
+            excluded: want.avoid.clone(),
             may_wait: false,
         };
         let ticket = node.accounts.ticket();
@@ -239,13 +239,13 @@
             due_ms: span(self.ask.due, now),
             left_ms: 0,
             is_begun: false,
-            in_time_ms: span(self.ask.in_time_until, now),
-            sure_ms: span(self.ask.sure_until, now),
-            until_ms: span(self.ask.until, now),
-            reach: self.ask.reach,
+            in_time_ms: span(self.ask.latest_start, now),
+            sure_ms: span(self.ask.safe_start, now),
+            until_ms: span(self.ask.expires, now),
+            reach: self.ask.total_slots,
             wait_ms: self.wait.as_millis() as u64,
             most: 1,
-            avoid: self.ask.avoid.clone(),
+            avoid: self.ask.excluded.clone(),
         }
     }
 }
@@ -266,7 +266,7 @@
     let mut visit = visit;
     for _ in 0..MOST_LEFT {
         match answer(&node, &visit).await {
-            Answer::Left(target) => visit.ask.avoid.push(target),
+            Answer::Left(target) => visit.ask.excluded.push(target),
             answer => return (visit, answer),
         }
     }
--- a/crates/daemon/src/gateway/account/wait.rs
+++ b/crates/daemon/src/gateway/account/wait.rs
@@ -72,7 +72,7 @@
     fn wait_at(&mut self, name: &str) {
         let node = self.places.node.clone();
         let mut visit = Visit::look(&node, self.want, name);
-        visit.ask.reach = self.reach;
+        visit.ask.total_slots = self.reach;
         visit.ask.may_wait = true;
         visit.wait = self.left().min(RENEW);
         self.places.tickets.push((visit.data_centre.clone(), visit.ticket));
