--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -249,11 +249,11 @@
         };
         self.on_heard(lease.holder, now);
         let fresh = self.policy.fresh;
-        if lease.purpose == Purpose::Online && report.end == LeaseOutcome::Completed {
+        if lease.purpose == Purpose::Online && report.outcome == LeaseOutcome::Completed {
             let held = now.saturating_duration_since(lease.granted).as_secs_f64();
             self.hold += (held - self.hold) * fresh;
         }
-        if let Some(done) = report.done {
+        if let Some(done) = report.completed {
             self.span.on_done(done);
         }
         let Some(row) = self.rows.get_mut(&lease.target) else {
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -214,13 +214,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseReport {
     /// How it ended.
-    pub end: LeaseOutcome,
+    #[serde(rename = "end")]
+    pub outcome: LeaseOutcome,
     /// Time to the first event, if one came.
-    pub first: Option<Duration>,
+    #[serde(rename = "first")]
+    pub first_event: Option<Duration>,
     /// Mean time between events, if several came.
-    pub pace: Option<Duration>,
+    #[serde(rename = "pace")]
+    pub event_interval: Option<Duration>,
     /// The item that it brought to its end.
-    pub done: Option<Done>,
+    #[serde(rename = "done")]
+    pub completed: Option<Done>,
 }
 
 /// How the use of a lease ended.
--- a/crates/coordination/src/slots/row.rs
+++ b/crates/coordination/src/slots/row.rs
@@ -155,7 +155,7 @@
         fresh: f64,
         now: Instant,
     ) {
-        if report.end == LeaseOutcome::Interrupted {
+        if report.outcome == LeaseOutcome::Interrupted {
             // Requests that were under way together break off together when
             // connections are reset: that is one event, whatever their number.
             // Only one that began after it tells more. Silence is another matter:
@@ -165,7 +165,7 @@
             }
             self.broke = Some(now);
         }
-        match report.end {
+        match report.outcome {
             LeaseOutcome::Unused => {}
             LeaseOutcome::Completed => {
                 self.health.on_success();
@@ -187,7 +187,7 @@
                 self.failures.note(true, now);
             }
         }
-        if let Some(pace) = report.pace {
+        if let Some(pace) = report.event_interval {
             let pace = pace.as_secs_f64();
             self.pace =
                 if self.pace == 0.0 { pace } else { self.pace + (pace - self.pace) * fresh };
--- a/crates/coordination/tests/overload.rs
+++ b/crates/coordination/tests/overload.rs
@@ -90,7 +90,7 @@
             && at <= self.now
         {
             self.ends.pop();
-            let report = LeaseReport { end: LeaseOutcome::Completed, ..LeaseReport::default() };
+            let report = LeaseReport { outcome: LeaseOutcome::Completed, ..LeaseReport::default() };
             self.ledger.on_release(lease, report, self.now);
         }
         for (id, grant, _) in self.ledger.next_grants(self.now) {
--- a/crates/coordination/tests/shortage.rs
+++ b/crates/coordination/tests/shortage.rs
@@ -142,7 +142,7 @@
             item.had += (self.now - run.began).saturating_sub(START);
             self.cuts += 1;
             let lease = stopped.map(|stopped| stopped.lease).expect("it was stopped");
-            let unused = LeaseReport { end: LeaseOutcome::Unused, ..LeaseReport::default() };
+            let unused = LeaseReport { outcome: LeaseOutcome::Unused, ..LeaseReport::default() };
             self.ledger.on_release(lease, unused, self.now);
         }
     }
@@ -187,7 +187,7 @@
 
     fn on_batch(&mut self, job: usize, grant: &Grant) {
         let Some(next) = self.jobs[job].next() else {
-            let unused = LeaseReport { end: LeaseOutcome::Unused, ..LeaseReport::default() };
+            let unused = LeaseReport { outcome: LeaseOutcome::Unused, ..LeaseReport::default() };
             self.ledger.on_release(grant.lease, unused, self.now);
             return;
         };
@@ -221,7 +221,7 @@
             let took = now - item.began.expect("it began");
             let events = (item.needs.as_secs_f64() / ITEM.as_secs_f64() * f64::from(EVENTS)) as u32;
             let done = Done { events, pace: ITEM / EVENTS, took };
-            let report = LeaseReport { done: Some(done), ..LeaseReport::default() };
+            let report = LeaseReport { completed: Some(done), ..LeaseReport::default() };
             self.ledger.on_release(lease, report, now);
         }
         // Every job's holder is another instance: what it knows is the account's word.
--- a/crates/coordination/tests/slots/health.rs
+++ b/crates/coordination/tests/slots/health.rs
@@ -13,7 +13,7 @@
     let now = Instant::now();
     let mut ledger = ledger(2, now);
     let lost = grant(&mut ledger, ask(Purpose::Online, now), now);
-    let silent = LeaseReport { end: LeaseOutcome::Unresponsive, ..LeaseReport::default() };
+    let silent = LeaseReport { outcome: LeaseOutcome::Unresponsive, ..LeaseReport::default() };
     ledger.on_release(lost.lease, silent, now);
     for _ in 0..2 {
         assert_ne!(grant(&mut ledger, ask(Purpose::Online, now), now).target, lost.target);
@@ -35,7 +35,7 @@
     ledger.set_targets(&[target(0, 8)]);
     let leases: Vec<Grant> =
         (0..8).map(|_| grant(&mut ledger, ask(Purpose::Online, now), now)).collect();
-    let broken = LeaseReport { end: LeaseOutcome::Interrupted, ..LeaseReport::default() };
+    let broken = LeaseReport { outcome: LeaseOutcome::Interrupted, ..LeaseReport::default() };
     for (n, lease) in leases.iter().enumerate() {
         ledger.on_release(lease.lease, broken, now + MS * (100 + n as u32));
     }
@@ -65,7 +65,7 @@
 fn end_at(ledger: &mut Allocator, target: &str, end: LeaseOutcome, now: Instant) {
     let avoid = (0..8).map(|n| format!("t{n}")).filter(|id| id != target).collect();
     let grant = grant(ledger, Request { excluded: avoid, ..ask(Purpose::Online, now) }, now);
-    ledger.on_release(grant.lease, LeaseReport { end, ..LeaseReport::default() }, now);
+    ledger.on_release(grant.lease, LeaseReport { outcome: end, ..LeaseReport::default() }, now);
 }
 
 /// Regression: only failures in a row took a target out of use, so one that failed
@@ -118,7 +118,7 @@
     let mut ledger = ledger(1, now);
     let old = grant(&mut ledger, ask(Purpose::Online, now), now);
     let lost = grant(&mut ledger, ask(Purpose::Online, now), now);
-    let silent = LeaseReport { end: LeaseOutcome::Unresponsive, ..LeaseReport::default() };
+    let silent = LeaseReport { outcome: LeaseOutcome::Unresponsive, ..LeaseReport::default() };
     ledger.on_release(lost.lease, silent, now);
     let verdict = ledger.on_request(ask(Purpose::Online, now), now);
     assert!(matches!(verdict, Decision::Full(_)), "out of use: {verdict:?}");
--- a/crates/coordination/tests/slots/waits.rs
+++ b/crates/coordination/tests/slots/waits.rs
@@ -86,7 +86,7 @@
 fn a_wait_counts_no_target_that_is_out_of_use() {
     let now = Instant::now();
     let mut ledger = ledger(8, now);
-    let silent = LeaseReport { end: LeaseOutcome::Unresponsive, ..LeaseReport::default() };
+    let silent = LeaseReport { outcome: LeaseOutcome::Unresponsive, ..LeaseReport::default() };
     let leases: Vec<Grant> =
         (0..16).map(|_| grant(&mut ledger, ask(Purpose::Online, now), now)).collect();
     for lease in leases {
--- a/crates/daemon/src/gateway/account/lease.rs
+++ b/crates/daemon/src/gateway/account/lease.rs
@@ -50,7 +50,7 @@
 
     /// Notes how the use ended.
     pub fn end(mut self, end: LeaseOutcome) {
-        self.report.end = end;
+        self.report.outcome = end;
     }
 
     /// Tells the account that a first event is overdue.
@@ -89,7 +89,7 @@
     let out = Out { held, keeper, stop: stop.clone() };
     node.accounts.out.borrow_mut().insert(grant.lease, out);
     // Whoever drops it without a word has not used it to the end.
-    let report = LeaseReport { end: LeaseOutcome::Unused, ..LeaseReport::default() };
+    let report = LeaseReport { outcome: LeaseOutcome::Unused, ..LeaseReport::default() };
     let registry = node.registry.borrow().revision();
     Lease { node: node.clone(), grant, stop, report, registry, asked: clock::now() }
 }
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -60,7 +60,7 @@
     let mut lease = lease;
     let made = partial.texts.len() - before.min(partial.texts.len());
     if made > 1 {
-        lease.report.pace = Some(clock::since(began) / made as u32);
+        lease.report.event_interval = Some(clock::since(began) / made as u32);
     }
     let (how, fault) = match &ended {
         Ended::Complete => ("complete", String::new()),
@@ -77,8 +77,9 @@
         Ended::Complete => {
             let took = clock::since(held.began.borrow_mut().remove(&item.id).unwrap_or(began));
             let events = partial.texts.len() as u32;
-            lease.report.done = lease.report.pace.map(|pace| Done { events, pace, took });
-            if let Some(done) = lease.report.done {
+            lease.report.completed =
+                lease.report.event_interval.map(|pace| Done { events, pace, took });
+            if let Some(done) = lease.report.completed {
                 node.jobs.span.borrow_mut().on_done(done);
             }
             lease.end(LeaseOutcome::Completed);
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -219,7 +219,8 @@
             let lease = grant.lease;
             let is_taken = sender.is_some_and(|sender| sender.send(Ok(grant)).is_ok());
             if !is_taken {
-                let unused = LeaseReport { end: LeaseOutcome::Unused, ..LeaseReport::default() };
+                let unused =
+                    LeaseReport { outcome: LeaseOutcome::Unused, ..LeaseReport::default() };
                 node.accounts.ledger.borrow_mut().on_release(lease, unused, clock::now());
             }
         }
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -142,8 +142,8 @@
             Stop::Ended => self.forward.on_end(is_framed),
             Stop::Gone | Stop::TimeOver | Stop::Silent => {}
         }
-        lease.report.first = self.tally.first;
-        lease.report.pace = self.tally.pace();
+        lease.report.first_event = self.tally.first;
+        lease.report.event_interval = self.tally.pace();
         lease.end(match stop {
             Stop::Ended => LeaseOutcome::Completed,
             Stop::Gone | Stop::TimeOver => LeaseOutcome::Unused,
