--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -267,9 +267,9 @@
     }
 
     /// Somebody waits in vain for a first event at the target.
-    pub fn on_doubt(&mut self, target: &str, now: Instant) {
+    pub fn on_overdue(&mut self, target: &str, now: Instant) {
         if let Some(row) = self.rows.get_mut(target) {
-            row.on_doubt(now);
+            row.on_overdue(now);
         }
     }
 
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -52,7 +52,7 @@
     /// Whether a target that fails in part is used last, and not for batch.
     pub failing_last: bool,
     /// Whether a target at which somebody waited in vain is used last for a while.
-    pub doubt: bool,
+    pub overdue_last: bool,
     /// Weight of the newest measurement in a running mean.
     pub fresh: f64,
 }
@@ -69,7 +69,7 @@
             begun_first: true,
             slow: 2.0,
             failing_last: true,
-            doubt: true,
+            overdue_last: true,
             fresh: 0.2,
         }
     }
--- a/crates/coordination/src/slots/row.rs
+++ b/crates/coordination/src/slots/row.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a doubt about a target keeps requests away from it.
-const DOUBT: Duration = Duration::from_millis(1_000);
+const OVERDUE_PENALTY: Duration = Duration::from_millis(1_000);
 /// Weight of the newest outcome in the share of failures: of a target's last six
 /// or seven requests, two failures reach [`FAILING`] and one doesn't.
 const NEWEST: f64 = 0.15;
@@ -126,7 +126,8 @@
             Use::Probation if self.used() == 0 => 1,
             Use::Probation | Use::Ejected => return None,
         };
-        let is_doubted = policy.doubt && self.doubted.is_some_and(|at| now < at + DOUBT);
+        let is_doubted =
+            policy.overdue_last && self.doubted.is_some_and(|at| now < at + OVERDUE_PENALTY);
         let is_slow = median > 0.0 && self.pace > median * policy.slow;
         let class = 4 * u32::from(is_doubted || is_failing)
             + 2 * u32::from(self.is_full())
@@ -137,7 +138,7 @@
     }
 
     /// Somebody waits in vain for a first event.
-    pub(super) fn on_doubt(&mut self, now: Instant) {
+    pub(super) fn on_overdue(&mut self, now: Instant) {
         self.doubted = Some(now);
     }
 
--- a/crates/coordination/tests/slots/health.rs
+++ b/crates/coordination/tests/slots/health.rs
@@ -54,7 +54,7 @@
 fn a_doubted_target_is_used_last() {
     let now = Instant::now();
     let mut ledger = ledger(2, now);
-    ledger.on_doubt("t0", now);
+    ledger.on_overdue("t0", now);
     for _ in 0..2 {
         assert_eq!(grant(&mut ledger, ask(Purpose::Online, now), now).target, "t1");
     }
--- a/crates/daemon/src/gateway/account/lease.rs
+++ b/crates/daemon/src/gateway/account/lease.rs
@@ -59,7 +59,7 @@
         let keeper = self.node.accounts.out.borrow().get(&self.grant.lease).map(|out| out.keeper);
         match keeper {
             Some(Keeper::Here) => {
-                self.node.accounts.ledger.borrow_mut().on_doubt(&target, clock::now());
+                self.node.accounts.ledger.borrow_mut().on_overdue(&target, clock::now());
             }
             Some(Keeper::At(address)) => self.node.tell(address, Ask::Doubt(target)),
             Some(Keeper::Nobody) | None => {}
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -190,7 +190,7 @@
 
 /// Somebody waits in vain for a first event at a target.
 pub fn on_doubt(node: &Rc<Node>, target: &str) {
-    node.accounts.ledger.borrow_mut().on_doubt(target, clock::now());
+    node.accounts.ledger.borrow_mut().on_overdue(target, clock::now());
 }
 
 /// A holder reports all that it holds.
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -318,7 +318,7 @@
         late_last: policy.late_last,
         slow: if policy.slow_last { default.slow } else { f64::INFINITY },
         failing_last: policy.failing_last,
-        doubt: policy.doubt,
+        overdue_last: policy.doubt,
         ..default
     }
 }
