--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -112,7 +112,7 @@
 
     /// Starts the time anew in which nothing goes to batch: targets were added
     /// whose leases are not known yet.
-    pub fn settle(&mut self, now: Instant) {
+    pub fn start_settling(&mut self, now: Instant) {
         self.since = now;
     }
 
@@ -334,7 +334,7 @@
     /// Those that wait and won't be served before their callers leave, with the
     /// time after which to come back: each when its own turn is expected, so that
     /// they don't all come at one moment.
-    pub fn hopeless(&mut self, now: Instant) -> Vec<(WaiterId, Duration)> {
+    pub fn take_unserviceable(&mut self, now: Instant) -> Vec<(WaiterId, Duration)> {
         self.drop_silent(now);
         let mut refused = Vec::new();
         let mut ahead: HashMap<(&str, &str), usize> = HashMap::new();
@@ -368,4 +368,4 @@
 }
 
 /// Time between looks at those that wait.
-pub const LOOK: Duration = Duration::from_millis(25);
+pub const WAITER_CHECK_INTERVAL: Duration = Duration::from_millis(25);
--- a/crates/coordination/src/slots/holders.rs
+++ b/crates/coordination/src/slots/holders.rs
@@ -14,7 +14,7 @@
     }
 
     /// An instance is gone; what it held is free.
-    pub fn on_holder_gone(&mut self, holder: InstanceId) {
+    pub fn on_holder_lost(&mut self, holder: InstanceId) {
         let of_holder = |lease: &Lease| lease.holder == holder;
         let held = self.leases.iter().filter(|(_, lease)| of_holder(lease));
         let held: Vec<LeaseId> = held.map(|(id, _)| *id).collect();
@@ -35,9 +35,9 @@
     ///
     /// Guards against a slot that is given away while its holder uses it: after 2 s asleep
     /// all holders seemed to have fallen silent at once.
-    pub fn on_wake(&mut self, now: Instant) {
+    pub fn on_resume(&mut self, now: Instant) {
         self.heard.values_mut().for_each(|at| *at = now);
-        self.settle(now);
+        self.start_settling(now);
     }
 
     /// Drops the online leases of holders that have fallen silent. One that still
@@ -57,7 +57,7 @@
     }
 
     /// A holder reports all that it holds: the account is made to agree.
-    pub fn on_held(&mut self, holder: InstanceId, held: &[HeldLease], now: Instant) {
+    pub fn on_lease_report(&mut self, holder: InstanceId, held: &[HeldLease], now: Instant) {
         self.on_heard(holder, now);
         let reported: HashSet<LeaseId> = held.iter().map(|held| held.lease).collect();
         let is_lost = |(id, lease): &(&LeaseId, &Lease)| {
@@ -106,7 +106,7 @@
 
     /// Batch leases to take back because online holds more than the free slots:
     /// what reports brought may exceed a target's slots.
-    pub fn overfull(&mut self) -> Vec<Revocation> {
+    pub fn revoke_excess(&mut self) -> Vec<Revocation> {
         let over = |row: &&Row| row.batch > 0 && row.online + row.batch > row.target.slots;
         let over: Vec<TargetId> =
             self.rows.values().filter(over).map(|row| row.target.id.clone()).collect();
--- a/crates/coordination/tests/overload.rs
+++ b/crates/coordination/tests/overload.rs
@@ -97,7 +97,7 @@
             let came = self.waiting.remove(&id).expect("it waited");
             self.on_grant(&grant, came);
         }
-        for (id, _) in self.ledger.hopeless(self.now) {
+        for (id, _) in self.ledger.take_unserviceable(self.now) {
             self.waiting.remove(&id);
             self.tally.refused += 1;
         }
--- a/crates/coordination/tests/shortage.rs
+++ b/crates/coordination/tests/shortage.rs
@@ -238,7 +238,7 @@
             self.jobs[job].wish = None;
             self.on_batch(job, &grant);
         }
-        self.online_late += self.ledger.hopeless(now).len() as u32;
+        self.online_late += self.ledger.take_unserviceable(now).len() as u32;
         self.wish();
     }
 }
--- a/crates/coordination/tests/slots/model.rs
+++ b/crates/coordination/tests/slots/model.rs
@@ -79,7 +79,7 @@
                 }
                 Step::Pump => None,
                 Step::HolderGone => {
-                    ledger.on_holder_gone(1);
+                    ledger.on_holder_lost(1);
                     model = Model::default();
                     waiting.clear();
                     None
--- a/crates/coordination/tests/slots/waits.rs
+++ b/crates/coordination/tests/slots/waits.rs
@@ -43,11 +43,11 @@
     // Leases are taken to last half a second: with two slots, one each 250 ms.
     let patient = Request { expires: now + MS * 400, ..ask(Purpose::Online, now) };
     let id = wait(&mut ledger, patient, now);
-    assert!(ledger.hopeless(now + MS * 100).is_empty(), "its turn is expected before");
-    let refused = ledger.hopeless(now + MS * 200);
+    assert!(ledger.take_unserviceable(now + MS * 100).is_empty(), "its turn is expected before");
+    let refused = ledger.take_unserviceable(now + MS * 200);
     assert_eq!(refused.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [id]);
     assert!(refused.iter().all(|(_, after)| *after >= MS * 100), "{refused:?}");
-    assert!(ledger.hopeless(now + MS * 200).is_empty(), "it is told once");
+    assert!(ledger.take_unserviceable(now + MS * 200).is_empty(), "it is told once");
 }
 
 #[test]
--- a/crates/daemon/src/gateway/account/report.rs
+++ b/crates/daemon/src/gateway/account/report.rs
@@ -53,7 +53,7 @@
             out.values().map(|out| &out.held).filter(of_this).cloned().collect();
         drop(out);
         if keeper.id == node.id() {
-            node.accounts.ledger.borrow_mut().on_held(keeper.id, &held, clock::now());
+            node.accounts.ledger.borrow_mut().on_lease_report(keeper.id, &held, clock::now());
         } else {
             node.tell(keeper.peer, Ask::Held(node.id(), held));
         }
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -9,8 +9,8 @@
 use super::wake;
 use crate::clock;
 use coordination::slots::{
-    self, Decision, Grant, HeldLease, LOOK, LeaseId, LeaseOutcome, LeaseReport, Purpose,
-    Revocation, WaiterId,
+    self, Decision, Grant, HeldLease, LeaseId, LeaseOutcome, LeaseReport, Purpose, Revocation,
+    WAITER_CHECK_INTERVAL, WaiterId,
 };
 use protocol::{DataCentreId, InstanceId};
 use std::collections::BTreeSet;
@@ -156,7 +156,7 @@
     let is_new = |name: &DataCentreId| !accounts.kept.borrow().contains(name);
     if kept.iter().any(is_new) {
         slog::info!(node.log, "keeps accounts"; "data_centres" => ?kept, "members" => seen.0);
-        ledger.settle(clock::now());
+        ledger.start_settling(clock::now());
     }
     // Members change often when a fleet starts, and there may be many targets.
     if has_new_targets || *accounts.kept.borrow() != kept {
@@ -165,7 +165,7 @@
     let members = node.members.borrow();
     for holder in ledger.holders() {
         if members.is_dead(holder) {
-            ledger.on_holder_gone(holder);
+            ledger.on_holder_lost(holder);
         }
     }
     *accounts.kept.borrow_mut() = kept;
@@ -198,8 +198,8 @@
     refresh(node);
     let revocations = {
         let mut ledger = node.accounts.ledger.borrow_mut();
-        ledger.on_held(holder, held, clock::now());
-        ledger.overfull()
+        ledger.on_lease_report(holder, held, clock::now());
+        ledger.revoke_excess()
     };
     revocations.into_iter().for_each(|revocation| revoke(node, revocation));
     pump(node);
@@ -235,9 +235,9 @@
     let node = node.clone();
     spawn_local(async move {
         while !node.accounts.waiters.borrow().is_empty() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(WAITER_CHECK_INTERVAL).await;
             wake::look(&node);
-            let refused = node.accounts.ledger.borrow_mut().hopeless(clock::now());
+            let refused = node.accounts.ledger.borrow_mut().take_unserviceable(clock::now());
             for (waiter, after) in refused {
                 if let Some(sender) = node.accounts.waiters.borrow_mut().remove(&waiter) {
                     // Whoever waited may have gone in this moment.
