--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -248,7 +248,7 @@
             return;
         };
         self.on_heard(lease.holder, now);
-        let fresh = self.policy.fresh;
+        let fresh = self.policy.smoothing;
         if lease.purpose == Purpose::Online && report.outcome == LeaseOutcome::Completed {
             let held = now.saturating_duration_since(lease.granted).as_secs_f64();
             self.hold += (held - self.hold) * fresh;
--- a/crates/coordination/src/slots/batch.rs
+++ b/crates/coordination/src/slots/batch.rs
@@ -31,7 +31,7 @@
     /// slots alone grows too fast: of 217 it was 14, where 4 pay.
     fn reserve(&self, slots: u32, online: u32) -> u32 {
         let arrivals = f64::from(online.max(1)) / self.hold.max(f64::MIN_POSITIVE);
-        let pays = (2.0 * arrivals * self.policy.stop_cost.as_secs_f64()).sqrt();
+        let pays = (2.0 * arrivals * self.policy.preemption_cost.as_secs_f64()).sqrt();
         (f64::from(slots) * self.policy.headroom).min(pays.max(PAIR)).ceil() as u32
     }
 
--- a/crates/coordination/src/slots/holders.rs
+++ b/crates/coordination/src/slots/holders.rs
@@ -43,7 +43,7 @@
     /// Drops the online leases of holders that have fallen silent. One that still
     /// lives reports them again.
     pub(super) fn drop_silent(&mut self, now: Instant) {
-        let silence = self.policy.silence;
+        let silence = self.policy.holder_timeout;
         let is_over = |at: Instant| now.saturating_duration_since(at) > silence;
         let is_silent = |holder: &InstanceId| self.heard.get(holder).is_none_or(|at| is_over(*at));
         let is_lost = |lease: &Lease| {
@@ -61,7 +61,7 @@
         self.on_heard(holder, now);
         let reported: HashSet<LeaseId> = held.iter().map(|held| held.lease).collect();
         let is_lost = |(id, lease): &(&LeaseId, &Lease)| {
-            let is_old = now.saturating_duration_since(lease.granted) > self.policy.crossing;
+            let is_old = now.saturating_duration_since(lease.granted) > self.policy.report_grace;
             lease.holder == holder && is_old && !reported.contains(*id)
         };
         let lost: Vec<LeaseId> = self.leases.iter().filter(is_lost).map(|(id, _)| *id).collect();
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -30,47 +30,47 @@
     /// Slot time that a stopped item loses: its slot stands empty until its stream is
     /// closed, it is asked for anew, and its prompt is read again. With what online
     /// requests come it says how much headroom pays.
-    pub stop_cost: Duration,
+    pub preemption_cost: Duration,
     /// Time in which a new account hands out nothing to batch, until holders
     /// have reported what they hold. A few round trips.
     pub settle: Duration,
     /// A lease that its holder doesn't report is dropped when it is older than
     /// this; younger ones may have crossed the report.
-    pub crossing: Duration,
+    pub report_grace: Duration,
     /// An online lease whose holder has said nothing for this long counts as given
     /// back: the holder may be cut off. A report is due each second, and online
     /// requests take less than one.
-    pub silence: Duration,
+    pub holder_timeout: Duration,
     /// Whether what can't be in time any more waits behind what still can, and
     /// gives way before it.
     pub late_last: bool,
     /// Whether batch that was begun goes before batch that wasn't.
-    pub begun_first: bool,
+    pub started_first: bool,
     /// A target whose events come this many times slower than the median is
     /// used last.
-    pub slow: f64,
+    pub slow_factor: f64,
     /// Whether a target that fails in part is used last, and not for batch.
     pub failing_last: bool,
     /// Whether a target at which somebody waited in vain is used last for a while.
     pub overdue_last: bool,
     /// Weight of the newest measurement in a running mean.
-    pub fresh: f64,
+    pub smoothing: f64,
 }
 
 impl Default for Policy {
     fn default() -> Policy {
         Policy {
             headroom: 0.06,
-            stop_cost: Duration::from_millis(120),
+            preemption_cost: Duration::from_millis(120),
             settle: Duration::from_millis(300),
-            crossing: Duration::from_secs(1),
-            silence: Duration::from_millis(1_500),
+            report_grace: Duration::from_secs(1),
+            holder_timeout: Duration::from_millis(1_500),
             late_last: true,
-            begun_first: true,
-            slow: 2.0,
+            started_first: true,
+            slow_factor: 2.0,
             failing_last: true,
             overdue_last: true,
-            fresh: 0.2,
+            smoothing: 0.2,
         }
     }
 }
@@ -170,7 +170,7 @@
             }
             Purpose::Online => (0, Feasibility::Safe, false, self.latest_start),
             Purpose::Batch => {
-                let is_fresh = policy.begun_first && !self.is_started;
+                let is_fresh = policy.started_first && !self.is_started;
                 (1, self.chance(policy, now), is_fresh, self.due)
             }
         }
--- a/crates/coordination/src/slots/row.rs
+++ b/crates/coordination/src/slots/row.rs
@@ -128,7 +128,7 @@
         };
         let is_doubted =
             policy.overdue_last && self.doubted.is_some_and(|at| now < at + OVERDUE_PENALTY);
-        let is_slow = median > 0.0 && self.pace > median * policy.slow;
+        let is_slow = median > 0.0 && self.pace > median * policy.slow_factor;
         let class = 4 * u32::from(is_doubted || is_failing)
             + 2 * u32::from(self.is_full())
             + u32::from(is_slow);
--- a/crates/coordination/tests/shortage.rs
+++ b/crates/coordination/tests/shortage.rs
@@ -326,6 +326,6 @@
     assert!(tally.cuts as usize <= tally.asked, "stopped too often: {tally:?}");
     // Before, 1,241, 1,163 and 1,219 were in time; now 1,286, 1,193 and 1,286.
     let never = Duration::from_secs(60);
-    let wide = play(Policy { stop_cost: never, ..Policy::default() }, true, 1.1, seed);
+    let wide = play(Policy { preemption_cost: never, ..Policy::default() }, true, 1.1, seed);
     assert!(tally.in_time > wide.in_time, "{tally:?}, by share alone {wide:?}");
 }
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -312,11 +312,11 @@
 fn slot_policy(policy: &settings::Policy) -> slots::Policy {
     let default = slots::Policy::default();
     slots::Policy {
-        begun_first: policy.begun_first,
+        started_first: policy.begun_first,
         headroom: policy.headroom,
-        stop_cost: policy.stop_cost,
+        preemption_cost: policy.stop_cost,
         late_last: policy.late_last,
-        slow: if policy.slow_last { default.slow } else { f64::INFINITY },
+        slow_factor: if policy.slow_last { default.slow_factor } else { f64::INFINITY },
         failing_last: policy.failing_last,
         overdue_last: policy.doubt,
         ..default
