--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -30,7 +30,7 @@
 use crate::{InstanceId, TargetId};
 use lease::Priority;
 use protocol::routing::Target;
-use row::{Rank, Row};
+use row::{Rank, TargetState};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
@@ -64,7 +64,7 @@
 pub struct Allocator {
     policy: Policy,
     since: Instant,
-    rows: BTreeMap<TargetId, Row>,
+    targets: BTreeMap<TargetId, TargetState>,
     leases: HashMap<LeaseId, Lease>,
     waiters: BTreeMap<WaiterId, Waiter>,
     /// When each holder last said something.
@@ -82,7 +82,7 @@
         Allocator {
             policy,
             since: now,
-            rows: BTreeMap::new(),
+            targets: BTreeMap::new(),
             leases: HashMap::new(),
             waiters: BTreeMap::new(),
             heard: HashMap::new(),
@@ -95,18 +95,18 @@
     /// Sets the targets of the account; those that are gone, or have started again under
     /// their id, lose their leases, and with them all that was known of their health.
     pub fn set_targets<'a>(&mut self, targets: impl IntoIterator<Item = &'a Target>) {
-        let mut old = std::mem::take(&mut self.rows);
+        let mut old = std::mem::take(&mut self.targets);
         for target in targets {
             let known = old.remove(&target.id).filter(|row| row.target.born == target.born);
             let is_kept = known.is_some();
-            let mut row = known.unwrap_or_else(|| Row::new(target.clone()));
+            let mut row = known.unwrap_or_else(|| TargetState::new(target.clone()));
             if !is_kept {
                 self.leases.retain(|_, lease| lease.target != target.id);
             }
             row.target.clone_from(target);
-            self.rows.insert(target.id.clone(), row);
+            self.targets.insert(target.id.clone(), row);
         }
-        let rows = &self.rows;
+        let rows = &self.targets;
         self.leases.retain(|_, lease| rows.contains_key(&lease.target));
     }
 
@@ -118,12 +118,12 @@
 
     /// Whether the account has a target that may be used for a wish.
     pub fn has_service(&self, ask: &Request) -> bool {
-        self.rows.values().any(|row| row.serves(ask))
+        self.targets.values().any(|row| row.serves(ask))
     }
 
     /// Leases that are out, for metrics: online and batch.
     pub fn in_use(&self) -> [u32; 2] {
-        let sum = |of: fn(&Row) -> u32| self.rows.values().map(of).sum();
+        let sum = |of: fn(&TargetState) -> u32| self.targets.values().map(of).sum();
         [sum(|row| row.online), sum(|row| row.batch)]
     }
 
@@ -173,9 +173,9 @@
     /// in which they wait. The others are taken to have lost as large a share of
     /// their targets as this one.
     fn expected_wait(&self, ask: &Request, ahead: usize, now: Instant) -> Duration {
-        let fits = |row: &&Row| row.serves(ask);
-        let own: u32 = self.rows.values().filter(fits).map(|row| row.target.slots).sum();
-        let in_use = self.rows.values().filter(fits).filter(|row| row.is_in_use(now));
+        let fits = |row: &&TargetState| row.serves(ask);
+        let own: u32 = self.targets.values().filter(fits).map(|row| row.target.slots).sum();
+        let in_use = self.targets.values().filter(fits).filter(|row| row.is_in_use(now));
         let in_use: u32 = in_use.map(|row| row.target.slots).sum();
         let share = f64::from(in_use) / f64::from(own.max(1));
         let slots = (f64::from(own.max(ask.total_slots)) * share).max(1.0);
@@ -189,12 +189,12 @@
         }
         let (mut target, rank) = self.choose(ask, now)?;
         let mut stopped = None;
-        if self.rows.get(&target)?.is_full() {
+        if self.targets.get(&target)?.is_full() {
             let alike = self.alike(ask, rank, now);
             stopped = self.least_loss(|id| alike.contains(id));
             target = self.leases.get(&stopped?)?.target.clone();
         }
-        let address = self.rows.get(&target)?.target.address;
+        let address = self.targets.get(&target)?.target.address;
         let revocation = stopped.and_then(|lease| self.revoke(lease));
         self.next += 1;
         let lease = self.next;
@@ -207,7 +207,7 @@
     fn choose(&self, ask: &Request, now: Instant) -> Option<(TargetId, Rank)> {
         let median = self.median_pace();
         let mut best: Option<(Rank, &TargetId)> = None;
-        for (id, row) in &self.rows {
+        for (id, row) in &self.targets {
             let Some(rank) = row.rank(ask, median, &self.policy, now) else {
                 continue;
             };
@@ -219,14 +219,14 @@
     }
 
     fn median_pace(&self) -> f64 {
-        let known = self.rows.values().map(|row| row.pace).filter(|pace| *pace > 0.0);
+        let known = self.targets.values().map(|row| row.pace).filter(|pace| *pace > 0.0);
         let mut known: Vec<f64> = known.collect();
         known.sort_by(f64::total_cmp);
         known.get(known.len() / 2).copied().unwrap_or(0.0)
     }
 
     fn add(&mut self, id: LeaseId, ask: &Request, target: TargetId, now: Instant) {
-        if let Some(row) = self.rows.get_mut(&target) {
+        if let Some(row) = self.targets.get_mut(&target) {
             *row.count(ask.purpose) += 1;
         }
         let lease = Lease {
@@ -256,7 +256,7 @@
         if let Some(done) = report.completed {
             self.span.on_done(done);
         }
-        let Some(row) = self.rows.get_mut(&lease.target) else {
+        let Some(row) = self.targets.get_mut(&lease.target) else {
             return;
         };
         if !lease.is_revoked {
@@ -268,7 +268,7 @@
 
     /// Somebody waits in vain for a first event at the target.
     pub fn on_overdue(&mut self, target: &str, now: Instant) {
-        if let Some(row) = self.rows.get_mut(target) {
+        if let Some(row) = self.targets.get_mut(target) {
             row.on_overdue(now);
         }
     }
--- a/crates/coordination/src/slots/batch.rs
+++ b/crates/coordination/src/slots/batch.rs
@@ -2,7 +2,7 @@
 //! taken back from it.
 
 use super::lease::{LeaseId, Purpose, Request, Revocation};
-use super::row::{Rank, Row};
+use super::row::{Rank, TargetState};
 use super::{Allocator, Lease};
 use crate::TargetId;
 use std::collections::HashSet;
@@ -14,10 +14,10 @@
 impl Allocator {
     /// Whether batch may take one more slot of the service.
     pub(super) fn has_headroom(&self, ask: &Request) -> bool {
-        let fits = |row: &&Row| row.serves(ask);
-        let slots: u32 = self.rows.values().filter(fits).map(|row| row.target.slots).sum();
-        let used: u32 = self.rows.values().filter(fits).map(Row::used).sum();
-        let online: u32 = self.rows.values().filter(fits).map(|row| row.online).sum();
+        let fits = |row: &&TargetState| row.serves(ask);
+        let slots: u32 = self.targets.values().filter(fits).map(|row| row.target.slots).sum();
+        let used: u32 = self.targets.values().filter(fits).map(TargetState::used).sum();
+        let online: u32 = self.targets.values().filter(fits).map(|row| row.online).sum();
         let reserve = self.reserve(slots, online);
         // A service of very few slots would never run batch otherwise.
         used + reserve.min(slots.saturating_sub(1)) < slots
@@ -38,8 +38,8 @@
     /// Targets that are as good for a wish as the best, which is full.
     pub(super) fn alike(&self, ask: &Request, rank: Rank, now: Instant) -> HashSet<TargetId> {
         let median = self.median_pace();
-        let is_alike = |row: &Row| row.rank(ask, median, &self.policy, now) == Some(rank);
-        let alike = self.rows.iter().filter(|(_, row)| is_alike(row));
+        let is_alike = |row: &TargetState| row.rank(ask, median, &self.policy, now) == Some(rank);
+        let alike = self.targets.iter().filter(|(_, row)| is_alike(row));
         alike.map(|(id, _)| id.clone()).collect()
     }
 
@@ -59,7 +59,7 @@
         let lease = self.leases.get_mut(&id)?;
         lease.is_revoked = true;
         let holder = lease.holder;
-        if let Some(row) = self.rows.get_mut(&lease.target) {
+        if let Some(row) = self.targets.get_mut(&lease.target) {
             row.batch = row.batch.saturating_sub(1);
         }
         Some(Revocation { lease: id, holder })
--- a/crates/coordination/src/slots/holders.rs
+++ b/crates/coordination/src/slots/holders.rs
@@ -1,7 +1,7 @@
 //! Makes an account agree with what its holders say, whatever was lost between.
 
 use super::lease::{HeldLease, LeaseId, Purpose, Request, Revocation};
-use super::row::Row;
+use super::row::TargetState;
 use super::{Allocator, Lease};
 use crate::{InstanceId, TargetId};
 use std::collections::HashSet;
@@ -69,7 +69,7 @@
             self.drop_lease(id);
         }
         for held in held {
-            if self.leases.contains_key(&held.lease) || !self.rows.contains_key(&held.target) {
+            if self.leases.contains_key(&held.lease) || !self.targets.contains_key(&held.target) {
                 continue;
             }
             let ask = Request {
@@ -98,7 +98,7 @@
         if lease.is_revoked {
             return;
         }
-        if let Some(row) = self.rows.get_mut(&lease.target) {
+        if let Some(row) = self.targets.get_mut(&lease.target) {
             let count = row.count(lease.purpose);
             *count = count.saturating_sub(1);
         }
@@ -107,9 +107,9 @@
     /// Batch leases to take back because online holds more than the free slots:
     /// what reports brought may exceed a target's slots.
     pub fn revoke_excess(&mut self) -> Vec<Revocation> {
-        let over = |row: &&Row| row.batch > 0 && row.online + row.batch > row.target.slots;
+        let over = |row: &&TargetState| row.batch > 0 && row.online + row.batch > row.target.slots;
         let over: Vec<TargetId> =
-            self.rows.values().filter(over).map(|row| row.target.id.clone()).collect();
+            self.targets.values().filter(over).map(|row| row.target.id.clone()).collect();
         let stopped: Vec<LeaseId> =
             over.iter().filter_map(|target| self.least_loss(|id| id == target)).collect();
         stopped.into_iter().filter_map(|lease| self.revoke(lease)).collect()
--- a/crates/coordination/src/slots/row.rs
+++ b/crates/coordination/src/slots/row.rs
@@ -42,7 +42,7 @@
 
 /// A target with its leases.
 #[derive(Clone, Debug)]
-pub(super) struct Row {
+pub(super) struct TargetState {
     pub(super) target: Target,
     /// Leases of online requests.
     pub(super) online: u32,
@@ -61,10 +61,10 @@
 /// How good a target is for a wish; the lowest is the best.
 pub(super) type Rank = (u32, u64);
 
-impl Row {
+impl TargetState {
     /// A target that nothing is known of.
-    pub(super) fn new(target: Target) -> Row {
-        Row {
+    pub(super) fn new(target: Target) -> TargetState {
+        TargetState {
             target,
             online: 0,
             batch: 0,
