--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -19,7 +19,7 @@
 mod batch;
 mod holders;
 mod lease;
-mod row;
+mod target_state;
 
 pub use lease::{
     Decision, Feasibility, Grant, HeldLease, LeaseId, LeaseOutcome, LeaseReport, Policy, Purpose,
@@ -30,9 +30,9 @@
 use crate::{InstanceId, TargetId};
 use lease::Priority;
 use protocol::routing::Target;
-use row::{Rank, TargetState};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
+use target_state::{Rank, TargetState};
 
 #[derive(Clone, Debug)]
 struct Lease {
--- a/crates/coordination/src/slots/batch.rs
+++ b/crates/coordination/src/slots/batch.rs
@@ -2,7 +2,7 @@
 //! taken back from it.
 
 use super::lease::{LeaseId, Purpose, Request, Revocation};
-use super::row::{Rank, TargetState};
+use super::target_state::{Rank, TargetState};
 use super::{Allocator, Lease};
 use crate::TargetId;
 use std::collections::HashSet;
--- a/crates/coordination/src/slots/holders.rs
+++ b/crates/coordination/src/slots/holders.rs
@@ -1,7 +1,7 @@
 //! Makes an account agree with what its holders say, whatever was lost between.
 
 use super::lease::{HeldLease, LeaseId, Purpose, Request, Revocation};
-use super::row::TargetState;
+use super::target_state::TargetState;
 use super::{Allocator, Lease};
 use crate::{InstanceId, TargetId};
 use std::collections::HashSet;
