--- a/crates/coordination/src/run_time.rs
+++ b/crates/coordination/src/run_time.rs
@@ -33,39 +33,42 @@
 
 /// An item that was done.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Done {
+pub struct Sample {
     /// Its events in all its runs.
     pub events: u32,
     /// Time between two of them while it ran.
-    pub pace: Duration,
+    #[serde(rename = "pace")]
+    pub event_interval: Duration,
     /// From its first run's beginning to its last run's end.
-    pub took: Duration,
+    #[serde(rename = "took")]
+    pub elapsed: Duration,
 }
 
 /// Running means over the items that were done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Span {
+pub struct Estimate {
     /// Events of a whole item; 0 while unknown.
     events: f64,
     /// Seconds between two events.
     pace: f64,
     /// Time that passes for each unit of slot time; 0 while unknown, else 1 or more.
-    stretch: f64,
+    #[serde(rename = "stretch")]
+    slowdown: f64,
     /// Items learnt from, up to [`ENOUGH`].
     items: u32,
 }
 
-impl Span {
+impl Estimate {
     /// An item was done.
-    pub fn on_done(&mut self, done: Done) {
-        let (events, pace) = (f64::from(done.events), done.pace.as_secs_f64());
+    pub fn record(&mut self, done: Sample) {
+        let (events, pace) = (f64::from(done.events), done.event_interval.as_secs_f64());
         let ran = (events * pace).max(f64::MIN_POSITIVE);
-        let stretch = (done.took.as_secs_f64() / ran).clamp(1.0, MOST_STRETCH);
+        let stretch = (done.elapsed.as_secs_f64() / ran).clamp(1.0, MOST_STRETCH);
         // The first ones count alike, so that the mean isn't theirs for long.
         let weight = NEWEST.max(1.0 / f64::from(self.items + 1));
         self.events += (events - self.events) * weight;
         self.pace += (pace - self.pace) * weight;
-        self.stretch += (stretch - self.stretch) * weight;
+        self.slowdown += (stretch - self.slowdown) * weight;
         self.items = (self.items + 1).min(ENOUGH);
     }
 
@@ -73,14 +76,14 @@
     ///
     /// Gains an order among jobs where each instance runs few items itself: of 250
     /// instances each sees one job in some 25 s, and would know nothing when it counts.
-    pub fn on_word(&mut self, other: Span) {
+    pub fn merge(&mut self, other: Estimate) {
         if other.items > 0 && other.items >= self.items {
             *self = other;
         }
     }
 
     /// Slot time that an item needs which has made some events already.
-    pub fn left(&self, made: usize) -> Duration {
+    pub fn remaining(&self, made: usize) -> Duration {
         let left = (self.events - made as f64).max(self.events * LEAST_LEFT);
         Duration::from_secs_f64(left * self.pace)
     }
@@ -88,8 +91,8 @@
     /// Time in which such an item is done for sure, if it stands still as often as
     /// others did; `spare` is what is allowed beyond their mean, as a factor. What was
     /// begun goes before the rest and stands still less.
-    pub fn surely(&self, made: usize, spare: f64) -> Duration {
-        let left = self.left(made);
-        if made > 0 { left } else { left.mul_f64(self.stretch * spare) }
+    pub fn upper_bound(&self, made: usize, spare: f64) -> Duration {
+        let left = self.remaining(made);
+        if made > 0 { left } else { left.mul_f64(self.slowdown * spare) }
     }
 }
--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -26,7 +26,7 @@
     Request, Revocation, WaiterId,
 };
 
-use crate::run_time::Span;
+use crate::run_time::Estimate;
 use crate::{InstanceId, TargetId};
 use lease::Priority;
 use protocol::routing::Target;
@@ -73,7 +73,7 @@
     /// Running mean of the time for which online leases are held, in seconds.
     hold: f64,
     /// How long items of batch run.
-    span: Span,
+    span: Estimate,
 }
 
 impl Allocator {
@@ -88,7 +88,7 @@
             heard: HashMap::new(),
             next: seed,
             hold: FIRST_GUESS.as_secs_f64(),
-            span: Span::default(),
+            span: Estimate::default(),
         }
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// How long items of batch run on these targets.
-    pub fn span(&self) -> Span {
+    pub fn run_time(&self) -> Estimate {
         self.span
     }
 
@@ -254,7 +254,7 @@
             self.hold += (held - self.hold) * fresh;
         }
         if let Some(done) = report.completed {
-            self.span.on_done(done);
+            self.span.record(done);
         }
         let Some(row) = self.targets.get_mut(&lease.target) else {
             return;
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -1,6 +1,6 @@
 //! Wishes, leases and verdicts: what an account of slots is asked and answers.
 
-use crate::run_time::Done;
+use crate::run_time::Sample;
 use crate::{InstanceId, TargetId};
 use protocol::DataCentreId;
 use serde::{Deserialize, Serialize};
@@ -224,7 +224,7 @@
     pub event_interval: Option<Duration>,
     /// The item that it brought to its end.
     #[serde(rename = "done")]
-    pub completed: Option<Done>,
+    pub completed: Option<Sample>,
 }
 
 /// How the use of a lease ended.
--- a/crates/coordination/tests/shortage.rs
+++ b/crates/coordination/tests/shortage.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use coordination::run_time::{Done, Span};
+use coordination::run_time::{Estimate, Sample};
 use coordination::slots::{
     Allocator, Decision, Grant, LeaseId, LeaseOutcome, LeaseReport, Policy, Purpose, Request,
     Revocation, WaiterId,
@@ -72,7 +72,7 @@
 struct World {
     ledger: Allocator,
     /// What the holders know of how long items run, and whether the account tells them.
-    span: Span,
+    span: Estimate,
     is_told: bool,
     now: Instant,
     jobs: Vec<Job>,
@@ -90,7 +90,7 @@
         ledger.set_targets(&common::targets(TARGETS, SLOTS));
         World {
             ledger,
-            span: Span::default(),
+            span: Estimate::default(),
             is_told,
             now,
             jobs: Vec::new(),
@@ -167,10 +167,10 @@
                 let latest = |time: Duration| due.checked_sub(time).expect("a time");
                 let ask = Request {
                     due: due.max(self.now),
-                    remaining: self.span.left(made),
+                    remaining: self.span.remaining(made),
                     is_started: made > 0,
-                    latest_start: latest(self.span.left(made)),
-                    safe_start: latest(self.span.surely(made, SPARE)),
+                    latest_start: latest(self.span.remaining(made)),
+                    safe_start: latest(self.span.upper_bound(made, SPARE)),
                     ..self.ask(Purpose::Batch)
                 };
                 match self.ledger.on_request(ask, self.now) {
@@ -220,13 +220,13 @@
             item.lease = None;
             let took = now - item.began.expect("it began");
             let events = (item.needs.as_secs_f64() / ITEM.as_secs_f64() * f64::from(EVENTS)) as u32;
-            let done = Done { events, pace: ITEM / EVENTS, took };
+            let done = Sample { events, event_interval: ITEM / EVENTS, elapsed: took };
             let report = LeaseReport { completed: Some(done), ..LeaseReport::default() };
             self.ledger.on_release(lease, report, now);
         }
         // Every job's holder is another instance: what it knows is the account's word.
         if self.is_told {
-            self.span.on_word(self.ledger.span());
+            self.span.merge(self.ledger.run_time());
         }
         for (id, grant, stopped) in self.ledger.next_grants(now) {
             if let Some(came) = self.online_waits.remove(&id) {
--- a/crates/daemon/src/gateway/account/batch.rs
+++ b/crates/daemon/src/gateway/account/batch.rs
@@ -66,7 +66,7 @@
     let Reply::Slots(grants, span) = reply else {
         return None;
     };
-    node.jobs.span.borrow_mut().on_word(span);
+    node.jobs.span.borrow_mut().merge(span);
     let granted = grants.len();
     let lease = |grant| {
         if is_here {
--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -71,7 +71,7 @@
     let span = node.jobs.span.borrow();
     let before_due = |time: Duration| state.job().due.saturating_sub(time.as_millis() as Millis);
     let spare = node.settings.policy.spare;
-    (before_due(span.surely(made, spare)), before_due(span.left(made)))
+    (before_due(span.upper_bound(made, spare)), before_due(span.remaining(made)))
 }
 
 /// Place of a job among those whose items wait; the lowest goes first. The accounts
@@ -137,7 +137,7 @@
         due: until(state.job().due),
         in_time: until(in_time),
         sure: until(sure),
-        left: node.jobs.span.borrow().left(made),
+        left: node.jobs.span.borrow().remaining(made),
         is_begun: made > 0,
         most,
         wait: SLOT_WAIT,
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -9,7 +9,7 @@
 use crate::gateway::quarantine::{self, Admission};
 use bytes::Bytes;
 use coordination::hash;
-use coordination::run_time::Done;
+use coordination::run_time::Sample;
 use coordination::slots::LeaseOutcome;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
@@ -77,10 +77,13 @@
         Ended::Complete => {
             let took = clock::since(held.began.borrow_mut().remove(&item.id).unwrap_or(began));
             let events = partial.texts.len() as u32;
-            lease.report.completed =
-                lease.report.event_interval.map(|pace| Done { events, pace, took });
+            lease.report.completed = lease.report.event_interval.map(|pace| Sample {
+                events,
+                event_interval: pace,
+                elapsed: took,
+            });
             if let Some(done) = lease.report.completed {
-                node.jobs.span.borrow_mut().on_done(done);
+                node.jobs.span.borrow_mut().record(done);
             }
             lease.end(LeaseOutcome::Completed);
             let text = partial.texts.join("\n");
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use coordination::hash;
 use coordination::membership::Member;
-use coordination::run_time::Span;
+use coordination::run_time::Estimate;
 use protocol::ServiceId;
 use protocol::routing::Route;
 use state::progress::{Handoff, ItemId, Job, JobId, JobState};
@@ -96,7 +96,7 @@
     pub learnt: Cell<Option<Instant>>,
     pub(super) work: Notify,
     /// What was learnt of how long items run.
-    pub(super) span: RefCell<Span>,
+    pub(super) span: RefCell<Estimate>,
     /// What was learnt elsewhere of jobs that this instance is about to take over, as
     /// others have asked.
     pub(super) pending_takeovers: RefCell<HashMap<JobId, Vec<Handoff>>>,
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -52,7 +52,7 @@
             Served::Full(_) | Served::Pending => break,
         }
     }
-    Reply::Slots(grants, node.accounts.ledger.borrow().span())
+    Reply::Slots(grants, node.accounts.ledger.borrow().run_time())
 }
 
 /// The answer to one wish.
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -5,7 +5,7 @@
 
 use coordination::quarantine::Strike;
 use coordination::registry::Change;
-use coordination::run_time::Span;
+use coordination::run_time::Estimate;
 use coordination::slots::{Grant, HeldLease, LeaseId, LeaseReport, Purpose};
 use protocol::routing::Version;
 use protocol::{ContentId, DataCentreId, InstanceId, ServiceId, TargetId};
@@ -191,7 +191,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
     /// Slots, none when the wait ran out; and how long items of batch run there.
-    Slots(Vec<Grant>, Span),
+    Slots(Vec<Grant>, Estimate),
     /// No slot is free; one is expected after this many milliseconds.
     Full(u64),
     /// The receiver keeps no such account, or holds no such job.
