--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -23,32 +23,32 @@
     /// Results wait this long for others to be written with them. Twice as long as half
     /// of what an item takes to run, so that most of a job's items share a write; a
     /// holder that is lost costs the runs of half as long, some 1.5 s of its items.
-    pub gather: Duration,
+    pub max_delay: Duration,
     /// The same where an item has failed for good. Who follows a holder that was lost
     /// runs such an item again, in vain.
-    pub verdict: Duration,
+    pub failure_delay: Duration,
     /// How long before the job is due its results are written. A store that is sixty
     /// times slower answers in 240 ms, and a lost answer costs 700 ms.
-    pub before_due: Duration,
+    pub deadline_margin: Duration,
     /// Results that come later than that, and in time, wait this long: callers ask
     /// twice a second.
-    pub brisk: Duration,
+    pub min_delay: Duration,
 }
 
 impl Default for Policy {
     fn default() -> Policy {
         Policy {
-            gather: Duration::from_secs(3),
-            verdict: Duration::from_millis(300),
-            before_due: Duration::from_millis(1_500),
-            brisk: Duration::from_millis(300),
+            max_delay: Duration::from_secs(3),
+            failure_delay: Duration::from_millis(300),
+            deadline_margin: Duration::from_millis(1_500),
+            min_delay: Duration::from_millis(300),
         }
     }
 }
 
 /// What waits to be written.
 #[derive(Clone, Copy, Debug)]
-pub struct Fresh {
+pub struct Unwritten {
     /// When the oldest result came.
     pub oldest: Instant,
     /// When the oldest result came that says that its item failed for good.
@@ -61,18 +61,18 @@
 }
 
 /// When to write.
-pub fn due_at(policy: Policy, fresh: Fresh) -> Instant {
-    let Fresh { oldest, verdict, due, is_last } = fresh;
+pub fn flush_at(policy: Policy, fresh: Unwritten) -> Instant {
+    let Unwritten { oldest, verdict, due, is_last } = fresh;
     if is_last {
         return oldest;
     }
-    let mut at = oldest + policy.gather;
+    let mut at = oldest + policy.max_delay;
     if let Some(verdict) = verdict {
-        at = at.min(verdict + policy.verdict);
+        at = at.min(verdict + policy.failure_delay);
     }
     if oldest >= due {
         return at; // Late already: it is of no use to hurry for this one.
     }
-    let near = due.checked_sub(policy.before_due).unwrap_or(oldest);
-    at.min(near.max(oldest + policy.brisk).min(due))
+    let near = due.checked_sub(policy.deadline_margin).unwrap_or(oldest);
+    at.min(near.max(oldest + policy.min_delay).min(due))
 }
--- a/crates/coordination/tests/flush.rs
+++ b/crates/coordination/tests/flush.rs
@@ -1,13 +1,13 @@
 //! When results of batch jobs are written: few calls, and all in time.
 
-use coordination::flush::{self, Fresh, Policy};
+use coordination::flush::{self, Policy, Unwritten};
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
 
-fn fresh(now: Instant, due_ms: u32) -> Fresh {
-    Fresh { oldest: now, verdict: None, due: now + MS * due_ms, is_last: false }
+fn fresh(now: Instant, due_ms: u32) -> Unwritten {
+    Unwritten { oldest: now, verdict: None, due: now + MS * due_ms, is_last: false }
 }
 
 #[rstest]
@@ -18,14 +18,14 @@
 #[case::late(0, 3_000)]
 fn a_result_waits_no_longer_than_it_may(#[case] due_ms: u32, #[case] waits_ms: u32) {
     let now = Instant::now();
-    assert_eq!(flush::due_at(Policy::default(), fresh(now, due_ms)) - now, MS * waits_ms);
+    assert_eq!(flush::flush_at(Policy::default(), fresh(now, due_ms)) - now, MS * waits_ms);
 }
 
 #[test]
 fn a_verdict_is_written_soon() {
     let now = Instant::now();
-    let verdict = Fresh { verdict: Some(now + MS * 500), ..fresh(now, 18_000) };
-    assert_eq!(flush::due_at(Policy::default(), verdict) - now, MS * 800);
+    let verdict = Unwritten { verdict: Some(now + MS * 500), ..fresh(now, 18_000) };
+    assert_eq!(flush::flush_at(Policy::default(), verdict) - now, MS * 800);
 }
 
 /// Writes for results that come at these times, in milliseconds.
@@ -35,7 +35,7 @@
     let (mut calls, mut seen_in_time) = (0, 0);
     let mut left = results.iter().map(|at| start + MS * *at).peekable();
     while let Some(oldest) = left.next() {
-        let at = flush::due_at(policy, Fresh { oldest, verdict: None, due, is_last: false });
+        let at = flush::flush_at(policy, Unwritten { oldest, verdict: None, due, is_last: false });
         let mut written = 1;
         while left.next_if(|next| *next <= at).is_some() {
             written += 1;
@@ -60,7 +60,7 @@
 #[test]
 fn results_of_a_job_share_writes_and_all_are_seen_in_time() {
     let results: Vec<u32> = (0..10).map(|n| 5_000 + 650 * n).collect();
-    let eager = Policy { gather: MS * 1_500, ..Policy::default() };
+    let eager = Policy { max_delay: MS * 1_500, ..Policy::default() };
     assert_eq!(writes(eager, &results, 18_000), (4, 10));
     assert_eq!(writes(Policy::default(), &results, 18_000), (2, 10));
     let late: Vec<u32> = (0..10).map(|n| 12_050 + 650 * n).collect();
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -108,14 +108,15 @@
     let overdue = Duration::from_millis(at.saturating_sub(due));
     let due_in = Duration::from_millis(due.saturating_sub(at));
     let is_end = state.is_ended() && !state.is_end_durable();
-    let fresh = flush::Fresh {
+    let fresh = flush::Unwritten {
         oldest: held.oldest.get().unwrap_or(now),
         verdict: held.verdict.get(),
         due: now.checked_sub(overdue).unwrap_or(now) + due_in,
         is_last: is_end || state.is_done(),
     };
-    let policy = flush::Policy { gather: node.settings.policy.gather, ..flush::Policy::default() };
-    flush::due_at(policy, fresh).saturating_duration_since(now)
+    let policy =
+        flush::Policy { max_delay: node.settings.policy.gather, ..flush::Policy::default() };
+    flush::flush_at(policy, fresh).saturating_duration_since(now)
 }
 
 /// One write of a job's progress; `false` when it has to be tried again later.
