--- a/crates/coordination/src/admission.rs
+++ b/crates/coordination/src/admission.rs
@@ -34,19 +34,19 @@
 /// count goes up and down all the time, and told exactly these words would be the
 /// largest part of all control traffic; rounded up, most changes need none, and
 /// batch leaves at most three slots more than it must.
-pub fn word(online: u32) -> u32 {
+pub fn advertised(online: u32) -> u32 {
     if online <= EXACT { online } else { online.next_multiple_of(STEP) }
 }
 
 /// Online requests that other instances have at one target.
 #[derive(Clone, Debug, Default)]
-pub struct Pressure {
+pub struct PeerLoad {
     peers: HashMap<InstanceId, (u32, Instant)>,
     samples: VecDeque<(Instant, u32)>,
     used: Option<Instant>,
 }
 
-impl Pressure {
+impl PeerLoad {
     /// A peer says how many online requests it has there.
     pub fn on_word(&mut self, from: InstanceId, online: u32, now: Instant) {
         self.peers.retain(|_, (_, at)| now.saturating_duration_since(*at) <= PRESSURE_AGE);
@@ -96,7 +96,7 @@
 
 /// What to do about batch on one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Batch {
+pub enum Decision {
     /// This many more streams may start.
     Start(u32),
     /// This many must stop now, newest first.
@@ -107,7 +107,7 @@
 
 /// Room for batch on one target.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct Capacity {
     /// Requests the target runs at once.
     pub slots: u32,
     /// Slots that stay free for the first requests of a burst.
@@ -120,7 +120,7 @@
     pub batch: u32,
 }
 
-impl Room {
+impl Capacity {
     /// Online requests to reckon with before another stream starts. On a busy
     /// target that is the recent peak: there a stream would soon have to stop
     /// again, and near saturation that little harm is multiplied by the queue.
@@ -136,11 +136,11 @@
 /// of them ahead, by how fast a burst grows, was tried and measured: giving way
 /// takes well under a millisecond, so the online tail gained nothing, and less of
 /// the idle capacity was filled (0.58 against 0.74 under bursts).
-pub fn batch(room: Room) -> Batch {
+pub fn decide(room: Capacity) -> Decision {
     let must_stop = (room.online + room.batch + room.reserve).saturating_sub(room.slots);
     if must_stop > 0 && room.batch > 0 && room.online > 0 {
-        return Batch::Stop(must_stop.min(room.batch));
+        return Decision::Stop(must_stop.min(room.batch));
     }
     let free = room.slots.saturating_sub(room.level() + room.reserve + room.batch);
-    if free > 0 { Batch::Start(free) } else { Batch::Hold }
+    if free > 0 { Decision::Start(free) } else { Decision::Hold }
 }
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! The smaller decisions, each by itself.
 
-use coordination::admission::{Batch, Pressure, Room, batch, word};
+use coordination::admission::{Capacity, Decision, PeerLoad, advertised, decide};
 use coordination::burn_rate::{Count, Series};
 use coordination::drain::{Phase, Plan, phase};
 use coordination::ejection::{Health, Use};
@@ -61,28 +61,28 @@
 }
 
 #[rstest]
-#[case::idle(0, 0, 0, Batch::Start(7))]
-#[case::full(0, 0, 7, Batch::Hold)]
-#[case::a_request(1, 1, 7, Batch::Stop(1))]
-#[case::two_at_once(3, 3, 6, Batch::Stop(2))]
-#[case::steady(3, 3, 4, Batch::Hold)]
-#[case::all_online(8, 8, 7, Batch::Stop(7))]
-#[case::busy_lately(3, 7, 0, Batch::Hold)]
-#[case::gap_of_a_quiet_target(0, 3, 0, Batch::Start(7))]
+#[case::idle(0, 0, 0, Decision::Start(7))]
+#[case::full(0, 0, 7, Decision::Hold)]
+#[case::a_request(1, 1, 7, Decision::Stop(1))]
+#[case::two_at_once(3, 3, 6, Decision::Stop(2))]
+#[case::steady(3, 3, 4, Decision::Hold)]
+#[case::all_online(8, 8, 7, Decision::Stop(7))]
+#[case::busy_lately(3, 7, 0, Decision::Hold)]
+#[case::gap_of_a_quiet_target(0, 3, 0, Decision::Start(7))]
 fn batch_takes_idle_slots_and_gives_way(
     #[case] online: u32,
     #[case] peak: u32,
     #[case] running: u32,
-    #[case] expected: Batch,
+    #[case] expected: Decision,
 ) {
-    let room = Room { slots: 8, reserve: 1, online, peak, batch: running };
-    assert_eq!(batch(room), expected);
+    let room = Capacity { slots: 8, reserve: 1, online, peak, batch: running };
+    assert_eq!(decide(room), expected);
 }
 
 #[test]
 fn pressure_is_the_sum_of_fresh_words_and_a_burst_is_remembered() {
     let now = Instant::now();
-    let mut pressure = Pressure::default();
+    let mut pressure = PeerLoad::default();
     pressure.on_word(1, 3, now);
     pressure.on_word(2, 4, now + Duration::from_millis(100));
     assert_eq!(pressure.sum(now + Duration::from_millis(100)), 7);
@@ -92,13 +92,13 @@
     assert_eq!(pressure.peak(now + Duration::from_millis(700)), 4, "the count still in force");
     assert_eq!(pressure.reserve(2, now + Duration::from_secs(20)), 2);
     assert_eq!(pressure.reserve(2, now + Duration::from_secs(40)), 0);
-    assert_eq!(Pressure::default().reserve(2, now), 0);
+    assert_eq!(PeerLoad::default().reserve(2, now), 0);
     assert_eq!(pressure.sum(now + Duration::from_secs(5)), 0);
 }
 
 #[test]
 fn words_are_exact_for_few_requests_and_rare_for_many() {
-    let told: Vec<u32> = (0..=9).map(word).collect();
+    let told: Vec<u32> = (0..=9).map(advertised).collect();
     assert_eq!(told, [0, 1, 2, 3, 4, 8, 8, 8, 8, 12]);
 }
 
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -8,7 +8,7 @@
 use super::report::{self, Sent};
 use crate::fleet::{Node, View, lock};
 use crate::shared::Shared;
-use coordination::admission::{self, Batch, Room};
+use coordination::admission::{self, Capacity, Decision};
 use coordination::ejection::Use;
 use protocol::config::Protocol;
 use protocol::{Error, ShardId, TargetId};
@@ -182,19 +182,19 @@
             return None;
         }
         let room = self.room(node, count, now);
-        let starts = match admission::batch(room) {
-            Batch::Hold => 0,
-            Batch::Stop(_) if self.shared.settings.is_unguarded("yield") => 0,
-            Batch::Stop(most) => {
+        let starts = match admission::decide(room) {
+            Decision::Hold => 0,
+            Decision::Stop(_) if self.shared.settings.is_unguarded("yield") => 0,
+            Decision::Stop(most) => {
                 self.park(name, most);
                 0
             }
-            Batch::Start(most) => self.start(node, most as usize),
+            Decision::Start(most) => self.start(node, most as usize),
         };
         Some(starts)
     }
 
-    fn room(&self, node: &Node, batch: u32, now: Instant) -> Room {
+    fn room(&self, node: &Node, batch: u32, now: Instant) -> Capacity {
         let mut state = lock(&node.state);
         // Its own requests and the peers' words are fresh; the report lags, and
         // counts batch streams of whoever decided before.
@@ -205,9 +205,9 @@
         let reserve = state.pressure.reserve(self.shared.settings.reserve, now);
         let unyielding = self.shared.settings.is_unguarded("yield");
         if unyielding {
-            return Room { slots: node.target.slots, reserve, online: 0, peak: 0, batch };
+            return Capacity { slots: node.target.slots, reserve, online: 0, peak: 0, batch };
         }
-        Room { slots: node.target.slots, reserve, online, peak, batch }
+        Capacity { slots: node.target.slots, reserve, online, peak, batch }
     }
 
     fn park(&self, target: &str, most: u32) {
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The targets as this instance knows them, shared by front, batch and control.
 
-use coordination::admission::Pressure;
+use coordination::admission::PeerLoad;
 use coordination::ejection::{Health, Use};
 use coordination::hash;
 use coordination::limit::Concurrency;
@@ -52,7 +52,7 @@
     /// Whether it fails.
     pub health: Health,
     /// Online requests of other instances, where this one decides on batch.
-    pub pressure: Pressure,
+    pub pressure: PeerLoad,
     /// Its last report.
     pub report: Option<Report>,
 }
@@ -84,7 +84,7 @@
             load: Load::default(),
             concurrency: Concurrency::new(target.slots),
             health: Health::default(),
-            pressure: Pressure::default(),
+            pressure: PeerLoad::default(),
             report: None,
         };
         let id = hash::of(target.name.as_bytes());
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -249,7 +249,7 @@
 
     /// Tells one target's decider; a word that it has heard only when `again`.
     fn tell_load(&self, node: &Node, again: bool) {
-        let online = admission::word(lock(&node.state).load.own());
+        let online = admission::advertised(lock(&node.state).load.own());
         let is_new = node.word.swap(online, Ordering::Relaxed) != online;
         match self.shared.decider(node) {
             Some(decider) if decider.id == self.shared.id => self.shared.batch.wake(),
