--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::options::{Apply, Leave};
 use crate::print::Context;
 use anyhow::Context as _;
-use coordination::burn_rate::Count;
+use coordination::burn_rate::Counts;
 use protocol::config::{Change, Document, Entry};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -260,7 +260,7 @@
 pub struct Window {
     seconds: u64,
     #[serde(flatten)]
-    count: Count,
+    count: Counts,
     burn: f64,
 }
 
--- a/crates/coordination/src/burn_rate.rs
+++ b/crates/coordination/src/burn_rate.rs
@@ -17,17 +17,17 @@
 
 /// Good and all requests of one time span.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Count {
+pub struct Counts {
     /// Requests that met the level.
     pub good: u64,
     /// All requests.
     pub all: u64,
 }
 
-impl Count {
+impl Counts {
     /// The sum of two counts, as when instances are added up.
-    pub fn plus(self, other: Count) -> Count {
-        Count { good: self.good + other.good, all: self.all + other.all }
+    pub fn plus(self, other: Counts) -> Counts {
+        Counts { good: self.good + other.good, all: self.all + other.all }
     }
 
     /// How fast the error budget burns: 1 uses it up just in time.
@@ -42,17 +42,17 @@
 
 /// Counts of the last hours, in buckets.
 #[derive(Clone, Debug, Default)]
-pub struct Series {
+pub struct History {
     start: Option<Instant>,
-    buckets: VecDeque<(u64, Count)>,
+    buckets: VecDeque<(u64, Counts)>,
 }
 
-impl Series {
+impl History {
     /// Counts one request.
     pub fn note(&mut self, good: bool, now: Instant) {
         let slot = self.slot(now);
         if self.buckets.back().is_none_or(|(last, _)| *last < slot) {
-            self.buckets.push_back((slot, Count::default()));
+            self.buckets.push_back((slot, Counts::default()));
             self.forget(slot);
         }
         if let Some((_, count)) = self.buckets.back_mut() {
@@ -62,14 +62,14 @@
     }
 
     /// Counts within `window` before `now`.
-    pub fn within(&self, window: Duration, now: Instant) -> Count {
+    pub fn count_within(&self, window: Duration, now: Instant) -> Counts {
         let Some(start) = self.start else {
-            return Count::default();
+            return Counts::default();
         };
         let current = now.saturating_duration_since(start).as_secs() / BUCKET.as_secs();
         let span = window.as_secs() / BUCKET.as_secs();
         let recent = self.buckets.iter().filter(|(slot, _)| slot + span > current);
-        recent.fold(Count::default(), |sum, (_, count)| sum.plus(*count))
+        recent.fold(Counts::default(), |sum, (_, count)| sum.plus(*count))
     }
 
     fn slot(&mut self, now: Instant) -> u64 {
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -1,7 +1,7 @@
 //! The smaller decisions, each by itself.
 
 use coordination::admission::{Capacity, Decision, PeerLoad, advertised, decide};
-use coordination::burn_rate::{Count, Series};
+use coordination::burn_rate::{Counts, History};
 use coordination::drain::{Phase, Plan, phase};
 use coordination::ejection::{Health, Use};
 use coordination::leaving::{Board, Witness, Word};
@@ -229,18 +229,18 @@
 #[test]
 fn burn_is_counted_over_each_window() {
     let start = Instant::now();
-    let mut series = Series::default();
+    let mut series = History::default();
     for minute in 0..60 {
         let at = start + Duration::from_secs(minute * 60);
         (0..10).for_each(|n| series.note(n > 0 || minute < 55, at));
     }
     let now = start + Duration::from_secs(59 * 60 + 1);
-    let short = series.within(Duration::from_secs(300), now);
-    assert_eq!(short, Count { good: 45, all: 50 });
+    let short = series.count_within(Duration::from_secs(300), now);
+    assert_eq!(short, Counts { good: 45, all: 50 });
     assert!((short.burn(0.95) - 2.0).abs() < 1e-9);
-    let long = series.within(Duration::from_secs(3600), now);
-    assert_eq!(long, Count { good: 595, all: 600 });
-    assert_eq!(Count::default().burn(0.95), 0.0);
+    let long = series.count_within(Duration::from_secs(3600), now);
+    assert_eq!(long, Counts { good: 595, all: 600 });
+    assert_eq!(Counts::default().burn(0.95), 0.0);
 }
 
 fn actual(version: &str, busy: bool, running: u32) -> Actual {
--- a/crates/daemon/src/gateway/measure.rs
+++ b/crates/daemon/src/gateway/measure.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use cadence::prelude::*;
 use cadence::{MetricSink, StatsdClient};
-use coordination::burn_rate::{Series, WINDOWS};
+use coordination::burn_rate::{History, WINDOWS};
 use hdrhistogram::Histogram;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -74,7 +74,7 @@
 pub struct Measure {
     client: StatsdClient,
     sink: Sink,
-    burn: RefCell<BTreeMap<String, Series>>,
+    burn: RefCell<BTreeMap<String, History>>,
 }
 
 impl Default for Measure {
@@ -110,7 +110,7 @@
         let mut text = String::new();
         for (route, series) in self.burn.borrow().iter() {
             for window in WINDOWS {
-                let count = series.within(window, now);
+                let count = series.count_within(window, now);
                 let labels = format!("{{route=\"{route}\",window_s=\"{}\"}}", window.as_secs());
                 // Writing to a string can't fail.
                 let _written = writeln!(text, "gatespool_good{labels} {}", count.good);
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -4,7 +4,7 @@
 use crate::shared::Shared;
 use cadence::prelude::*;
 use cadence::{NopMetricSink, QueuingMetricSink, StatsdClient, UdpMetricSink};
-use coordination::burn_rate::{Count, Series, WINDOWS};
+use coordination::burn_rate::{Counts, History, WINDOWS};
 use hdrhistogram::Histogram;
 use protocol::config::Document;
 use serde::{Deserialize, Serialize};
@@ -46,7 +46,7 @@
     pub seconds: u64,
     /// Good and all requests.
     #[serde(flatten)]
-    pub count: Count,
+    pub count: Counts,
     /// How fast the error budget burns.
     pub burn: f64,
 }
@@ -59,7 +59,7 @@
 
 /// What is kept of one service and class.
 struct Level {
-    series: Series,
+    series: History,
     first: Histogram<u64>,
 }
 
@@ -67,7 +67,7 @@
     fn default() -> Level {
         let first = Histogram::new_with_max(LONGEST_MS, DIGITS);
         // The bounds are constants that the library accepts.
-        Level { series: Series::default(), first: first.expect("sound bounds") }
+        Level { series: History::default(), first: first.expect("sound bounds") }
     }
 }
 
@@ -142,7 +142,8 @@
                 let key = (service.name.clone(), level.class.clone());
                 let window = |length: &Duration| {
                     let found = levels.get(&key);
-                    let count = found.map_or(Count::default(), |l| l.series.within(*length, now));
+                    let count =
+                        found.map_or(Counts::default(), |l| l.series.count_within(*length, now));
                     Window { seconds: length.as_secs(), count, burn: count.burn(level.share) }
                 };
                 lines.push(Burn {
