--- a/crates/coordination/src/capacity.rs
+++ b/crates/coordination/src/capacity.rs
@@ -24,7 +24,7 @@
 
 /// An id drawn by lot, marked as that of an instance with so many cores, of which it may
 /// have a part.
-pub fn mark(id: u64, cores: f64) -> InstanceId {
+pub fn tag_id(id: u64, cores: f64) -> InstanceId {
     let class = (cores / LEAST).log2().clamp(0.0, BITS as f64);
     (id & !BITS) | class as u64
 }
--- a/crates/coordination/tests/capacity.rs
+++ b/crates/coordination/tests/capacity.rs
@@ -10,24 +10,24 @@
 #[case(0.5, 1.0)]
 #[case(1.0, 8.0)]
 fn more_processor_is_a_higher_class(#[case] less: f64, #[case] more: f64) {
-    let class = |cores| capacity::class(capacity::mark(u64::MAX, cores));
+    let class = |cores| capacity::class(capacity::tag_id(u64::MAX, cores));
     assert!(class(less) < class(more), "{} {}", class(less), class(more));
 }
 
 #[test]
 fn a_mark_leaves_the_rest_of_an_id() {
-    let ids: BTreeSet<u64> = (0..100).map(|n| capacity::mark(n << 4, 0.5)).collect();
+    let ids: BTreeSet<u64> = (0..100).map(|n| capacity::tag_id(n << 4, 0.5)).collect();
     assert_eq!(ids.len(), 100);
-    assert_eq!(capacity::class(capacity::mark(7, 0.0)), 0);
-    assert_eq!(capacity::class(capacity::mark(7, f64::INFINITY)), 15);
+    assert_eq!(capacity::class(capacity::tag_id(7, 0.0)), 0);
+    assert_eq!(capacity::class(capacity::tag_id(7, f64::INFINITY)), 15);
 }
 
 /// Regression: the account of a data centre fell to any instance, mostly one of an eighth
 /// of a core, and its answers held up every request at a peak.
 #[test]
 fn an_account_falls_to_one_of_the_strongest() {
-    let small = (1..=47).map(|n| capacity::mark(n << 20, 0.12));
-    let large: Vec<u64> = (48..=50).map(|n| capacity::mark(n << 20, 0.5)).collect();
+    let small = (1..=47).map(|n| capacity::tag_id(n << 20, 0.12));
+    let large: Vec<u64> = (48..=50).map(|n| capacity::tag_id(n << 20, 0.5)).collect();
     let all: Vec<u64> = small.chain(large.iter().copied()).collect();
     let mut chosen = BTreeSet::new();
     for key in 0..200_u32 {
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -115,7 +115,7 @@
 /// This start of an instance, as other members know it.
 pub(crate) fn member(settings: &Settings, front: SocketAddr, peer: SocketAddr) -> Member {
     Member {
-        id: capacity::mark(rand::random::<u64>() | LEAST_ID, settings.processor),
+        id: capacity::tag_id(rand::random::<u64>() | LEAST_ID, settings.processor),
         peer,
         http: front,
         data_centre: settings.data_centre.clone(),
