--- a/crates/coordination/src/append_log.rs
+++ b/crates/coordination/src/append_log.rs
@@ -22,9 +22,9 @@
     /// Read entry `n` and call [`Append::on_found`].
     ReadBack,
     /// Create the same entry at the same place again.
-    CreateAgain,
+    RetryCreate,
     /// Another entry stands there: reload the tail and decide anew.
-    Overtaken,
+    Conflict,
 }
 
 /// One append under way.
@@ -51,32 +51,32 @@
     }
 
     /// The store said that the place is taken; it may be by our own earlier try.
-    pub fn on_taken(&self) -> Step {
+    pub fn on_exists(&self) -> Step {
         Step::ReadBack
     }
 
     /// No answer came, or one that tells nothing.
-    pub fn on_lost(&self) -> Step {
+    pub fn on_unknown(&self) -> Step {
         Step::ReadBack
     }
 
     /// The entry was read: `token` is its writer's, `None` when it is absent.
-    pub fn on_found(&self, token: Option<&str>) -> Step {
+    pub fn on_read(&self, token: Option<&str>) -> Step {
         match token {
-            None => Step::CreateAgain,
+            None => Step::RetryCreate,
             Some(found) if found == self.token => Step::Committed,
-            Some(_) => Step::Overtaken,
+            Some(_) => Step::Conflict,
         }
     }
 }
 
 /// What a reader does with an entry that it was shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum EntryOrder {
     /// It is the next one: apply it.
-    Apply,
+    Next,
     /// It is in force already, or older: a stale read, a replay, a lagging copy.
-    Old,
+    Stale,
     /// Entries before it are missing: ask for them.
     Gap,
 }
@@ -85,12 +85,12 @@
 ///
 /// This is the whole of the rule that a configuration never reverts: nothing
 /// but the very next generation is applied, whoever shows it.
-pub fn offer(in_force: u64, generation: u64) -> Offer {
+pub fn classify(in_force: u64, generation: u64) -> EntryOrder {
     if generation <= in_force {
-        return Offer::Old;
+        return EntryOrder::Stale;
     }
     if generation == in_force + 1 {
-        return Offer::Apply;
+        return EntryOrder::Next;
     }
-    Offer::Gap
+    EntryOrder::Gap
 }
--- a/crates/coordination/tests/append_log.rs
+++ b/crates/coordination/tests/append_log.rs
@@ -1,6 +1,6 @@
 //! Appends to a chain, with creates that arrive late, twice or never.
 
-use coordination::append_log::{Append, Offer, Step, offer};
+use coordination::append_log::{Append, EntryOrder, Step, classify};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rstest::rstest;
@@ -44,16 +44,16 @@
 
 fn attempt(place: &mut Place, append: &Append, token: &str, one: Create) -> Step {
     if !one.arrives {
-        return append.on_lost();
+        return append.on_unknown();
     }
     if one.delayed {
         place.on_their_way.push(token.to_owned());
-        return append.on_lost();
+        return append.on_unknown();
     }
     match (place.create(token), one.answered) {
         (true, true) => append.on_created(),
-        (false, true) => append.on_taken(),
-        (_, false) => append.on_lost(),
+        (false, true) => append.on_exists(),
+        (_, false) => append.on_unknown(),
     }
 }
 
@@ -68,13 +68,13 @@
         .run(&steps, |steps| {
             let mut place = Place { token: None, on_their_way: Vec::new() };
             let writers = ["a", "b"].map(|token| Append::new(0, token));
-            let mut next = [Step::CreateAgain; 2];
+            let mut next = [Step::RetryCreate; 2];
             for (second, one, deliver) in steps {
                 let who = usize::from(second);
                 let token = ["a", "b"][who];
                 next[who] = match next[who] {
-                    Step::CreateAgain => attempt(&mut place, &writers[who], token, one),
-                    Step::ReadBack => writers[who].on_found(place.token.as_deref()),
+                    Step::RetryCreate => attempt(&mut place, &writers[who], token, one),
+                    Step::ReadBack => writers[who].on_read(place.token.as_deref()),
                     ended => ended,
                 };
                 if deliver {
@@ -96,15 +96,15 @@
 }
 
 #[rstest]
-#[case(5, 4, Offer::Old)]
-#[case(5, 5, Offer::Old)]
-#[case(5, 6, Offer::Apply)]
-#[case(5, 7, Offer::Gap)]
-#[case(0, 1, Offer::Apply)]
+#[case(5, 4, EntryOrder::Stale)]
+#[case(5, 5, EntryOrder::Stale)]
+#[case(5, 6, EntryOrder::Next)]
+#[case(5, 7, EntryOrder::Gap)]
+#[case(0, 1, EntryOrder::Next)]
 fn only_the_next_generation_is_applied(
     #[case] in_force: u64,
     #[case] generation: u64,
-    #[case] expected: Offer,
+    #[case] expected: EntryOrder,
 ) {
-    assert_eq!(offer(in_force, generation), expected);
+    assert_eq!(classify(in_force, generation), expected);
 }
--- a/crates/daemon/src/append.rs
+++ b/crates/daemon/src/append.rs
@@ -32,30 +32,30 @@
     tries: u32,
     token: impl Fn(&[u8]) -> String,
 ) -> End {
-    let mut step = Step::CreateAgain;
+    let mut step = Step::RetryCreate;
     let mut uncertain = false;
     for _ in 0..tries {
-        if step == Step::CreateAgain {
+        if step == Step::RetryCreate {
             step = match store.put(key, value.clone(), Condition::Absent).await {
                 Ok(_) => append.on_created(),
-                Err(Fault::Conflict(_)) => append.on_taken(),
+                Err(Fault::Conflict(_)) => append.on_exists(),
                 // Only a first create that was refused has surely had no effect.
                 Err(Fault::Away(text)) if !uncertain => return End::Refused(text),
-                Err(_) => append.on_lost(),
+                Err(_) => append.on_unknown(),
             };
             uncertain = true;
         }
         if step == Step::ReadBack {
             step = match store.get(key).await {
                 Err(_) => Step::ReadBack,
-                Ok(None) => append.on_found(None),
-                Ok(Some(found)) => append.on_found(Some(&token(&found.bytes))),
+                Ok(None) => append.on_read(None),
+                Ok(Some(found)) => append.on_read(Some(&token(&found.bytes))),
             };
         }
         match step {
             Step::Committed => return End::Committed,
-            Step::Overtaken => return End::Overtaken,
-            Step::ReadBack | Step::CreateAgain => {}
+            Step::Conflict => return End::Overtaken,
+            Step::ReadBack | Step::RetryCreate => {}
         }
     }
     End::Open
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{Node, lock};
 use crate::peers;
 use crate::shared::Shared;
-use coordination::append_log::{Append, Offer};
+use coordination::append_log::{Append, EntryOrder};
 use coordination::leaving::{Witness, Word};
 use coordination::membership::State;
 use coordination::retry::Failure;
@@ -59,7 +59,7 @@
         };
         let entry: Entry =
             serde_json::from_slice(&found.bytes).map_err(|e| Fault::Lost(e.to_string()))?;
-        if shared.offer(entry) == Offer::Gap {
+        if shared.offer(entry) == EntryOrder::Gap {
             return Ok(());
         }
     }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -7,7 +7,7 @@
 use crate::fleet::{Node, lock};
 use crate::shared::Shared;
 use coordination::admission;
-use coordination::append_log::Offer;
+use coordination::append_log::EntryOrder;
 use coordination::membership::{Member, Note};
 use platform::instance;
 use protocol::config::{Document, Entry};
@@ -112,7 +112,7 @@
         let Ok(entry) = serde_json::from_slice::<Entry>(bytes) else {
             return;
         };
-        if shared.offer(entry) == Offer::Gap {
+        if shared.offer(entry) == EntryOrder::Gap {
             return;
         }
     }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -7,7 +7,7 @@
 use crate::shards;
 use crate::store;
 use crate::telemetry::Telemetry;
-use coordination::append_log::Offer;
+use coordination::append_log::EntryOrder;
 use coordination::hash;
 use coordination::leaving::{Board, Witness, Word};
 use coordination::limit::Bucket;
@@ -184,10 +184,10 @@
     }
 
     /// Takes in a configuration entry from anywhere.
-    pub fn offer(&self, entry: Entry) -> Offer {
+    pub fn offer(&self, entry: Entry) -> EntryOrder {
         let generation = entry.generation;
         let offer = lock(&self.chain).offer(entry);
-        if offer == Offer::Apply {
+        if offer == EntryOrder::Next {
             slog::info!(self.log, "configuration in force"; "generation" => generation);
             self.on_generation(generation);
         }
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -1,6 +1,6 @@
 //! The chain of accepted configuration changes, folded.
 
-use coordination::append_log::{self, Offer};
+use coordination::append_log::{self, EntryOrder};
 use protocol::Generation;
 use protocol::config::{Document, Entry};
 use std::collections::BTreeMap;
@@ -31,20 +31,20 @@
     /// Only the very next generation is applied. An entry that doesn't validate
     /// can't be in the chain (it was validated before it was written), so one
     /// that fails here is reported as a gap and not applied.
-    pub fn offer(&mut self, entry: Entry) -> Offer {
-        let offer = append_log::offer(self.generation(), entry.generation);
-        if offer != Offer::Apply {
+    pub fn offer(&mut self, entry: Entry) -> EntryOrder {
+        let offer = append_log::classify(self.generation(), entry.generation);
+        if offer != EntryOrder::Next {
             return offer;
         }
         let Ok(document) = self.document.changed(&entry.change) else {
-            return Offer::Gap;
+            return EntryOrder::Gap;
         };
         self.document = document;
         self.entries.insert(entry.generation, entry);
         if self.entries.len() > KEPT {
             self.entries.pop_first();
         }
-        Offer::Apply
+        EntryOrder::Next
     }
 
     /// Takes a whole document from a peer or a snapshot, for an instance that is
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -107,23 +107,23 @@
         let taken = place < self.log.len();
         let mut step = match fate {
             Fate::Vanished => return None,
-            _ if taken => append.on_taken(),
+            _ if taken => append.on_exists(),
             Fate::Sound => {
                 self.log.push(entry.clone());
                 append.on_created()
             }
             Fate::Lost => {
                 self.log.push(entry.clone());
-                append.on_lost()
+                append.on_unknown()
             }
         };
         if step == Step::ReadBack {
-            step = append.on_found(self.log.get(place).map(|found| found.token.as_str()));
+            step = append.on_read(self.log.get(place).map(|found| found.token.as_str()));
         }
         match step {
             Step::Committed => Some(true),
-            Step::Overtaken => Some(false),
-            Step::ReadBack | Step::CreateAgain => None,
+            Step::Conflict => Some(false),
+            Step::ReadBack | Step::RetryCreate => None,
         }
     }
 
