--- a/crates/coordination/src/connectivity.rs
+++ b/crates/coordination/src/connectivity.rs
@@ -39,21 +39,21 @@
     /// News is allowed 2 s. Of these, 600 ms of silence, 100 ms until the next
     /// look, 400 ms for the answer and 100 ms until another instance looks make
     /// 1.2 s until that one watches; 1.8 s if it is cut off too and a third does.
-    pub quiet: Duration,
+    pub probe_after: Duration,
     /// Shortest silence in which an entry of a living owner may lapse.
-    pub lapse: Duration,
+    pub expiry: Duration,
 }
 
 impl Default for Policy {
     fn default() -> Policy {
-        Policy { quiet: Duration::from_millis(600), lapse: Duration::from_millis(1_800) }
+        Policy { probe_after: Duration::from_millis(600), expiry: Duration::from_millis(1_800) }
     }
 }
 
 /// A time in which the service answered one instance or another, without a break in
 /// which entries may lapse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Series {
+pub struct Uptime {
     /// Its first answer.
     pub since: Instant,
     /// Its last answer so far.
@@ -62,26 +62,26 @@
 
 /// What is known of the service.
 #[derive(Clone, Debug)]
-pub struct Contact {
+pub struct Tracker {
     policy: Policy,
     /// Last answer to this instance.
     answered: Option<Instant>,
     /// The latest series that is known.
-    series: Option<Series>,
+    series: Option<Uptime>,
     /// Whether a call has failed, here or elsewhere, since the series' last answer.
     is_doubted: bool,
     is_lost: bool,
 }
 
-impl Contact {
+impl Tracker {
     /// Nothing was asked yet.
-    pub fn new(policy: Policy) -> Contact {
-        Contact { policy, answered: None, series: None, is_doubted: false, is_lost: false }
+    pub fn new(policy: Policy) -> Tracker {
+        Tracker { policy, answered: None, series: None, is_doubted: false, is_lost: false }
     }
 
     /// A call was answered.
-    pub fn on_answer(&mut self, now: Instant) {
-        self.on_series(Series { since: now, last: now });
+    pub fn on_response(&mut self, now: Instant) {
+        self.on_series(Uptime { since: now, last: now });
         self.is_doubted = false;
         self.is_lost = false;
         self.answered = Some(now);
@@ -93,26 +93,26 @@
     }
 
     /// A sign of life is overdue, or was refused.
-    pub fn on_missed(&mut self) {
+    pub fn on_probe_failed(&mut self) {
         self.is_doubted = true;
         self.is_lost = true;
     }
 
     /// Another instance tells the latest series that it knows, and whether it has
     /// lost the service.
-    pub fn on_word(&mut self, series: Option<Series>, is_lost: bool) {
+    pub fn on_peer_report(&mut self, series: Option<Uptime>, is_lost: bool) {
         self.is_doubted |= is_lost;
         if let Some(series) = series {
             self.on_series(series);
         }
     }
 
-    fn on_series(&mut self, found: Series) {
+    fn on_series(&mut self, found: Uptime) {
         let Some(known) = &mut self.series else {
             self.series = Some(found);
             return;
         };
-        let lapse = self.policy.lapse;
+        let lapse = self.policy.expiry;
         if found.last + lapse <= known.since {
             return; // Of before an outage.
         }
@@ -126,23 +126,23 @@
     }
 
     /// Whether this instance counts as cut off from the service.
-    pub fn is_lost(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         self.is_lost
     }
 
     /// Whether a sign of life should be asked for.
     pub fn is_probe_due(&self, now: Instant) -> bool {
-        self.silence(now).is_none_or(|silence| silence >= self.policy.quiet)
+        self.idle_time(now).is_none_or(|silence| silence >= self.policy.probe_after)
     }
 
     /// How long ago this instance was last answered; `None` if it never was.
-    pub fn silence(&self, now: Instant) -> Option<Duration> {
+    pub fn idle_time(&self, now: Instant) -> Option<Duration> {
         self.answered.map(|at| now.saturating_duration_since(at))
     }
 
     /// The latest series that is known. What lapsed before it is back soon after its
     /// start, if it is to come back at all.
-    pub fn series(&self) -> Option<Series> {
+    pub fn uptime(&self) -> Option<Uptime> {
         self.series
     }
 }
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -15,7 +15,7 @@
 use super::message::{Ask, Contact};
 use super::node::Node;
 use crate::clock;
-use coordination::connectivity::Series;
+use coordination::connectivity::Uptime;
 use coordination::membership::Member;
 use platform::instance;
 use protocol::InstanceId;
@@ -134,7 +134,7 @@
     let now = clock::now();
     let ago = |millis: u64| now.checked_sub(Duration::from_millis(millis));
     let series = contact.answers.and_then(|answers| {
-        Some(Series { since: ago(answers.since_ms)?, last: ago(answers.last_ms)? })
+        Some(Uptime { since: ago(answers.since_ms)?, last: ago(answers.last_ms)? })
     });
     node.store.on_peer_report(series, contact.is_lost);
     let mut lost = node.lost_contact.borrow_mut();
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -5,7 +5,7 @@
 
 use super::cause::Cause;
 use crate::clock;
-use coordination::connectivity::{Contact, Policy, Series};
+use coordination::connectivity::{Policy, Tracker, Uptime};
 use coordination::retry;
 use platform::store::{Fault, Object, Page, Store, Unreadable};
 use protocol::settings::Settings;
@@ -40,7 +40,7 @@
     /// Calls made, by cause.
     calls: RefCell<BTreeMap<Cause, u64>>,
     breaker: RefCell<Breaker>,
-    contact: RefCell<Contact>,
+    contact: RefCell<Tracker>,
     /// Told when the store counts as lost.
     lost: Notify,
     log: Logger,
@@ -54,7 +54,7 @@
             store: Store::new(settings.platform, settings.platform_timeout),
             calls: RefCell::default(),
             breaker: RefCell::default(),
-            contact: RefCell::new(Contact::new(Policy { lapse, ..Policy::default() })),
+            contact: RefCell::new(Tracker::new(Policy { expiry: lapse, ..Policy::default() })),
             lost: Notify::new(),
             log,
         }
@@ -82,18 +82,18 @@
     }
 
     /// As [`Contact::series`].
-    pub fn uptime(&self) -> Option<Series> {
-        self.contact.borrow().series()
+    pub fn uptime(&self) -> Option<Uptime> {
+        self.contact.borrow().uptime()
     }
 
     /// How long ago the store last answered this instance; `None` if it never did.
     pub fn silence(&self, now: Instant) -> Option<Duration> {
-        self.contact.borrow().silence(now)
+        self.contact.borrow().idle_time(now)
     }
 
     /// Whether this instance counts as cut off from the store.
     pub fn is_disconnected(&self) -> bool {
-        self.contact.borrow().is_lost()
+        self.contact.borrow().is_disconnected()
     }
 
     /// Returns once the store counts as lost.
@@ -123,12 +123,12 @@
         let failures = std::mem::take(&mut *self.breaker.borrow_mut()).failures;
         let silence = self.silence(now).map(|time| time.as_millis() as u64);
         let mut contact = self.contact.borrow_mut();
-        let was_lost = contact.is_lost();
-        contact.on_answer(now);
+        let was_lost = contact.is_disconnected();
+        contact.on_response(now);
         if failures > 0 || was_lost {
             slog::info!(self.log, "platform regained"; "failures" => failures,
                 "was_lost" => was_lost, "silence_ms" => silence,
-                "may_have_lapsed" => contact.series().is_some_and(|series| series.since == now));
+                "may_have_lapsed" => contact.uptime().is_some_and(|series| series.since == now));
         }
     }
 
@@ -141,17 +141,17 @@
     pub fn on_probe_failed(&self, now: Instant) {
         let silence = self.silence(now).map(|time| time.as_millis() as u64);
         let mut contact = self.contact.borrow_mut();
-        if !contact.is_lost() {
+        if !contact.is_disconnected() {
             slog::info!(self.log, "platform contact lost"; "silence_ms" => silence);
         }
-        contact.on_missed();
+        contact.on_probe_failed();
         drop(contact);
         self.lost.notify_waiters();
     }
 
     /// As [`Contact::on_word`].
-    pub fn on_peer_report(&self, series: Option<Series>, is_lost: bool) {
-        self.contact.borrow_mut().on_word(series, is_lost);
+    pub fn on_peer_report(&self, series: Option<Uptime>, is_lost: bool) {
+        self.contact.borrow_mut().on_peer_report(series, is_lost);
     }
 
     /// A call failed.
