--- a/crates/coordination/src/drain.rs
+++ b/crates/coordination/src/drain.rs
@@ -8,7 +8,7 @@
     /// Time in which calls are still accepted, while the balancer notices.
     pub grace: Duration,
     /// Time after which the process exits whatever still runs.
-    pub bound: Duration,
+    pub max_duration: Duration,
 }
 
 /// Where a stop stands.
@@ -17,7 +17,7 @@
     /// Not ready, but calls that come are still served.
     Grace,
     /// New calls are refused as not run; running ones finish.
-    Finish,
+    Draining,
     /// Exit.
     Exit,
 }
@@ -33,11 +33,11 @@
 /// and a refused connection would cut that request off.
 pub fn phase(plan: Plan, since: Instant, running: usize, is_closed: bool, now: Instant) -> Phase {
     let passed = now.saturating_duration_since(since);
-    if passed >= plan.bound {
+    if passed >= plan.max_duration {
         return Phase::Exit;
     }
     if passed < plan.grace {
         return Phase::Grace;
     }
-    if running == 0 && is_closed { Phase::Exit } else { Phase::Finish }
+    if running == 0 && is_closed { Phase::Exit } else { Phase::Draining }
 }
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -209,10 +209,10 @@
 
 #[rstest]
 #[case(0, 0, false, Phase::Grace)]
-#[case(2000, 5, true, Phase::Finish)]
+#[case(2000, 5, true, Phase::Draining)]
 #[case(2000, 0, true, Phase::Exit)]
 // Regression: a request that came as the last one ended was cut off by the exit.
-#[case(2000, 0, false, Phase::Finish)]
+#[case(2000, 0, false, Phase::Draining)]
 #[case(30_000, 5, false, Phase::Exit)]
 fn a_stop_goes_through_its_phases(
     #[case] passed: u64,
@@ -220,7 +220,7 @@
     #[case] is_closed: bool,
     #[case] expected: Phase,
 ) {
-    let plan = Plan { grace: Duration::from_secs(2), bound: Duration::from_secs(30) };
+    let plan = Plan { grace: Duration::from_secs(2), max_duration: Duration::from_secs(30) };
     let since = Instant::now();
     let now = since + Duration::from_millis(passed);
     assert_eq!(phase(plan, since, running, is_closed, now), expected);
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -122,7 +122,7 @@
     node.members.borrow_mut().leave();
     node.news.notify_one();
     let bound = node.settings.stop_bound.saturating_sub(STOP_MARGIN);
-    let plan = Plan { grace: node.settings.stop_grace, bound };
+    let plan = Plan { grace: node.settings.stop_grace, max_duration: bound };
     let over = spawn_local({
         let node = node.clone();
         async move { items::hand_off_jobs(&node).await }
@@ -134,7 +134,7 @@
         match drain::phase(plan, since, left, is_closed, clock::now()) {
             Phase::Exit => break,
             Phase::Grace => {}
-            Phase::Finish => front.cancel(),
+            Phase::Draining => front.cancel(),
         }
     }
     front.cancel();
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -188,7 +188,7 @@
     /// Waits for a planned stop and goes through its phases.
     pub fn join(self) {
         let settings = &self.shared.settings;
-        let plan = Plan { grace: settings.stop_grace, bound: settings.stop_bound };
+        let plan = Plan { grace: settings.stop_grace, max_duration: settings.stop_bound };
         loop {
             std::thread::sleep(STOP_LOOK);
             let Some(since) = *lock(&self.shared.stopping) else {
@@ -203,7 +203,7 @@
                 Phase::Exit => break,
                 _ if unguarded => break,
                 Phase::Grace => {}
-                Phase::Finish => self.shared.refusing.store(true, Ordering::Relaxed),
+                Phase::Draining => self.shared.refusing.store(true, Ordering::Relaxed),
             }
         }
         slog::info!(self.shared.log, "stopped";
