--- a/crates/coordination/src/ejection.rs
+++ b/crates/coordination/src/ejection.rs
@@ -19,7 +19,7 @@
 
 /// How much a target may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum Availability {
     /// As its limit allows.
     Full,
     /// One request at a time, until it has done a few.
@@ -30,11 +30,11 @@
 
 impl Health {
     /// How much the target may be used now.
-    pub fn usage(&self, now: Instant) -> Use {
+    pub fn availability(&self, now: Instant) -> Availability {
         match self.until {
-            Some(until) if now < until => Use::Ejected,
-            _ if self.probation > 0 => Use::Probation,
-            _ => Use::Full,
+            Some(until) if now < until => Availability::Ejected,
+            _ if self.probation > 0 => Availability::Probation,
+            _ => Availability::Full,
         }
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// The target answers nothing at all: out of use at once.
-    pub fn on_silence(&mut self, now: Instant) {
+    pub fn on_unresponsive(&mut self, now: Instant) {
         self.probation = PROBATION;
         self.on_failure(now);
     }
--- a/crates/coordination/src/slots/target_state.rs
+++ b/crates/coordination/src/slots/target_state.rs
@@ -1,7 +1,7 @@
 //! One target in the account: what is out there, and how it has done lately.
 
 use super::lease::{LeaseOutcome, LeaseReport, Policy, Purpose, Request};
-use crate::ejection::{Health, Use};
+use crate::ejection::{Availability, Health};
 use protocol::routing::Target;
 use std::time::{Duration, Instant};
 
@@ -121,10 +121,10 @@
         if is_failing && !is_online {
             return None;
         }
-        let trust = match self.health.usage(now) {
-            Use::Full => 0,
-            Use::Probation if self.used() == 0 => 1,
-            Use::Probation | Use::Ejected => return None,
+        let trust = match self.health.availability(now) {
+            Availability::Full => 0,
+            Availability::Probation if self.used() == 0 => 1,
+            Availability::Probation | Availability::Ejected => return None,
         };
         let is_doubted =
             policy.overdue_last && self.doubted.is_some_and(|at| now < at + OVERDUE_PENALTY);
@@ -144,7 +144,7 @@
 
     /// Whether health lets it take requests, be it one at a time.
     pub(super) fn is_in_use(&self, now: Instant) -> bool {
-        self.health.usage(now) != Use::Ejected
+        self.health.availability(now) != Availability::Ejected
     }
 
     /// A lease that was granted at `granted` was given back; `fresh` is the weight
@@ -183,7 +183,7 @@
             // Guards against slots of targets that are gone and turn each request away at
             // once: 840 runs of items in 7 s, at 12 targets, on a day of late entries.
             LeaseOutcome::Unresponsive | LeaseOutcome::Misdirected => {
-                self.health.on_silence(now);
+                self.health.on_unresponsive(now);
                 self.doubted = Some(now);
                 self.failures.note(true, now);
             }
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -3,7 +3,7 @@
 use coordination::admission::{Capacity, Decision, PeerLoad, advertised, decide};
 use coordination::burn_rate::{Counts, History};
 use coordination::drain::{Phase, Plan, phase};
-use coordination::ejection::{Health, Use};
+use coordination::ejection::{Availability, Health};
 use coordination::leaving::{Board, Witness, Word};
 use coordination::limit::{Bucket, Concurrency};
 use coordination::load::{Load, Report};
@@ -141,14 +141,14 @@
     let now = Instant::now();
     let mut health = Health::default();
     (0..3).for_each(|_| health.on_failure(now));
-    assert_eq!(health.usage(now), Use::Ejected);
+    assert_eq!(health.availability(now), Availability::Ejected);
     let later = now + Duration::from_secs(2);
-    assert_eq!(health.usage(later), Use::Probation);
+    assert_eq!(health.availability(later), Availability::Probation);
     health.on_failure(later);
-    assert_eq!(health.usage(later + Duration::from_millis(1500)), Use::Ejected);
+    assert_eq!(health.availability(later + Duration::from_millis(1500)), Availability::Ejected);
     let back = later + Duration::from_secs(3);
     (0..5).for_each(|_| health.on_success());
-    assert_eq!(health.usage(back), Use::Full);
+    assert_eq!(health.availability(back), Availability::Full);
 }
 
 #[rstest]
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -9,7 +9,7 @@
 use crate::fleet::{Node, View, lock};
 use crate::shared::Shared;
 use coordination::admission::{self, Capacity, Decision};
-use coordination::ejection::Use;
+use coordination::ejection::Availability;
 use protocol::config::Protocol;
 use protocol::{Error, ShardId, TargetId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -177,7 +177,7 @@
         let count = self.streams.values().filter(is_staying).count() as u32;
         let is_usable = !view.leaving.contains(name)
             && runs_version(view, node)
-            && lock(&node.state).health.usage(now) == Use::Full;
+            && lock(&node.state).health.availability(now) == Availability::Full;
         if !is_usable || !view.ready {
             return None;
         }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The targets as this instance knows them, shared by front, batch and control.
 
 use coordination::admission::PeerLoad;
-use coordination::ejection::{Health, Use};
+use coordination::ejection::{Availability, Health};
 use coordination::hash;
 use coordination::limit::Concurrency;
 use coordination::load::{Load, Report as LoadReport};
@@ -104,7 +104,7 @@
     pub fn on_silence(&self, now: Instant) {
         if self.missed.fetch_add(1, Ordering::Relaxed) + 1 >= MISSES {
             self.silent.send_replace(true);
-            lock(&self.state).health.on_silence(now);
+            lock(&self.state).health.on_unresponsive(now);
         }
     }
 
@@ -142,10 +142,10 @@
         let online = state.load.online(now);
         let own = state.load.own();
         let slots = self.target.slots;
-        let room = match state.health.usage(now) {
-            Use::Ejected => 0,
-            Use::Probation => 1u32.saturating_sub(own),
-            Use::Full => state.concurrency.limit().saturating_sub(own),
+        let room = match state.health.availability(now) {
+            Availability::Ejected => 0,
+            Availability::Probation => 1u32.saturating_sub(own),
+            Availability::Full => state.concurrency.limit().saturating_sub(own),
         };
         // Half again as many as there are slots keeps the engine's queue short
         // while there is always a request ready for the next free slot.
--- a/crates/daemon/src/front/admin.rs
+++ b/crates/daemon/src/front/admin.rs
@@ -104,7 +104,7 @@
                 slots: node.target.slots,
                 online: state.load.online(now),
                 batch: state.load.batch(now),
-                usage: format!("{:?}", state.health.usage(now)).to_lowercase(),
+                usage: format!("{:?}", state.health.availability(now)).to_lowercase(),
                 leaving: view.leaving.contains(&node.target.name),
                 version,
             }
