--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -152,7 +152,7 @@
                 }
             }
             Err(Fault::HistoryGone) => {
-                slog::info!(node.log, "history gone"; "kind" => topic.kind(),
+                slog::info!(node.log, "watch history expired"; "kind" => topic.kind(),
                     "revision" => revision);
                 revision = None;
             }
@@ -215,7 +215,7 @@
         let node = &self.node;
         let is_held = !node.is_stopping() && is_watcher(node, self.topic);
         if is_held != self.is_held {
-            slog::info!(node.log, "{}", if is_held { "watches" } else { "watches no more" };
+            slog::info!(node.log, "{}", if is_held { "watch started" } else { "watch stopped" };
                 "kind" => self.topic.kind(), "lost" => ?lost_contact(node, clock::now()));
             let watched = node.watched.get();
             node.watched.set(if is_held { watched + 1 } else { watched.saturating_sub(1) });
--- a/crates/daemon/tests/gateway_leaving.rs
+++ b/crates/daemon/tests/gateway_leaving.rs
@@ -52,10 +52,11 @@
 fn watches_targets(fleet: &Fleet, n: usize) -> bool {
     let lines = fleet.log(n);
     let is_seat = |line: &&Value| {
-        line["kind"] == "servers" && (line["msg"] == "watches" || line["msg"] == "watches no more")
+        line["kind"] == "servers"
+            && (line["msg"] == "watch started" || line["msg"] == "watch stopped")
     };
     let last = lines.iter().rfind(is_seat);
-    last.is_some_and(|line| line["msg"] == "watches")
+    last.is_some_and(|line| line["msg"] == "watch started")
 }
 
 /// Has the watches that wait begin anew, so that they have most of their time left.
