--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -67,7 +67,7 @@
 /// When the next item of a job must go on to be done by the time it is due: for sure,
 /// and at all.
 fn latest(node: &Node, state: &JobState) -> (Millis, Millis) {
-    let made = state.next_made().unwrap_or_default();
+    let made = state.next_event_count().unwrap_or_default();
     let span = node.jobs.span.borrow();
     let before_due = |time: Duration| state.job().due.saturating_sub(time.as_millis() as Millis);
     let spare = node.settings.policy.spare;
@@ -82,7 +82,7 @@
 /// late as well. What was begun goes before what wasn't.
 fn turn(node: &Node, state: &JobState, now: Millis) -> Turn {
     let (sure, in_time) = latest(node, state);
-    let is_begun = state.next_made().unwrap_or_default() > 0;
+    let is_begun = state.next_event_count().unwrap_or_default() > 0;
     let is_fresh = node.settings.policy.begun_first && !is_begun;
     (Feasibility::at(now, sure, in_time), is_fresh, state.job().due)
 }
@@ -113,7 +113,7 @@
     let is_begun = node.settings.policy.begun_first && matches!(first, Some((_, false)));
     let items = |held: &Rc<HeldJob>| {
         let state = held.state.borrow();
-        if is_begun { state.begun() } else { state.runnable() }
+        if is_begun { state.started() } else { state.runnable() }
     };
     of_class.map(items).sum()
 }
@@ -128,7 +128,7 @@
 ) -> account::Batch<'a> {
     let now = millis();
     let state = held.state.borrow();
-    let made = state.next_made().unwrap_or_default();
+    let made = state.next_event_count().unwrap_or_default();
     let until = |at: Millis| Duration::from_millis(at.saturating_sub(now));
     let (sure, in_time) = latest(node, &state);
     account::Batch {
@@ -180,7 +180,7 @@
 pub async fn hand_off_jobs(node: &Rc<Node>) {
     let held_jobs: Vec<Rc<HeldJob>> = node.jobs.held.borrow().values().cloned().collect();
     let open: Vec<Rc<HeldJob>> =
-        held_jobs.into_iter().filter(|h| !h.state.borrow().is_settled()).collect();
+        held_jobs.into_iter().filter(|h| !h.state.borrow().is_finished()).collect();
     for held in &open {
         held.released.cancel();
     }
@@ -189,7 +189,7 @@
     tokio::time::sleep(job_writer::RUN_STOP_DELAY).await;
     let mut left = Vec::new();
     for held in open {
-        let is_fresh = held.state.borrow().draft().is_some();
+        let is_fresh = held.state.borrow().next_write().is_some();
         if is_fresh && !job_writer::write(node, &held).await {
             slog::warn!(node.log, "results not written before the stop";
                 "job" => &held.state.borrow().job().id);
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -204,7 +204,7 @@
         let (id, is_over) = {
             let state = held.state.borrow();
             let is_old = state.job().accepted + retention < now;
-            (state.job().id.clone(), is_old && state.is_settled())
+            (state.job().id.clone(), is_old && state.is_finished())
         };
         if !is_over {
             continue;
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -70,8 +70,8 @@
         let now = clock::now();
         let state = self.state.borrow();
         let since = |is_any: bool, known: Option<Instant>| is_any.then(|| known.unwrap_or(now));
-        self.oldest.set(since(state.fresh() > 0, self.oldest.get()));
-        self.verdict.set(since(state.has_fresh_verdict(), self.verdict.get()));
+        self.oldest.set(since(state.unwritten() > 0, self.oldest.get()));
+        self.verdict.set(since(state.has_unwritten_failure(), self.verdict.get()));
         self.dirty.notify_one();
     }
 
@@ -171,7 +171,7 @@
     let id = job.id.clone();
     let attempts = route_of(node, &job).map_or(ATTEMPTS, |route| route.attempts);
     let state = JobState::new(job, progress, attempts);
-    let is_frozen = state.is_settled();
+    let is_frozen = state.is_finished();
     let held = Rc::new(HeldJob {
         state: RefCell::new(state),
         revision: Cell::new(revision),
@@ -212,7 +212,7 @@
         revision: held.revision.get(),
         route: route_of(node, state.job()).map_or_else(String::new, |route| route.name),
         waiting_tokens: state.waiting_tokens(),
-        is_settled: state.is_settled(),
+        is_settled: state.is_finished(),
     }
 }
 
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -39,7 +39,7 @@
     let id = held.state.borrow().job().id.clone();
     match node.store.get(Cause::Check, job::KIND, &id).await {
         Ok(Some(object)) if object.revision > held.revision.get() => {
-            let draft = held.state.borrow().snapshot();
+            let draft = held.state.borrow().to_progress();
             // Not read now, it is met again with the next write.
             on_found(node, held, &draft, &object).await;
         }
@@ -85,10 +85,10 @@
         if held.released.is_cancelled() {
             return;
         }
-        if held.state.borrow().is_settled() {
+        if held.state.borrow().is_finished() {
             let state = held.state.borrow();
             slog::info!(node.log, "job settled"; "job" => &state.job().id,
-                "results" => state.listed().len(), "items" => state.job().items.len(),
+                "results" => state.durable_results().len(), "items" => state.job().items.len(),
                 "ended" => state.is_ended(),
                 "age_ms" => millis().saturating_sub(state.job().accepted));
             drop(state);
@@ -101,7 +101,7 @@
 /// Time until something is to be written; the longest there is if nothing is.
 fn until_write(node: &Node, held: &HeldJob, now: Instant) -> Duration {
     let state = held.state.borrow();
-    if !state.has_news() {
+    if !state.has_unwritten() {
         return Duration::MAX;
     }
     let (due, at) = (state.job().due, millis());
@@ -123,7 +123,7 @@
 pub async fn write(node: &Rc<Node>, held: &Rc<HeldJob>) -> bool {
     let (id, draft) = {
         let state = held.state.borrow();
-        (state.job().id.clone(), state.snapshot())
+        (state.job().id.clone(), state.to_progress())
     };
     let revision = held.revision.get();
     let overflow = held.overflow.borrow().clone();
@@ -175,7 +175,7 @@
 fn on_durable(node: &Rc<Node>, held: &Rc<HeldJob>, draft: &Progress, revision: u64) {
     held.revision.set(revision);
     held.on_confirmed(clock::now());
-    held.state.borrow_mut().on_durable(draft);
+    held.state.borrow_mut().on_written(draft);
     held.oldest.set(None);
     held.verdict.set(None);
     held.wake();
@@ -208,7 +208,7 @@
         return true;
     }
     held.revision.set(object.revision);
-    held.state.borrow_mut().on_overtaken(progress);
+    held.state.borrow_mut().on_conflict(progress);
     let holder = held.state.borrow().holder();
     held.changed.notify_waiters();
     if holder.instance != node.id() {
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -117,9 +117,9 @@
         let changed = held.changed.notified();
         {
             let state = held.state.borrow();
-            let outcomes = state.listed().get(from..).unwrap_or_default();
+            let outcomes = state.durable_results().get(from..).unwrap_or_default();
             let is_over = state.is_ended() || held.released.is_cancelled();
-            let is_all = state.listed().len() >= state.job().items.len();
+            let is_all = state.durable_results().len() >= state.job().items.len();
             if !outcomes.is_empty() || is_over || is_all || tokio::time::Instant::now() >= until {
                 return (state.job().items.len(), outcomes.to_vec());
             }
@@ -220,7 +220,7 @@
 /// Ends a held job; `true` once that is durable.
 async fn end_held(node: &Rc<Node>, held: &Rc<HeldJob>) -> bool {
     let until = tokio::time::Instant::now() + END_LIMIT;
-    if held.state.borrow().is_all_listed() {
+    if held.state.borrow().is_all_durable() {
         return true; // Nothing is left that could be ended.
     }
     held.state.borrow_mut().end();
--- a/crates/state/src/progress.rs
+++ b/crates/state/src/progress.rs
@@ -38,7 +38,7 @@
     job: Arc<Job>,
     durable: Progress,
     /// Results that are not durable yet.
-    fresh: Vec<Outcome>,
+    unwritten: Vec<Outcome>,
     failures: BTreeMap<ItemId, Failures>,
     ended: bool,
     running: HashSet<ItemId>,
@@ -56,7 +56,7 @@
         let done = durable.outcomes.iter().map(|outcome| outcome.item.clone()).collect();
         JobState {
             job: Arc::new(job),
-            fresh: Vec::new(),
+            unwritten: Vec::new(),
             failures: durable.failures.clone(),
             ended: durable.ended,
             running: HashSet::new(),
@@ -74,7 +74,7 @@
     }
 
     /// Results that are durable, in the order of their positions.
-    pub fn listed(&self) -> &[Outcome] {
+    pub fn durable_results(&self) -> &[Outcome] {
         &self.durable.outcomes
     }
 
@@ -94,24 +94,24 @@
     }
 
     /// Whether every item has a result that is durable.
-    pub fn is_all_listed(&self) -> bool {
+    pub fn is_all_durable(&self) -> bool {
         self.durable.outcomes.len() >= self.job.items.len()
     }
 
     /// Whether nothing is left to run or to write.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         let nothing_left = self.is_done() || self.ended;
-        nothing_left && self.running.is_empty() && self.draft().is_none()
+        nothing_left && self.running.is_empty() && self.next_write().is_none()
     }
 
     /// Results that are not durable yet.
-    pub fn fresh(&self) -> usize {
-        self.fresh.len()
+    pub fn unwritten(&self) -> usize {
+        self.unwritten.len()
     }
 
     /// Whether an item that failed for good is among them.
-    pub fn has_fresh_verdict(&self) -> bool {
-        self.fresh.iter().any(|outcome| !outcome.is_complete)
+    pub fn has_unwritten_failure(&self) -> bool {
+        self.unwritten.iter().any(|outcome| !outcome.is_complete)
     }
 
     /// Tokens of the items without a result; none once the job has ended.
@@ -129,11 +129,11 @@
     }
 
     /// Items that could run now and were stopped in an earlier run.
-    pub fn begun(&self) -> usize {
+    pub fn started(&self) -> usize {
         if self.ended {
             0
         } else {
-            self.free_items().filter(|item| self.made(&item.id) > 0).count()
+            self.free_items().filter(|item| self.event_count(&item.id) > 0).count()
         }
     }
 
@@ -149,17 +149,17 @@
     /// The next item to run: the one that has made most, since least of it is left.
     fn next_item(&self) -> Option<&Item> {
         let runnable = self.free_items().filter(|_| !self.ended);
-        runnable.min_by_key(|item| Reverse(self.made(&item.id)))
+        runnable.min_by_key(|item| Reverse(self.event_count(&item.id)))
     }
 
     /// Events that earlier runs of an item have made.
-    fn made(&self, item: &str) -> usize {
+    fn event_count(&self, item: &str) -> usize {
         self.partials.get(item).map_or(0, |partial| partial.texts.len())
     }
 
     /// Events that the next item to run has made already; `None` if none is left.
-    pub fn next_made(&self) -> Option<usize> {
-        self.next_item().map(|item| self.made(&item.id))
+    pub fn next_event_count(&self) -> Option<usize> {
+        self.next_item().map(|item| self.event_count(&item.id))
     }
 
     /// Takes the next item to run.
@@ -196,15 +196,15 @@
     /// A run came to its end.
     pub fn on_done(&mut self, item: &str, outcome: Outcome) {
         self.running.remove(item);
-        self.settle(outcome);
+        self.record_outcome(outcome);
     }
 
-    fn settle(&mut self, outcome: Outcome) {
+    fn record_outcome(&mut self, outcome: Outcome) {
         if self.done.insert(outcome.item.clone()) {
             self.partials.remove(&outcome.item);
             self.failures.remove(&outcome.item);
             if !self.durable.ended {
-                self.fresh.push(outcome);
+                self.unwritten.push(outcome);
             }
         }
     }
@@ -236,7 +236,7 @@
 
     fn give_up(&mut self, item: &str) {
         let outcome = Outcome { item: item.to_owned(), is_complete: false, text: String::new() };
-        self.settle(outcome);
+        self.record_outcome(outcome);
     }
 
     /// Gives up what isn't done when its time has passed.
@@ -262,24 +262,24 @@
     /// The progress to write next; `None` when all is durable. Failures alone
     /// are not worth a write: they go along with the next results, or when a
     /// failure is the only thing that has happened, with [`JobState::failures_due`].
-    pub fn draft(&self) -> Option<Progress> {
-        if self.has_news() { Some(self.snapshot()) } else { None }
+    pub fn next_write(&self) -> Option<Progress> {
+        if self.has_unwritten() { Some(self.to_progress()) } else { None }
     }
 
     /// Whether there is anything to write.
-    pub fn has_news(&self) -> bool {
-        !self.fresh.is_empty() || self.ended != self.durable.ended
+    pub fn has_unwritten(&self) -> bool {
+        !self.unwritten.is_empty() || self.ended != self.durable.ended
     }
 
     /// Whether failures have been counted that no write has carried yet.
-    pub fn failures_due(&self) -> bool {
+    pub fn has_unwritten_failures(&self) -> bool {
         self.failures != self.durable.failures
     }
 
     /// The progress with all that is known here.
-    pub fn snapshot(&self) -> Progress {
+    pub fn to_progress(&self) -> Progress {
         let mut outcomes = self.durable.outcomes.clone();
-        outcomes.extend(self.fresh.iter().cloned());
+        outcomes.extend(self.unwritten.iter().cloned());
         Progress {
             holder: self.durable.holder,
             outcomes,
@@ -289,9 +289,9 @@
     }
 
     /// A progress made from this state was written.
-    pub fn on_durable(&mut self, written: &Progress) {
+    pub fn on_written(&mut self, written: &Progress) {
         let listed: HashSet<&str> = written.outcomes.iter().map(|o| o.item.as_str()).collect();
-        self.fresh.retain(|outcome| !listed.contains(outcome.item.as_str()));
+        self.unwritten.retain(|outcome| !listed.contains(outcome.item.as_str()));
         self.durable = written.clone();
     }
 
@@ -299,17 +299,17 @@
     /// made here that it doesn't have follow behind them, unless it has ended the
     /// job: a durable end closes the list, so that whoever has read an ended job
     /// shows the same results ever after.
-    pub fn on_overtaken(&mut self, found: Progress) {
+    pub fn on_conflict(&mut self, found: Progress) {
         if found.ended {
-            self.fresh.clear();
+            self.unwritten.clear();
         }
         let listed: HashSet<ItemId> = found.outcomes.iter().map(|o| o.item.clone()).collect();
-        self.fresh.retain(|outcome| !listed.contains(&outcome.item));
+        self.unwritten.retain(|outcome| !listed.contains(&outcome.item));
         for item in &listed {
             self.partials.remove(item);
         }
         self.done = listed;
-        self.done.extend(self.fresh.iter().map(|outcome| outcome.item.clone()));
+        self.done.extend(self.unwritten.iter().map(|outcome| outcome.item.clone()));
         self.merge_failures(&found.failures);
         let done = &self.done;
         self.failures.retain(|item, _| !done.contains(item));
--- a/crates/state/src/progress/handoff.rs
+++ b/crates/state/src/progress/handoff.rs
@@ -51,7 +51,7 @@
         Handoff {
             partials: self.partials.clone(),
             failures: self.failures.clone(),
-            outcomes: self.fresh.clone(),
+            outcomes: self.unwritten.clone(),
         }
     }
 
@@ -59,7 +59,7 @@
     /// runs, so the higher count stands: an item runs too often rather than being
     /// given up too soon.
     pub fn merge_handoff(&mut self, learnt: Handoff) {
-        learnt.outcomes.into_iter().for_each(|outcome| self.settle(outcome));
+        learnt.outcomes.into_iter().for_each(|outcome| self.record_outcome(outcome));
         self.merge_failures(&learnt.failures);
         self.merge_partials(learnt.partials);
     }
--- a/crates/state/tests/progress.rs
+++ b/crates/state/tests/progress.rs
@@ -18,11 +18,11 @@
         first.start_next().expect("an item");
         first.on_failed("a", Failure::Failed);
     }
-    assert!(first.failures_due());
-    let mut second = JobState::new(Job::example("j", &["a"]), first.snapshot(), 3);
+    assert!(first.has_unwritten_failures());
+    let mut second = JobState::new(Job::example("j", &["a"]), first.to_progress(), 3);
     second.start_next().expect("an item");
     second.on_failed("a", Failure::Failed);
-    let draft = second.draft().expect("a result");
+    let draft = second.next_write().expect("a result");
     assert!(!draft.outcomes[0].is_complete);
     assert!(second.start_next().is_none());
 }
@@ -45,7 +45,7 @@
         texts: vec![String::from("x"); made],
     };
     state.merge_partials([("a".to_owned(), partial(3)), ("b".to_owned(), partial(9))].into());
-    assert_eq!(state.next_made(), Some(9));
+    assert_eq!(state.next_event_count(), Some(9));
     assert_eq!(state.start_next().map(|item| item.id), Some(String::from("b")));
 }
 
@@ -73,7 +73,7 @@
     assert!(!late.is_done());
     late.on_time(60_000);
     assert!(late.is_done());
-    assert!(late.draft().expect("results").outcomes.iter().all(|o| !o.is_complete));
+    assert!(late.next_write().expect("results").outcomes.iter().all(|o| !o.is_complete));
 }
 
 /// Regression: a job that another instance had ended went on listing what its holder
@@ -86,13 +86,13 @@
     }
     state.on_done("a", outcome("a", "holder"));
     let ended = Progress { ended: true, ..Progress::default() };
-    state.on_overtaken(ended);
-    assert!(state.draft().is_none(), "made before it knew of the end");
+    state.on_conflict(ended);
+    assert!(state.next_write().is_none(), "made before it knew of the end");
     state.on_done("b", outcome("b", "holder"));
-    assert!(state.draft().is_none(), "made after it knew");
+    assert!(state.next_write().is_none(), "made after it knew");
     state.on_failed("c", Failure::Impossible);
-    assert!(state.is_settled());
-    assert!(state.listed().is_empty());
+    assert!(state.is_finished());
+    assert!(state.durable_results().is_empty());
 }
 
 #[test]
@@ -101,10 +101,10 @@
     state.start_next().expect("an item");
     state.on_done("a", outcome("a", "holder"));
     state.end();
-    let draft = state.draft().expect("the end");
+    let draft = state.next_write().expect("the end");
     assert_eq!((draft.outcomes.len(), draft.ended), (1, true));
-    state.on_durable(&draft);
-    assert!(state.is_settled());
+    state.on_written(&draft);
+    assert!(state.is_finished());
 }
 
 /// What the platform keeps of the job, with a revision.
@@ -141,14 +141,14 @@
 }
 
 fn write(worker: &mut Worker, store: &mut Store, is_answer_lost: bool) {
-    let draft = worker.state.snapshot();
+    let draft = worker.state.to_progress();
     if store.revision != worker.revision {
         let found = store.progress.clone();
         worker.revision = store.revision;
         if found == draft {
-            worker.state.on_durable(&draft);
+            worker.state.on_written(&draft);
         } else {
-            worker.state.on_overtaken(found);
+            worker.state.on_conflict(found);
         }
         return;
     }
@@ -156,7 +156,7 @@
     store.revision += 1;
     if !is_answer_lost {
         worker.revision = store.revision;
-        worker.state.on_durable(&draft);
+        worker.state.on_written(&draft);
     }
 }
 
@@ -193,7 +193,7 @@
             let items: BTreeSet<&str> = kept.outcomes.iter().map(|o| o.item.as_str()).collect();
             prop_assert_eq!(items.len(), kept.outcomes.len(), "each item once");
             for worker in &workers {
-                let listed = worker.state.listed();
+                let listed = worker.state.durable_results();
                 prop_assert_eq!(listed, &kept.outcomes[..listed.len()], "listed is durable");
             }
         }
@@ -204,7 +204,7 @@
             }
         }
         for worker in &workers {
-            prop_assert_eq!(worker.state.listed(), &store.progress.outcomes[..]);
+            prop_assert_eq!(worker.state.durable_results(), &store.progress.outcomes[..]);
         }
     }
 }
@@ -228,7 +228,7 @@
     assert_eq!(second.partial("begun"), made);
     second.on_failed("failed", Failure::Failed);
     assert_eq!(second.runnable(), 1, "the third failure is the last");
-    let listed = second.draft().expect("results").outcomes;
+    let listed = second.next_write().expect("results").outcomes;
     let complete: Vec<&str> =
         listed.iter().filter(|o| o.is_complete).map(|o| o.item.as_str()).collect();
     assert_eq!((listed.len(), complete), (3, vec!["done"]));
@@ -249,7 +249,7 @@
     second.merge_handoff(first.handoff());
     assert!(!second.is_done(), "two failures are known for sure, not three or five");
     second.on_done("b", outcome("b", "second"));
-    let draft = second.draft().expect("a result");
+    let draft = second.next_write().expect("a result");
     assert_eq!(draft.outcomes, [outcome("b", "first")], "one result, the one that was learnt");
 }
 
@@ -262,5 +262,5 @@
     let ended = Progress { ended: true, ..Progress::default() };
     let mut second = JobState::new(job(), ended, 3);
     second.merge_handoff(first.handoff());
-    assert!(second.draft().is_none());
+    assert!(second.next_write().is_none());
 }
