--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -11,8 +11,8 @@
 use protocol::config::{Change, Document};
 use serde_json::json;
 use state::command::{Command, Reply};
-use state::part::PartRef;
-use state::record::{After, Entry, Kept, Record, Spec};
+use state::part::ResultPartRef;
+use state::record::{Disposition, Entry, JobSpec, Record, StoredOutcome};
 use state::shard::{Batch, Decision, Policy, Shard};
 use state::snapshot::Body;
 use std::collections::HashSet;
@@ -39,8 +39,8 @@
     strikes();
 }
 
-fn kept() -> Kept {
-    Kept::Chat(Outcome { text: "a".repeat(1000), finish: "stop".into(), tokens: 200 })
+fn kept() -> StoredOutcome {
+    StoredOutcome::Chat(Outcome { text: "a".repeat(1000), finish: "stop".into(), tokens: 200 })
 }
 
 /// Keyed requests: each decided, encoded in an entry of 50, and folded.
@@ -77,8 +77,8 @@
     }
 }
 
-fn spec(job: u64, chunks: u64) -> Spec {
-    Spec {
+fn spec(job: u64, chunks: u64) -> JobSpec {
+    JobSpec {
         job: format!("job-{job:032x}"),
         digest: job,
         upload: "0000000000000-0000000000000000".into(),
@@ -116,7 +116,7 @@
                 break;
             };
             shard.apply(Entry { token: "t".into(), at: 0, records }, 1_000);
-            let part = Some(PartRef { attempt: 1, part: 0 });
+            let part = Some(ResultPartRef { attempt: 1, part: 0 });
             let record = Record::Progressed {
                 job: work.job,
                 chunk: work.chunk,
@@ -124,7 +124,7 @@
                 part,
                 done: 256,
                 failed: 0,
-                after: After::Done,
+                after: Disposition::Done,
             };
             shard.apply(Entry { token: "t".into(), at: 0, records: vec![record] }, 1_000);
             reports += 1;
--- a/crates/daemon/src/batch/chunk.rs
+++ b/crates/daemon/src/batch/chunk.rs
@@ -2,9 +2,9 @@
 
 use protocol::Kind;
 use protocol::job::{Item, Outcome};
-use state::command::Work;
-use state::part::{Chunk as Items, Part, PartRef, Plan, Progress};
-use state::record::After;
+use state::command::ChunkAssignment;
+use state::part::{ChunkItems as Items, ChunkProgress, Plan, ResultPart, ResultPartRef};
+use state::record::Disposition;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
 
@@ -51,19 +51,19 @@
 #[derive(Clone, Debug)]
 pub struct Report {
     /// Object it is written to, if it brings anything.
-    pub part: Option<(PartRef, Part)>,
+    pub part: Option<(ResultPartRef, ResultPart)>,
     /// Items with an outcome.
     pub done: u32,
     /// Of those, failed.
     pub failed: u32,
     /// What becomes of the chunk.
-    pub after: After,
+    pub after: Disposition,
 }
 
 /// A chunk in hand.
 pub struct Chunk {
     /// What was handed out.
-    pub work: Work,
+    pub work: ChunkAssignment,
     /// Items that may start.
     pub waiting: VecDeque<Waiting>,
     /// Items that may run once and aren't noted as started.
@@ -88,7 +88,13 @@
 
 impl Chunk {
     /// A chunk as handed out, with what earlier holders recorded.
-    pub fn new(work: Work, items: Items, progress: &Progress, most: u32, now: Instant) -> Chunk {
+    pub fn new(
+        work: ChunkAssignment,
+        items: Items,
+        progress: &ChunkProgress,
+        most: u32,
+        now: Instant,
+    ) -> Chunk {
         let total = items.items.len();
         let mut chunk = Chunk {
             work,
@@ -112,14 +118,14 @@
         chunk
     }
 
-    fn plan(&mut self, index: u32, item: Item, progress: &Progress, most: u32) {
+    fn plan(&mut self, index: u32, item: Item, progress: &ChunkProgress, most: u32) {
         match progress.plan(index, &item, most) {
             Plan::Skip => {}
-            Plan::Unknown => {
+            Plan::OutcomeUnknown => {
                 let reason = "the item was started and its outcome is unknown";
                 self.fail(index, Kind::MayHaveRun, reason.into());
             }
-            Plan::Exhausted => {
+            Plan::AttemptsExhausted => {
                 self.fail(index, Kind::AttemptsExhausted, "every try failed".into());
             }
             Plan::Run { tries } => {
@@ -232,13 +238,13 @@
         let is_failed = |o: &&Outcome| matches!(o, Outcome::Failed { .. });
         let failed = outcomes.values().filter(is_failed).count() as u32;
         let after = match (self.is_done(), self.closing && self.running.is_empty()) {
-            (true, _) => After::Done,
-            (false, true) => After::GiveBack,
-            (false, false) => After::Continue,
+            (true, _) => Disposition::Done,
+            (false, true) => Disposition::Release,
+            (false, false) => Disposition::Continue,
         };
-        let part = Part { outcomes, started: self.noting.clone(), tries };
+        let part = ResultPart { outcomes, started: self.noting.clone(), tries };
         let is_news = !part.outcomes.is_empty() || !part.started.is_empty();
-        let place = PartRef { attempt: self.work.attempt, part: self.parts };
+        let place = ResultPartRef { attempt: self.work.attempt, part: self.parts };
         let part = is_news.then_some((place, part));
         let report = Report { part, done, failed, after };
         self.report = Some(report.clone());
@@ -266,6 +272,6 @@
         for _ in 0..std::mem::take(&mut self.noting).len() {
             self.waiting.extend(self.unnoted.pop_front());
         }
-        report.after != After::Continue
+        report.after != Disposition::Continue
     }
 }
--- a/crates/daemon/src/batch/report.rs
+++ b/crates/daemon/src/batch/report.rs
@@ -5,9 +5,9 @@
 use bytes::Bytes;
 use platform::keyed::Condition;
 use protocol::{Error, Kind, ShardId};
-use state::command::{Command, Reply, Work};
+use state::command::{ChunkAssignment, Command, Reply};
 use state::object;
-use state::part::{Chunk as Items, Part, Progress};
+use state::part::{ChunkItems as Items, ChunkProgress, ResultPart};
 use std::time::Instant;
 
 /// How a report ended.
@@ -22,7 +22,7 @@
 }
 
 /// Sends a report: first the object, then the record that names it.
-pub async fn send(shared: &Shared, work: &Work, report: Report) -> Sent {
+pub async fn send(shared: &Shared, work: &ChunkAssignment, report: Report) -> Sent {
     let mut place = None;
     if let Some((part, contents)) = report.part {
         let key = object::part(&work.job, work.chunk, part.attempt, part.part);
@@ -65,10 +65,10 @@
     };
     let key = object::chunk(&work.job, &work.upload, work.chunk);
     let items: Items = read(shared, &key).await?;
-    let mut progress = Progress::default();
+    let mut progress = ChunkProgress::default();
     for part in &work.parts {
         let key = object::part(&work.job, work.chunk, part.attempt, part.part);
-        progress.apply(read::<Part>(shared, &key).await?);
+        progress.apply(read::<ResultPart>(shared, &key).await?);
     }
     let most = shared.settings.attempts;
     Ok(Some(Chunk::new(work, items, &progress, most, Instant::now())))
--- a/crates/daemon/src/front/chat.rs
+++ b/crates/daemon/src/front/chat.rs
@@ -14,7 +14,7 @@
 use protocol::error::Body;
 use protocol::{Error, Kind, header};
 use serde::Serialize;
-use state::record::Kept;
+use state::record::StoredOutcome;
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 use transport::http::{self, BodyStream, Head, Response};
@@ -188,7 +188,7 @@
         match &self.terms.key {
             None => Ok(None),
             Some(key) => {
-                let kept = Kept::Chat(outcome.clone());
+                let kept = StoredOutcome::Chat(outcome.clone());
                 keyed::finish(&self.front.shared, key, kept).await.map(Some)
             }
         }
@@ -227,7 +227,7 @@
         let outcome = self.outcome(finish.clone());
         match self.record(&outcome).await {
             Err(error) => events.fail(&error).await,
-            Ok(Some(Recorded::Earlier(kept))) if *kept != Kept::Chat(outcome) => {
+            Ok(Some(Recorded::Earlier(kept))) if *kept != StoredOutcome::Chat(outcome) => {
                 let text = "another answer with this key was recorded first; ask again";
                 events.fail(&Error::new(Kind::InProgress, text)).await;
             }
@@ -307,11 +307,16 @@
 }
 
 /// Gives a kept outcome again, in the form the caller asked for.
-fn replay(terms: &Terms, service: &str, stream: bool, kept: Kept) -> Result<Response, Error> {
+fn replay(
+    terms: &Terms,
+    service: &str,
+    stream: bool,
+    kept: StoredOutcome,
+) -> Result<Response, Error> {
     let outcome = match kept {
-        Kept::Chat(outcome) => outcome,
-        Kept::Failed(error) => return Err(error),
-        Kept::Plain { .. } => {
+        StoredOutcome::Chat(outcome) => outcome,
+        StoredOutcome::Failed(error) => return Err(error),
+        StoredOutcome::Plain { .. } => {
             return Err(Error::new(Kind::KeyConflict, "the key belongs to a plain call"));
         }
     };
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -10,10 +10,10 @@
 use protocol::config::Protocol;
 use protocol::job::{Header, Item, Line, Outcome, Page, Phase, Status};
 use protocol::{Error, JobId, Kind, header};
-use state::command::{Command, Place, Reply};
+use state::command::{ChunkResults, Command, Reply};
 use state::object;
-use state::part::{Chunk, Part, Progress};
-use state::record::Spec;
+use state::part::{ChunkItems, ChunkProgress, ResultPart};
+use state::record::JobSpec;
 use std::sync::Arc;
 use transport::http::{self, BodyStream, Head, Lines, Response};
 use xxhash_rust::xxh3::{Xxh3Default, xxh3_128};
@@ -65,7 +65,7 @@
     }
 }
 
-fn accepted(spec: &Spec) -> Status {
+fn accepted(spec: &JobSpec) -> Status {
     Status {
         job: spec.job.clone(),
         service: spec.service.clone(),
@@ -85,7 +85,7 @@
     name: String,
     known: bool,
     digest: Xxh3Default,
-    chunk: Chunk,
+    chunk: ChunkItems,
     bytes: usize,
     items: u64,
     starts: Vec<u64>,
@@ -102,7 +102,7 @@
             known,
             name: format!("{:013}-{:016x}", clock::millis(), rand::random::<u64>()),
             digest: Xxh3Default::new(),
-            chunk: Chunk::default(),
+            chunk: ChunkItems::default(),
             bytes: 0,
             items: 0,
             starts: Vec::new(),
@@ -110,7 +110,7 @@
         }
     }
 
-    async fn read<B: BodyStream>(&mut self, mut lines: Lines<B>) -> Result<Spec, Error> {
+    async fn read<B: BodyStream>(&mut self, mut lines: Lines<B>) -> Result<JobSpec, Error> {
         let first = lines.next().await?;
         let first = first.ok_or_else(|| Error::new(Kind::Malformed, "the body is empty"))?;
         let header: Header = parse(&first, 1)?;
@@ -124,7 +124,7 @@
         if self.items == 0 {
             return Err(Error::new(Kind::Malformed, "the job has no items"));
         }
-        Ok(Spec {
+        Ok(JobSpec {
             job: self.job.clone(),
             digest: self.digest.digest(),
             upload: self.name.clone(),
@@ -263,7 +263,7 @@
         return Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit"));
     };
     if archived {
-        let index: Vec<Place> = read(shared, &object::index(&status.job)).await?;
+        let index: Vec<ChunkResults> = read(shared, &object::index(&status.job)).await?;
         places = index.into_iter().filter(|p| p.start < from + most && p.end > from).collect();
     }
     let mut lines = Vec::new();
@@ -276,11 +276,15 @@
     Ok(http::json(200, &Page { results: lines, next }))
 }
 
-async fn lines_of(shared: &Shared, status: &Status, place: &Place) -> Result<Vec<Line>, Error> {
-    let mut progress = Progress::default();
+async fn lines_of(
+    shared: &Shared,
+    status: &Status,
+    place: &ChunkResults,
+) -> Result<Vec<Line>, Error> {
+    let mut progress = ChunkProgress::default();
     for part in &place.parts {
         let key = object::part(&status.job, place.chunk, part.attempt, part.part);
-        progress.apply(read::<Part>(shared, &key).await?);
+        progress.apply(read::<ResultPart>(shared, &key).await?);
     }
     let items = place.start..place.end;
     let outcome = |item: u64| {
--- a/crates/daemon/src/front/keyed.rs
+++ b/crates/daemon/src/front/keyed.rs
@@ -7,7 +7,7 @@
 use protocol::{Error, Kind, Millis};
 use state::command::{Command, Reply};
 use state::object;
-use state::record::{Entry, Kept, Record};
+use state::record::{Entry, Record, StoredOutcome};
 use std::time::Instant;
 
 /// Margin after the caller's deadline in which an answer may still be recorded.
@@ -18,7 +18,7 @@
     /// Run it.
     Run,
     /// It has this outcome.
-    Kept(Kept),
+    Kept(StoredOutcome),
 }
 
 /// Whether an outcome is in the log.
@@ -29,7 +29,7 @@
     /// It will be; the platform is away.
     Later,
     /// Another one was recorded first, and counts.
-    Earlier(Box<Kept>),
+    Earlier(Box<StoredOutcome>),
 }
 
 /// Asks the log whether a keyed request may run.
@@ -51,7 +51,7 @@
         issued: key.issued,
     };
     match shared.shards.submit(shared, command).await {
-        Ok(Reply::Go) => Ok(Begun::Run),
+        Ok(Reply::Proceed) => Ok(Begun::Run),
         Ok(Reply::Kept { position }) => kept(shared, key, position).await.map(Begun::Kept),
         Ok(_) => Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit")),
         Err(error) if is_passing(error.kind) && terms.repeatable => Ok(Begun::Run),
@@ -79,7 +79,7 @@
 /// # Errors
 ///
 /// `KeyConflict` when the key was used for another request meanwhile.
-pub async fn finish(shared: &Shared, key: &Key, outcome: Kept) -> Result<Recorded, Error> {
+pub async fn finish(shared: &Shared, key: &Key, outcome: StoredOutcome) -> Result<Recorded, Error> {
     let command = Command::Finish {
         key: key.scoped.clone(),
         digest: key.digest,
@@ -92,7 +92,7 @@
         return Ok(Recorded::Now);
     }
     match shared.shards.submit(shared, command.clone()).await {
-        Ok(Reply::Earlier { position }) => match kept(shared, key, position).await {
+        Ok(Reply::Duplicate { position }) => match kept(shared, key, position).await {
             Ok(earlier) => Ok(Recorded::Earlier(Box::new(earlier))),
             Err(_) => Ok(Recorded::Now),
         },
@@ -110,14 +110,14 @@
 /// asked to come back until the claim's deadline.
 pub async fn give_up(shared: &Shared, key: &Key, error: &Error) -> Error {
     let error = Error::new(Kind::MayHaveRun, error.message.clone());
-    match finish(shared, key, Kept::Failed(error.clone())).await {
+    match finish(shared, key, StoredOutcome::Failed(error.clone())).await {
         Ok(_) => error,
         Err(conflict) => conflict,
     }
 }
 
 /// Reads a kept outcome from the entry that holds it.
-async fn kept(shared: &Shared, key: &Key, position: u64) -> Result<Kept, Error> {
+async fn kept(shared: &Shared, key: &Key, position: u64) -> Result<StoredOutcome, Error> {
     let name = object::entry(shared.shards.shard_of(&key.scoped), position);
     let away = |text: String| Error::new(Kind::PlatformAway, text);
     let found = shared.store.get(&name).await.map_err(|fault| away(fault.to_string()))?;
--- a/crates/daemon/src/front/plain.rs
+++ b/crates/daemon/src/front/plain.rs
@@ -8,7 +8,7 @@
 use coordination::retry::{self, Failure};
 use hyper::StatusCode;
 use protocol::{Error, Kind, header};
-use state::record::{Body, Kept};
+use state::record::{Body, StoredOutcome};
 use std::time::{Duration, Instant};
 use transport::http::{self, BodyStream, Head, Response};
 use transport::target::{Fault, Meta, Plain};
@@ -72,7 +72,7 @@
             return Err(error);
         }
     };
-    let kept = Kept::Plain {
+    let kept = StoredOutcome::Plain {
         status: status.as_u16(),
         content_type: kind.clone(),
         body: Body::new(body.to_vec()),
@@ -162,16 +162,18 @@
     fleet::pick(bound, &wanted, tried, here, now)
 }
 
-fn replay(kept: Kept) -> Result<Response, Error> {
+fn replay(kept: StoredOutcome) -> Result<Response, Error> {
     match kept {
-        Kept::Plain { status, content_type, body } => {
+        StoredOutcome::Plain { status, content_type, body } => {
             let body = Bytes::from(body.into_bytes());
             let mut response = http::bytes(status, &content_type, body);
             http::set(&mut response, header::RECORDED, "now");
             http::set(&mut response, header::REPLAYED, "true");
             Ok(response)
         }
-        Kept::Failed(error) => Err(error),
-        Kept::Chat(_) => Err(Error::new(Kind::KeyConflict, "the key belongs to a chat request")),
+        StoredOutcome::Failed(error) => Err(error),
+        StoredOutcome::Chat(_) => {
+            Err(Error::new(Kind::KeyConflict, "the key belongs to a chat request"))
+        }
     }
 }
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -13,7 +13,7 @@
 use protocol::{Error, Kind, Millis, ShardId};
 use state::command::{Answer, Command, Reply};
 use state::object;
-use state::record::{After, Entry, Record};
+use state::record::{Disposition, Entry, Record};
 use state::shard::{Batch, Decision, Policy, Shard};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -229,7 +229,7 @@
             note_life(&mut loaded.shard, &item.command, now);
             match loaded.shard.decide(&mut batch, &item.command, now) {
                 Decision::Answer(answer) => {
-                    if matches!(answer, Ok(Reply::Go)) {
+                    if matches!(answer, Ok(Reply::Proceed)) {
                         loaded.shard.note_running(&item.command, now);
                     }
                     drop(item.answer.send(answer));
@@ -335,7 +335,7 @@
 
 /// Whether a record leaves a chunk for somebody to run.
 fn brings_work(record: &Record) -> bool {
-    let is_given_back = matches!(record, Record::Progressed { after: After::GiveBack, .. });
+    let is_given_back = matches!(record, Record::Progressed { after: Disposition::Release, .. });
     is_given_back || matches!(record, Record::Accepted(_))
 }
 
--- a/crates/daemon/src/shards/commit/housekeeping.rs
+++ b/crates/daemon/src/shards/commit/housekeeping.rs
@@ -48,7 +48,7 @@
         let Some(job) = loaded.shard.jobs().to_archive().next().cloned() else {
             return;
         };
-        let places = job.places(0, u64::MAX);
+        let places = job.chunk_results(0, u64::MAX);
         let bytes = serde_json::to_vec(&places).unwrap_or_default();
         if bytes.len() > object::MAX_BYTES {
             return;
--- a/crates/daemon/src/shards/sweep.rs
+++ b/crates/daemon/src/shards/sweep.rs
@@ -4,7 +4,7 @@
 
 use crate::store::Handle;
 use protocol::{Millis, ShardId};
-use state::command::Place;
+use state::command::ChunkResults;
 use state::jobs::Job;
 use state::object;
 use state::record::Entry;
@@ -39,7 +39,7 @@
     let id = &job.spec.job;
     let index = object::index(id);
     let found = store.get(&index).await.ok().flatten();
-    let places: Vec<Place> =
+    let places: Vec<ChunkResults> =
         found.and_then(|found| serde_json::from_slice(&found.bytes).ok()).unwrap_or_default();
     for place in &places {
         for part in &place.parts {
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -1,7 +1,7 @@
 //! What is asked of a shard, and its answers.
 
-use crate::part::PartRef;
-use crate::record::{After, Kept, Spec};
+use crate::part::ResultPartRef;
+use crate::record::{Disposition, JobSpec, StoredOutcome};
 use protocol::{Error, InstanceId, JobId, Millis, job};
 use serde::{Deserialize, Serialize};
 
@@ -33,7 +33,7 @@
         /// When the key was issued.
         issued: Millis,
         /// The outcome.
-        outcome: Kept,
+        outcome: StoredOutcome,
     },
     /// A begun request was never sent.
     Release {
@@ -45,7 +45,7 @@
         issued: Millis,
     },
     /// A job whose chunks are written.
-    Accept(Spec),
+    Accept(JobSpec),
     /// An instance has room for a chunk of one of these services.
     Claim {
         /// Who asks.
@@ -62,13 +62,13 @@
         /// Its hand-out.
         attempt: u32,
         /// The object written, if there is news.
-        part: Option<PartRef>,
+        part: Option<ResultPartRef>,
         /// Items with an outcome in it.
         done: u32,
         /// Of those, failed.
         failed: u32,
         /// What becomes of the chunk.
-        after: After,
+        after: Disposition,
     },
     /// Stop a job.
     Cancel {
@@ -98,7 +98,7 @@
 
 /// Where the results of some items are.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct ChunkResults {
     /// Chunk.
     pub chunk: u32,
     /// Its first item.
@@ -106,12 +106,12 @@
     /// Item after its last.
     pub end: u64,
     /// Its result objects, in the order that counts.
-    pub parts: Vec<PartRef>,
+    pub parts: Vec<ResultPartRef>,
 }
 
 /// A chunk that is handed out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct ChunkAssignment {
     /// Job.
     pub job: JobId,
     /// Upload whose objects hold the items.
@@ -125,7 +125,7 @@
     /// Number of this hand-out.
     pub attempt: u32,
     /// Result objects of earlier hand-outs.
-    pub parts: Vec<PartRef>,
+    pub parts: Vec<ResultPartRef>,
 }
 
 /// The owner's answer.
@@ -133,7 +133,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
     /// The request may run.
-    Go,
+    #[serde(rename = "go")]
+    Proceed,
     /// The request has an outcome, kept in this entry.
     Kept {
         /// Position of the entry.
@@ -142,12 +143,13 @@
     /// What was asked for is recorded.
     Recorded,
     /// The outcome is recorded, but an earlier one counts, kept in this entry.
-    Earlier {
+    #[serde(rename = "earlier")]
+    Duplicate {
         /// Position of the entry.
         position: u64,
     },
     /// A chunk to run.
-    Work(Work),
+    Work(ChunkAssignment),
     /// No chunk to run now.
     NoWork,
     /// The holder goes on.
@@ -161,7 +163,7 @@
         /// Where the job stands.
         status: job::Status,
         /// Chunks of the items asked for; empty when `archived`.
-        places: Vec<Place>,
+        places: Vec<ChunkResults>,
         /// Whether the index object has the places.
         archived: bool,
     },
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -1,8 +1,8 @@
 //! Jobs of one shard and the chunks they are handed out in.
 
-use crate::command::{Place, Work};
-use crate::part::PartRef;
-use crate::record::{After, Spec};
+use crate::command::{ChunkAssignment, ChunkResults};
+use crate::part::ResultPartRef;
+use crate::record::{Disposition, JobSpec};
 use protocol::job::{Phase, Status};
 use protocol::{InstanceId, JobId, Millis};
 use serde::{Deserialize, Serialize};
@@ -18,14 +18,14 @@
     /// Whether all its items have outcomes.
     pub done: bool,
     /// Its result objects, in the order that counts.
-    pub parts: Vec<PartRef>,
+    pub parts: Vec<ResultPartRef>,
 }
 
 /// A job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
     /// What was accepted.
-    pub spec: Spec,
+    pub spec: JobSpec,
     /// Where it stands.
     pub phase: Phase,
     /// Items with an outcome.
@@ -41,7 +41,7 @@
 }
 
 impl Job {
-    fn new(spec: Spec) -> Job {
+    fn new(spec: JobSpec) -> Job {
         let chunks = vec![Chunk::default(); spec.starts.len()];
         Job { spec, phase: Phase::Running, done: 0, failed: 0, claims: 0, chunks, archived: false }
     }
@@ -68,12 +68,12 @@
     }
 
     /// Places of the chunks that hold items `from..from + most`.
-    pub fn places(&self, from: u64, most: u64) -> Vec<Place> {
+    pub fn chunk_results(&self, from: u64, most: u64) -> Vec<ChunkResults> {
         let until = from.saturating_add(most);
         let spans = (0..self.chunks.len()).map(|i| (i, self.span(i)));
         let wanted = spans.filter(|(_, (start, end))| *start < until && *end > from);
         wanted
-            .map(|(i, (start, end))| Place {
+            .map(|(i, (start, end))| ChunkResults {
                 chunk: i as u32,
                 start,
                 end,
@@ -82,9 +82,9 @@
             .collect()
     }
 
-    fn work(&self, index: u32) -> Work {
+    fn work(&self, index: u32) -> ChunkAssignment {
         let chunk = &self.chunks[index as usize];
-        Work {
+        ChunkAssignment {
             job: self.spec.job.clone(),
             upload: self.spec.upload.clone(),
             service: self.spec.service.clone(),
@@ -166,13 +166,18 @@
         services: &[String],
         taken: &BTreeSet<ChunkId>,
         silent: Millis,
-    ) -> Option<Work> {
+    ) -> Option<ChunkAssignment> {
         let jobs = self.order.iter().filter_map(|(_, _, id)| self.jobs.get(id));
         let fitting = jobs.filter(|job| services.contains(&job.spec.service));
         fitting.into_iter().find_map(|job| self.next_of(job, taken, silent))
     }
 
-    fn next_of(&self, job: &Job, taken: &BTreeSet<ChunkId>, silent: Millis) -> Option<Work> {
+    fn next_of(
+        &self,
+        job: &Job,
+        taken: &BTreeSet<ChunkId>,
+        silent: Millis,
+    ) -> Option<ChunkAssignment> {
         let id = &job.spec.job;
         let is_free = |chunk: &u32| !taken.contains(&(id.clone(), *chunk));
         let open = self.open.get(id).and_then(|set| set.iter().copied().find(is_free));
@@ -210,14 +215,14 @@
     }
 
     /// Folds an acceptance; the first one counts.
-    pub fn on_accepted(&mut self, spec: Spec, now: Millis) {
+    pub fn on_accepted(&mut self, spec: JobSpec, now: Millis) {
         if !self.jobs.contains_key(&spec.job) {
             self.insert(Job::new(spec), now);
         }
     }
 
     /// Folds a hand-out.
-    pub fn on_handed(
+    pub fn on_assigned(
         &mut self,
         job: &str,
         chunk: u32,
@@ -242,9 +247,9 @@
     pub fn on_progressed(
         &mut self,
         id: &ChunkId,
-        part: Option<PartRef>,
+        part: Option<ResultPartRef>,
         counts: (u32, u32),
-        after: After,
+        after: Disposition,
         now: Millis,
     ) {
         let (job, chunk) = id;
@@ -258,13 +263,13 @@
         found.done += u64::from(counts.0);
         found.failed += u64::from(counts.1);
         match after {
-            After::Continue => drop(self.held.insert(id.clone(), now)),
-            After::GiveBack => {
+            Disposition::Continue => drop(self.held.insert(id.clone(), now)),
+            Disposition::Release => {
                 entry.holder = None;
                 self.held.remove(id);
                 self.open.entry(job.clone()).or_default().insert(*chunk);
             }
-            After::Done => {
+            Disposition::Done => {
                 entry.holder = None;
                 entry.done = true;
                 self.held.remove(id);
@@ -328,7 +333,7 @@
     }
 }
 
-fn order_of(spec: &Spec) -> (Millis, Millis, JobId) {
+fn order_of(spec: &JobSpec) -> (Millis, Millis, JobId) {
     let due = if spec.due == 0 { Millis::MAX } else { spec.due };
     (due, spec.at, spec.job.clone())
 }
--- a/crates/state/src/part.rs
+++ b/crates/state/src/part.rs
@@ -6,7 +6,7 @@
 
 /// Which object of a chunk's results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartRef {
+pub struct ResultPartRef {
     /// Hand-out that wrote it.
     pub attempt: u32,
     /// Number within that hand-out.
@@ -15,7 +15,7 @@
 
 /// Contents of one result object. Items are numbered within their chunk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct ResultPart {
     /// Outcomes.
     pub outcomes: BTreeMap<u32, Outcome>,
     /// Items that may run once and are about to be sent.
@@ -26,14 +26,14 @@
 
 /// Items of one chunk as the platform keeps them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Chunk {
+pub struct ChunkItems {
     /// The items.
     pub items: Vec<Item>,
 }
 
 /// A chunk's items as far as their parts tell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Progress {
+pub struct ChunkProgress {
     /// Outcomes; the first of each item counts.
     pub outcomes: BTreeMap<u32, Outcome>,
     /// Items that may run once and were started.
@@ -42,9 +42,9 @@
     pub tries: BTreeMap<u32, u32>,
 }
 
-impl Progress {
+impl ChunkProgress {
     /// Folds the next part.
-    pub fn apply(&mut self, part: Part) {
+    pub fn apply(&mut self, part: ResultPart) {
         for (item, outcome) in part.outcomes {
             self.outcomes.entry(item).or_insert(outcome);
         }
@@ -61,10 +61,10 @@
             return Plan::Skip;
         }
         if !item.repeatable && self.started.contains(&index) {
-            return Plan::Unknown;
+            return Plan::OutcomeUnknown;
         }
         let tries = self.tries.get(&index).copied().unwrap_or(0);
-        if tries >= most { Plan::Exhausted } else { Plan::Run { tries } }
+        if tries >= most { Plan::AttemptsExhausted } else { Plan::Run { tries } }
     }
 }
 
@@ -74,9 +74,9 @@
     /// It has an outcome.
     Skip,
     /// It may have run and may not run again.
-    Unknown,
+    OutcomeUnknown,
     /// It was tried as often as allowed.
-    Exhausted,
+    AttemptsExhausted,
     /// Run it.
     Run {
         /// Tries before.
--- a/crates/state/src/record.rs
+++ b/crates/state/src/record.rs
@@ -1,6 +1,6 @@
 //! Records of the log and the entry that carries a group of them.
 
-use crate::part::PartRef;
+use crate::part::ResultPartRef;
 use protocol::{Error, InstanceId, JobId, Millis, chat};
 use serde::{Deserialize, Serialize};
 
@@ -35,7 +35,7 @@
 /// The outcome of a keyed request, as it is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kept {
+pub enum StoredOutcome {
     /// A whole answer of a model engine.
     Chat(chat::Outcome),
     /// A whole answer of a plain service.
@@ -53,7 +53,7 @@
 
 /// What an accepted job is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spec {
+pub struct JobSpec {
     /// Id, made from the caller's key.
     pub job: JobId,
     /// Digest of the whole body.
@@ -107,12 +107,13 @@
         /// When the key was issued.
         issued: Millis,
         /// The outcome.
-        outcome: Kept,
+        outcome: StoredOutcome,
     },
     /// A job is accepted.
-    Accepted(Spec),
+    Accepted(JobSpec),
     /// A chunk is handed to an instance.
-    Handed {
+    #[serde(rename = "handed")]
+    Assigned {
         /// Job.
         job: JobId,
         /// Chunk.
@@ -131,13 +132,13 @@
         /// Hand-out that ran them.
         attempt: u32,
         /// The object that holds them, if anything is new.
-        part: Option<PartRef>,
+        part: Option<ResultPartRef>,
         /// Items with an outcome in it.
         done: u32,
         /// Of those, failed.
         failed: u32,
         /// What becomes of the chunk.
-        after: After,
+        after: Disposition,
     },
     /// A job is cancelled.
     Cancelled {
@@ -154,11 +155,12 @@
 /// What becomes of a chunk after a progress report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum After {
+pub enum Disposition {
     /// The holder goes on.
     Continue,
     /// The holder gives it back.
-    GiveBack,
+    #[serde(rename = "give_back")]
+    Release,
     /// All its items have outcomes.
     Done,
 }
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -8,7 +8,7 @@
 use crate::command::{Answer, Command, Reply};
 use crate::jobs::{ChunkId, Job, Jobs};
 use crate::keys::{Claim, Finished, Keys};
-use crate::record::{After, Entry, Kept, Record, Spec};
+use crate::record::{Disposition, Entry, JobSpec, Record, StoredOutcome};
 use protocol::job::Phase;
 use protocol::{Kind, Millis, ShardId};
 use refusal::{conflict, in_progress, refuse, refuse_claimed, unknown_job};
@@ -119,7 +119,7 @@
             return Decision::Answer(refusal);
         }
         if *repeatable {
-            return Decision::Answer(Ok(Reply::Go));
+            return Decision::Answer(Ok(Reply::Proceed));
         }
         if !batch.subjects.insert(key.clone()) {
             return Decision::Defer;
@@ -131,7 +131,7 @@
             deadline: *deadline,
             issued: *issued,
         };
-        Decision::Commit(vec![record], Reply::Go)
+        Decision::Commit(vec![record], Reply::Proceed)
     }
 
     fn refuse_key(
@@ -180,10 +180,10 @@
         batch: &mut Batch,
         key: &str,
         (digest, issued): (u64, Millis),
-        outcome: &Kept,
+        outcome: &StoredOutcome,
     ) -> Decision {
         if let Some(finished) = self.keys.finished(key) {
-            let earlier = Reply::Earlier { position: finished.position };
+            let earlier = Reply::Duplicate { position: finished.position };
             return Decision::Answer(if finished.digest == digest {
                 Ok(earlier)
             } else {
@@ -210,7 +210,7 @@
         Decision::Commit(vec![record], Reply::Recorded)
     }
 
-    fn accept(&self, batch: &mut Batch, spec: &Spec) -> Decision {
+    fn accept(&self, batch: &mut Batch, spec: &JobSpec) -> Decision {
         if let Some(job) = self.jobs.get(&spec.job) {
             let same = job.spec.digest == spec.digest;
             return Decision::Answer(if same {
@@ -235,7 +235,7 @@
         }
         batch.chunks.insert((work.job.clone(), work.chunk));
         let (job, chunk, attempt) = (work.job.clone(), work.chunk, work.attempt);
-        Decision::Commit(vec![Record::Handed { job, chunk, attempt, holder }], Reply::Work(work))
+        Decision::Commit(vec![Record::Assigned { job, chunk, attempt, holder }], Reply::Work(work))
     }
 
     fn progress(&self, batch: &mut Batch, command: &Command) -> Decision {
@@ -251,7 +251,7 @@
             return Decision::Answer(Ok(Reply::Stop));
         };
         let known = found.chunks[*chunk as usize].parts.iter().any(|known| Some(*known) == *part);
-        if known || (part.is_none() && *after == After::Continue) {
+        if known || (part.is_none() && *after == Disposition::Continue) {
             return Decision::Answer(Ok(Reply::Continue));
         }
         batch.chunks.insert(id);
@@ -303,7 +303,7 @@
             return unknown_job(job);
         };
         let (status, archived) = (found.status(), found.archived);
-        Ok(Reply::Results { status, places: found.places(from, most), archived })
+        Ok(Reply::Results { status, places: found.chunk_results(from, most), archived })
     }
 
     fn archive(&self, job: &str) -> Decision {
@@ -338,8 +338,8 @@
                 self.dropped += u64::from(!is_first);
             }
             Record::Accepted(spec) => self.jobs.on_accepted(spec, now),
-            Record::Handed { job, chunk, attempt, holder } => {
-                self.jobs.on_handed(&job, chunk, attempt, holder, now);
+            Record::Assigned { job, chunk, attempt, holder } => {
+                self.jobs.on_assigned(&job, chunk, attempt, holder, now);
             }
             Record::Progressed { job, chunk, part, done, failed, after, .. } => {
                 self.jobs.on_progressed(&(job, chunk), part, (done, failed), after, now);
--- a/crates/state/src/shard/refusal.rs
+++ b/crates/state/src/shard/refusal.rs
@@ -30,7 +30,7 @@
         return conflict();
     }
     if claim.attempt == attempt {
-        return Ok(Reply::Go);
+        return Ok(Reply::Proceed);
     }
     if now < claim.deadline {
         return in_progress(claim.deadline, now);
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -5,8 +5,8 @@
 use protocol::chat;
 use protocol::job::Phase;
 use state::command::{Answer, Command, Reply};
-use state::part::PartRef;
-use state::record::{After, Entry, Kept, Spec};
+use state::part::ResultPartRef;
+use state::record::{Disposition, Entry, JobSpec, StoredOutcome};
 use state::shard::{Batch, Decision, Policy, Shard};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -50,7 +50,7 @@
             recorded: BTreeSet::new(),
             cancelled: false,
         };
-        let spec = Spec {
+        let spec = JobSpec {
             job: "job-1".into(),
             digest: 1,
             upload: "u".into(),
@@ -172,7 +172,7 @@
             issued: 1_000_000,
         };
         let answer = self.submit(owner, fate, &command);
-        if matches!(answer, Some(Ok(Reply::Go))) && !gives_up {
+        if matches!(answer, Some(Ok(Reply::Proceed))) && !gives_up {
             let sent = self.sent.entry(key).or_insert(0);
             *sent += 1;
             if *sent > 1 {
@@ -194,13 +194,13 @@
             return Ok(());
         }
         let text = format!("text {}", self.tokens);
-        let outcome = Kept::Chat(chat::Outcome { text, finish: "stop".into(), tokens: 1 });
+        let outcome = StoredOutcome::Chat(chat::Outcome { text, finish: "stop".into(), tokens: 1 });
         let command =
             Command::Finish { key: format!("k{key}"), digest: 7, issued: 1_000_000, outcome };
         let answer = self.submit(owner, fate, &command);
         let position = match answer {
             Some(Ok(Reply::Recorded)) => self.owners[owner].next() - 1,
-            Some(Ok(Reply::Earlier { position })) => position,
+            Some(Ok(Reply::Duplicate { position })) => position,
             _ => return Ok(()),
         };
         match self.outcomes.insert(key, position) {
@@ -224,8 +224,8 @@
         Ok(())
     }
 
-    fn done_by(&self, chunk: u32, parts: &[PartRef]) -> HashSet<u64> {
-        let written = |part: &PartRef| self.parts.get(&(chunk, part.attempt, part.part));
+    fn done_by(&self, chunk: u32, parts: &[ResultPartRef]) -> HashSet<u64> {
+        let written = |part: &ResultPartRef| self.parts.get(&(chunk, part.attempt, part.part));
         parts.iter().filter_map(written).flatten().copied().collect()
     }
 
@@ -246,11 +246,11 @@
         let (chunk, attempt, part) = (hand.chunk, hand.attempt, hand.parts);
         let done: Vec<u64> = hand.items.iter().take(items).copied().collect();
         let after = match (done.len() == hand.items.len(), hand_back) {
-            (true, _) => After::Done,
-            (false, true) => After::GiveBack,
-            (false, false) => After::Continue,
+            (true, _) => Disposition::Done,
+            (false, true) => Disposition::Release,
+            (false, false) => Disposition::Continue,
         };
-        let place = (!done.is_empty()).then_some(PartRef { attempt, part });
+        let place = (!done.is_empty()).then_some(ResultPartRef { attempt, part });
         if place.is_some() {
             self.parts.insert((chunk, attempt, part), done.clone());
         }
@@ -273,7 +273,12 @@
         }
     }
 
-    fn on_recorded(&mut self, index: usize, done: &[u64], after: After) -> Result<(), String> {
+    fn on_recorded(
+        &mut self,
+        index: usize,
+        done: &[u64],
+        after: Disposition,
+    ) -> Result<(), String> {
         let chunk = self.hands[index].chunk;
         for item in done {
             if !self.recorded.insert((chunk, *item)) {
@@ -286,7 +291,7 @@
         let hand = &mut self.hands[index];
         hand.items.drain(..done.len());
         hand.parts += u32::from(!done.is_empty());
-        if after != After::Continue {
+        if after != Disposition::Continue {
             self.hands.remove(index);
         }
         Ok(())
