--- a/crates/daemon/src/gateway/account.rs
+++ b/crates/daemon/src/gateway/account.rs
@@ -10,7 +10,7 @@
 pub use report::report;
 
 use super::keeper;
-use super::message::{Ask, Reply, Ticket, Wish};
+use super::message::{PeerReply, PeerRequest, Ticket, Wish};
 use super::node::Node;
 use crate::clock;
 use coordination::membership::Member;
@@ -294,15 +294,15 @@
         return Answer::Silent;
     }
     let wish = visit.wish(now);
-    match node.ask(keeper.peer, &Ask::Slots(wish), visit.wait + ANSWER).await {
-        Ok(Reply::Slots(grants, _)) => match grants.into_iter().next() {
+    match node.ask(keeper.peer, &PeerRequest::Slots(wish), visit.wait + ANSWER).await {
+        Ok(PeerReply::Slots(grants, _)) => match grants.into_iter().next() {
             Some(grant) => match take(node, grant, Purpose::Online, keeper.peer) {
                 Ok(lease) => Answer::Lease(lease),
                 Err(target) => Answer::Left(target),
             },
             None => Answer::Pending,
         },
-        Ok(Reply::Full(after)) => Answer::Full(Duration::from_millis(after)),
+        Ok(PeerReply::Full(after)) => Answer::Full(Duration::from_millis(after)),
         Ok(_) | Err(_) => Answer::Silent,
     }
 }
--- a/crates/daemon/src/gateway/account/batch.rs
+++ b/crates/daemon/src/gateway/account/batch.rs
@@ -4,7 +4,7 @@
 use super::{ANSWER, Lease, keeper};
 use crate::clock;
 use crate::gateway::keeper as kept;
-use crate::gateway::message::{Ask, Reply, Wish};
+use crate::gateway::message::{PeerReply, PeerRequest, Wish};
 use crate::gateway::node::Node;
 use coordination::slots::Purpose;
 use std::rc::Rc;
@@ -61,9 +61,9 @@
     } else if node.is_shunned(at, now) {
         return None;
     } else {
-        node.ask(at, &Ask::Slots(wish), wait + ANSWER * 4).await.ok()?
+        node.ask(at, &PeerRequest::Slots(wish), wait + ANSWER * 4).await.ok()?
     };
-    let Reply::Slots(grants, span) = reply else {
+    let PeerReply::Slots(grants, span) = reply else {
         return None;
     };
     node.jobs.span.borrow_mut().merge(span);
--- a/crates/daemon/src/gateway/account/report.rs
+++ b/crates/daemon/src/gateway/account/report.rs
@@ -3,7 +3,7 @@
 use super::keeper;
 use crate::clock;
 use crate::gateway::keeper as kept;
-use crate::gateway::message::Ask;
+use crate::gateway::message::PeerRequest;
 use crate::gateway::node::Node;
 use coordination::slots::HeldLease;
 use protocol::{DataCentreId, InstanceId};
@@ -55,7 +55,7 @@
         if keeper.id == node.id() {
             node.accounts.ledger.borrow_mut().on_lease_report(keeper.id, &held, clock::now());
         } else {
-            node.tell(keeper.peer, Ask::Held(node.id(), held));
+            node.tell(keeper.peer, PeerRequest::Held(node.id(), held));
         }
     }
 }
--- a/crates/daemon/src/gateway/account/wait.rs
+++ b/crates/daemon/src/gateway/account/wait.rs
@@ -5,7 +5,7 @@
 use super::{Answer, Outcome, Refusal, Visit, Want, ask, keeper};
 use crate::clock;
 use crate::gateway::keeper as kept;
-use crate::gateway::message::{Ask, Ticket};
+use crate::gateway::message::{PeerRequest, Ticket};
 use crate::gateway::node::Node;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -151,7 +151,7 @@
             let wish = (self.node.id(), *ticket);
             match keeper(&self.node, data_centre) {
                 Some(keeper) if keeper.id == wish.0 => kept::on_withdrawn(&self.node, wish),
-                Some(keeper) => self.node.tell(keeper.peer, Ask::Withdraw(wish.0, wish.1)),
+                Some(keeper) => self.node.tell(keeper.peer, PeerRequest::Withdraw(wish.0, wish.1)),
                 None => {}
             }
         }
--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -3,7 +3,7 @@
 
 use super::discovery;
 use super::job_table;
-use super::message::{Ask, Reply};
+use super::message::{PeerReply, PeerRequest};
 use super::node::Node;
 use super::platform_health;
 use super::quarantine;
@@ -57,9 +57,9 @@
     if node.is_shunned(others[at].peer, now) {
         return;
     }
-    let ask = Ask::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
+    let ask = PeerRequest::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
     let reply = node.ask(others[at].peer, &ask, SYNC_LIMIT).await;
-    if let Ok(Reply::News { config, mark, contact }) = reply {
+    if let Ok(PeerReply::News { config, mark, contact }) = reply {
         platform_health::on_peer_report(&node, others[at].id, contact);
         let is_due = node.jobs.learnt.get().is_none_or(|at| clock::since(at) >= LEARN_EVERY);
         if mark.jobs != node.mark().jobs && is_due {
@@ -74,9 +74,9 @@
             discovery::on_config(&node, version, &text, "compared");
         }
         if mark.targets != node.mark().targets {
-            let ask = Ask::Targets(node.registry.borrow().digests());
+            let ask = PeerRequest::Targets(node.registry.borrow().digests());
             let reply = node.ask(others[at].peer, &ask, SYNC_LIMIT).await;
-            if let Ok(Reply::Targets(changes)) = reply {
+            if let Ok(PeerReply::Targets(changes)) = reply {
                 discovery::on_targets(&node, changes, "compared");
             }
         }
@@ -86,8 +86,8 @@
 /// Learns the strikes of an instance that knows which requests are held.
 async fn compare_strikes(node: &Node, other: &Member, digest: u64) {
     if node.quarantine.borrow().digest() != digest {
-        let reply = node.ask(other.peer, &Ask::Strikes, SYNC_LIMIT).await;
-        let Ok(Reply::Strikes(strikes)) = reply else {
+        let reply = node.ask(other.peer, &PeerRequest::Strikes, SYNC_LIMIT).await;
+        let Ok(PeerReply::Strikes(strikes)) = reply else {
             return;
         };
         quarantine::on_strikes(node, strikes, "compared");
--- a/crates/daemon/src/gateway/broadcast.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -9,7 +9,7 @@
 //! from whoever told. How jobs stand is told all the time, so a relay gathers it
 //! and each instance gets some messages a second, however many jobs there are.
 
-use super::message::{Ask, News, Reply, Status};
+use super::message::{News, PeerReply, PeerRequest, Status};
 use super::node::Node;
 use super::{discovery, job_table, jobs, quarantine};
 use crate::clock;
@@ -93,7 +93,7 @@
 }
 
 async fn send_to_relay(node: Rc<Node>, relays: Vec<Member>, news: News) {
-    let ask = Ask::PassOn(node.as_holder().address, news);
+    let ask = PeerRequest::PassOn(node.as_holder().address, news);
     for relay in relays.iter().chain(&relays) {
         match node.ask(relay.peer, &ask, RELAY).await {
             Ok(_) => return,
@@ -104,7 +104,7 @@
 }
 
 fn send_to_data_centre(node: &Rc<Node>, news: &News) {
-    let ask = Ask::News(node.as_holder().address, news.clone());
+    let ask = PeerRequest::News(node.as_holder().address, news.clone());
     for member in node.others() {
         if member.data_centre != *node.data_centre() {
             continue;
@@ -119,7 +119,7 @@
 }
 
 /// Tells an instance, once more if it doesn't reply.
-async fn deliver(node: Rc<Node>, to: SocketAddr, ask: Ask) {
+async fn deliver(node: Rc<Node>, to: SocketAddr, ask: PeerRequest) {
     if node.try_ask(to, &ask, TELLS[0]).await.is_ok() {
         return;
     }
@@ -198,14 +198,14 @@
         return false;
     }
     node.outbox.fetching.set(Some((version, now)));
-    let ask = || Ask::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
+    let ask = || PeerRequest::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
     let mut reply = node.try_ask(from, &ask(), FETCHES[0]).await;
     if reply.is_err() {
         reply = node.ask(from, &ask(), FETCHES[1]).await;
     }
     node.outbox.fetching.set(None);
     match reply {
-        Ok(Reply::News { config: Some((version, text)), .. }) => {
+        Ok(PeerReply::News { config: Some((version, text)), .. }) => {
             discovery::on_config(node, version, &text, "peer")
         }
         Ok(_) => false,
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -2,7 +2,7 @@
 //! stand by their holders' word.
 
 use super::job_store::{Overflow, StoredJob};
-use super::message::{Ask, News, Reply, Status, Wanted};
+use super::message::{News, PeerReply, PeerRequest, Status, Wanted};
 use super::node::Node;
 use super::{broadcast, job_writer, peers};
 use crate::clock;
@@ -248,7 +248,7 @@
     members.sort_by_key(|member| hash::weight(id.as_bytes(), member.id));
     let witnesses =
         [members.iter().find(|member| !near(member)), members.iter().find(|member| near(member))];
-    let ask = Ask::Statuses(vec![status(node, held)]);
+    let ask = PeerRequest::Statuses(vec![status(node, held)]);
     let tell = |witness: Option<&Member>| {
         let (node, ask) = (node.clone(), ask.clone());
         let address = witness.map(|member| member.peer);
@@ -315,9 +315,9 @@
 /// Learns how jobs stand from one instance; `false` when it didn't answer.
 pub async fn fetch_statuses_from(node: &Rc<Node>, address: SocketAddr, wanted: Wanted) -> bool {
     let is_open_only = matches!(wanted, Wanted::Open(_));
-    let ask = Ask::Directory(wanted);
+    let ask = PeerRequest::Directory(wanted);
     let reply = node.ask(address, &ask, peers::PING_TIMEOUT).await;
-    let Ok(Reply::Statuses(statuses)) = reply else {
+    let Ok(PeerReply::Statuses(statuses)) = reply else {
         return false;
     };
     slog::info!(node.log, "jobs learnt"; "from" => %address, "jobs" => statuses.len(),
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -4,7 +4,7 @@
 use super::front::{refusal, set, text};
 use super::job_store::{self, LoadError, StoredJob};
 use super::job_table::{self, HeldJob};
-use super::message::{Ask, News, Reply};
+use super::message::{News, PeerReply, PeerRequest};
 use super::node::Node;
 use super::{broadcast, submit, takeover};
 use crate::clock;
@@ -50,13 +50,13 @@
     let until = clock::now() + wait;
     loop {
         let left = until.saturating_duration_since(clock::now());
-        let ask = |id| Ask::Results(id, from, left.as_millis() as u64);
+        let ask = |id| PeerRequest::Results(id, from, left.as_millis() as u64);
         match find(node, id, ask, left).await {
             Found::Here(held) => {
                 let (total, outcomes) = held_results(&held, from, left).await;
                 return listed(total, from, &outcomes);
             }
-            Found::Reply(Reply::Results(total, outcomes)) => {
+            Found::Reply(PeerReply::Results(total, outcomes)) => {
                 return listed(total, from, &outcomes);
             }
             Found::Stored(job, progress) => {
@@ -133,10 +133,10 @@
 }
 
 async fn body(node: &Rc<Node>, id: &str, item: &str) -> Response<Body> {
-    let ask = |id| Ask::Body(id, item.to_owned());
+    let ask = |id| PeerRequest::Body(id, item.to_owned());
     let found = match find(node, id, ask, Duration::ZERO).await {
         Found::Here(held) => body_in(held.state.borrow().job(), item),
-        Found::Reply(Reply::Body(body)) => body,
+        Found::Reply(PeerReply::Body(body)) => body,
         Found::Stored(job, _) => body_in(&job, item),
         Found::Missing => None,
         Found::Reply(_) | Found::Unknown => return unsure(node, id),
@@ -156,12 +156,12 @@
 }
 
 async fn end(node: &Rc<Node>, id: &str) -> Response<Body> {
-    match find(node, id, Ask::End, END_LIMIT).await {
+    match find(node, id, PeerRequest::End, END_LIMIT).await {
         Found::Here(held) => match end_held(node, &held).await {
             true => text(200, "ended"),
             false => unsure(node, id),
         },
-        Found::Reply(Reply::Done) => text(200, "ended"),
+        Found::Reply(PeerReply::Done) => text(200, "ended"),
         Found::Missing => text(404, "no such job"),
         Found::Reply(_) | Found::Stored(..) | Found::Unknown => match end_stored(node, id).await {
             true => text(200, "ended"),
@@ -195,7 +195,7 @@
                 // The holder may be no member here, as just after a cut: it is
                 // told where it was when it took the job.
                 let news = News::Ended(id.to_owned());
-                let ask = Ask::News(node.as_holder().address, news.clone());
+                let ask = PeerRequest::News(node.as_holder().address, news.clone());
                 node.tell(stored_job.holder().address, ask);
                 broadcast::send(node, news);
                 return true;
@@ -247,7 +247,7 @@
     /// In memory here.
     Here(Rc<HeldJob>),
     /// Its holder answered.
-    Reply(Reply),
+    Reply(PeerReply),
     /// On the platform, while its holder can't be asked.
     Stored(Box<Job>, Box<Progress>),
     /// There is no such job.
@@ -257,7 +257,12 @@
 }
 
 /// Finds a job: here, at its holder, or on the platform.
-async fn find(node: &Rc<Node>, id: &str, ask: impl Fn(String) -> Ask, wait: Duration) -> Found {
+async fn find(
+    node: &Rc<Node>,
+    id: &str,
+    ask: impl Fn(String) -> PeerRequest,
+    wait: Duration,
+) -> Found {
     if let Some(held) = node.jobs.held_job(id) {
         return Found::Here(held);
     }
@@ -320,10 +325,15 @@
 }
 
 /// The holder's reply; `None` if it can't be asked or doesn't hold the job.
-async fn ask_holder(node: &Rc<Node>, holder: u64, ask: Ask, limit: Duration) -> Option<Reply> {
+async fn ask_holder(
+    node: &Rc<Node>,
+    holder: u64,
+    ask: PeerRequest,
+    limit: Duration,
+) -> Option<PeerReply> {
     let address = node.members.borrow().get(holder).map(|member| member.peer)?;
     match node.ask(address, &ask, limit).await {
-        Ok(Reply::NotHere) => None,
+        Ok(PeerReply::NotHere) => None,
         Ok(reply) => Some(reply),
         Err(fault) => {
             slog::info!(node.log, "holder silent"; "holder" => %address, "fault" => ?fault);
@@ -333,29 +343,29 @@
 }
 
 /// Results for another instance.
-pub async fn on_results(node: &Rc<Node>, id: &str, from: usize, wait: Duration) -> Reply {
+pub async fn on_results(node: &Rc<Node>, id: &str, from: usize, wait: Duration) -> PeerReply {
     match node.jobs.held_job(id) {
         Some(held) => {
             let (total, outcomes) = held_results(&held, from, wait.min(LONGEST_HOLD)).await;
-            Reply::Results(total, outcomes)
+            PeerReply::Results(total, outcomes)
         }
-        None => Reply::NotHere,
+        None => PeerReply::NotHere,
     }
 }
 
 /// Body of an item for another instance.
-pub fn on_body(node: &Node, id: &str, item: &str) -> Reply {
+pub fn on_body(node: &Node, id: &str, item: &str) -> PeerReply {
     match node.jobs.held_job(id) {
-        Some(held) => Reply::Body(body_in(held.state.borrow().job(), item)),
-        None => Reply::NotHere,
+        Some(held) => PeerReply::Body(body_in(held.state.borrow().job(), item)),
+        None => PeerReply::NotHere,
     }
 }
 
 /// The end of a job for another instance.
-pub async fn on_end(node: &Rc<Node>, id: &str) -> Reply {
+pub async fn on_end(node: &Rc<Node>, id: &str) -> PeerReply {
     match node.jobs.held_job(id) {
-        None => Reply::NotHere,
-        Some(held) if end_held(node, &held).await => Reply::Done,
-        Some(_) => Reply::Away,
+        None => PeerReply::NotHere,
+        Some(held) if end_held(node, &held).await => PeerReply::Done,
+        Some(_) => PeerReply::Away,
     }
 }
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -4,7 +4,7 @@
 //! verdicts are carried to those who asked, who wait, or who must give way.
 
 use super::account::keeper;
-use super::message::{Ask, Reply, Ticket, Wish};
+use super::message::{PeerReply, PeerRequest, Ticket, Wish};
 use super::node::Node;
 use super::wake;
 use crate::clock;
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 
 /// Answers a wish of another instance, or of this one for batch.
-pub async fn on_wish(node: &Rc<Node>, wish: Wish) -> Reply {
+pub async fn on_wish(node: &Rc<Node>, wish: Wish) -> PeerReply {
     let now = clock::now();
     let after = |millis: u64| now + Duration::from_millis(millis);
     let ask = |may_wait| slots::Request {
@@ -45,14 +45,14 @@
         let may_wait = grants.is_empty() && !wait.is_zero();
         match serve(node, &wish.data_centre, ask(may_wait), wish.ticket, wait).await {
             Served::Grant(grant) => grants.push(grant),
-            Served::NotHere => return Reply::NotHere,
+            Served::NotHere => return PeerReply::NotHere,
             Served::Full(after) if grants.is_empty() && wish.purpose == Purpose::Online => {
-                return Reply::Full(after.as_millis() as u64);
+                return PeerReply::Full(after.as_millis() as u64);
             }
             Served::Full(_) | Served::Pending => break,
         }
     }
-    Reply::Slots(grants, node.accounts.ledger.borrow().run_time())
+    PeerReply::Slots(grants, node.accounts.ledger.borrow().run_time())
 }
 
 /// The answer to one wish.
@@ -178,7 +178,7 @@
     }
     let address = node.members.borrow().get(revocation.holder).map(|member| member.peer);
     if let Some(address) = address {
-        node.tell(address, Ask::Revoke(revocation.lease));
+        node.tell(address, PeerRequest::Revoke(revocation.lease));
     }
 }
 
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -129,7 +129,7 @@
 
 /// A message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// Slots.
     Slots(Wish),
     /// A wish that waits is withdrawn: its asker has a slot elsewhere, or has gone.
@@ -189,7 +189,7 @@
 
 /// A reply.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Reply {
+pub enum PeerReply {
     /// Slots, none when the wait ran out; and how long items of batch run there.
     Slots(Vec<Grant>, Estimate),
     /// No slot is free; one is expected after this many milliseconds.
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -5,7 +5,7 @@
 use super::crash::Inquiries;
 use super::job_table::JobTable;
 use super::measure::Measure;
-use super::message::{Answers, Ask, Contact, Mark, Reply, decode, encode};
+use super::message::{Answers, Contact, Mark, PeerReply, PeerRequest, decode, encode};
 use super::store::PlatformStore;
 use crate::clock;
 use coordination::membership::{Member, Policy, Table};
@@ -273,7 +273,12 @@
     /// # Errors
     ///
     /// Whether the message left.
-    pub async fn ask(&self, to: SocketAddr, ask: &Ask, limit: Duration) -> Result<Reply, Fault> {
+    pub async fn ask(
+        &self,
+        to: SocketAddr,
+        ask: &PeerRequest,
+        limit: Duration,
+    ) -> Result<PeerReply, Fault> {
         let result = self.try_ask(to, ask, limit).await;
         if result.is_err() {
             self.shunned.borrow_mut().insert(to, clock::now() + SHUN);
@@ -289,15 +294,15 @@
     pub async fn try_ask(
         &self,
         to: SocketAddr,
-        ask: &Ask,
+        ask: &PeerRequest,
         limit: Duration,
-    ) -> Result<Reply, Fault> {
+    ) -> Result<PeerReply, Fault> {
         let bytes = self.peers.ask(to, &encode(ask), limit).await?;
         decode(&bytes).ok_or_else(|| Fault::Lost(String::from("a reply of another version")))
     }
 
     /// Tells one member, without waiting.
-    pub fn tell(self: &Rc<Node>, to: SocketAddr, ask: Ask) {
+    pub fn tell(self: &Rc<Node>, to: SocketAddr, ask: PeerRequest) {
         let node = self.clone();
         spawn_local(async move {
             if let Err(fault) = node.ask(to, &ask, TELL).await {
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -1,6 +1,6 @@
 //! Membership, and answers to what other instances say.
 
-use super::message::{Ask, Contact, Mark, Reply, decode, encode};
+use super::message::{Contact, Mark, PeerReply, PeerRequest, decode, encode};
 use super::node::Node;
 use super::{
     broadcast, job_table, jobs, keeper, platform_health, quarantine, submit, takeover, watch,
@@ -65,9 +65,9 @@
     async fn pressure(&self, _from: u64, _target: String, _online: u32) {}
 
     async fn ask(&self, body: Vec<u8>) -> Vec<u8> {
-        let reply = match decode::<Ask>(&body) {
+        let reply = match decode::<PeerRequest>(&body) {
             Some(ask) => answer(&self.node, ask).await,
-            None => Reply::Away,
+            None => PeerReply::Away,
         };
         encode(&reply)
     }
@@ -78,62 +78,66 @@
     }
 }
 
-async fn answer(node: &Rc<Node>, ask: Ask) -> Reply {
+async fn answer(node: &Rc<Node>, ask: PeerRequest) -> PeerReply {
     match ask {
-        Ask::Slots(wish) => keeper::on_wish(node, wish).await,
-        Ask::Withdraw(from, ticket) => {
+        PeerRequest::Slots(wish) => keeper::on_wish(node, wish).await,
+        PeerRequest::Withdraw(from, ticket) => {
             keeper::on_withdrawn(node, (from, ticket));
-            Reply::Done
+            PeerReply::Done
         }
-        Ask::Release(lease, report) => {
+        PeerRequest::Release(lease, report) => {
             keeper::on_release(node, lease, report);
-            Reply::Done
+            PeerReply::Done
         }
-        Ask::Doubt(target) => {
+        PeerRequest::Doubt(target) => {
             keeper::on_doubt(node, &target);
-            Reply::Done
+            PeerReply::Done
         }
-        Ask::Held(from, held) => {
+        PeerRequest::Held(from, held) => {
             keeper::on_held(node, from, &held);
-            Reply::Done
+            PeerReply::Done
         }
-        Ask::Revoke(lease) => {
+        PeerRequest::Revoke(lease) => {
             node.accounts.on_revoked(lease);
-            Reply::Done
+            PeerReply::Done
         }
-        Ask::Sync { from, mark, contact } => sync(node, from, mark, contact),
-        Ask::News(from, news) => {
+        PeerRequest::Sync { from, mark, contact } => sync(node, from, mark, contact),
+        PeerRequest::News(from, news) => {
             let node = node.clone();
             to_its_end(async move { broadcast::on_news(&node, from, news).await }).await;
-            Reply::Done
+            PeerReply::Done
         }
-        Ask::PassOn(from, news) => {
+        PeerRequest::PassOn(from, news) => {
             let node = node.clone();
             to_its_end(async move { broadcast::on_relayed(&node, from, news).await }).await;
-            Reply::Done
+            PeerReply::Done
         }
-        Ask::Targets(digests) => Reply::Targets(node.registry.borrow().differing(&digests)),
-        Ask::Statuses(statuses) => {
+        PeerRequest::Targets(digests) => {
+            PeerReply::Targets(node.registry.borrow().differing(&digests))
+        }
+        PeerRequest::Statuses(statuses) => {
             statuses.into_iter().for_each(|status| job_table::on_status(node, status));
-            Reply::Done
+            PeerReply::Done
+        }
+        PeerRequest::Directory(wanted) => {
+            PeerReply::Statuses(job_table::statuses_for(node, &wanted))
         }
-        Ask::Directory(wanted) => Reply::Statuses(job_table::statuses_for(node, &wanted)),
-        Ask::Submit { host, path, job, body } => {
-            Reply::Submitted(submit::on_submit(node, &host, &path, &job, body.as_bytes()).await)
+        PeerRequest::Submit { host, path, job, body } => {
+            PeerReply::Submitted(submit::on_submit(node, &host, &path, &job, body.as_bytes()).await)
         }
-        Ask::Results(job, from, wait) => {
+        PeerRequest::Results(job, from, wait) => {
             jobs::on_results(node, &job, from, Duration::from_millis(wait)).await
         }
-        Ask::Body(job, item) => jobs::on_body(node, &job, &item),
-        Ask::End(job) => jobs::on_end(node, &job).await,
-        Ask::Adopt(job, learnt) => {
+        PeerRequest::Body(job, item) => jobs::on_body(node, &job, &item),
+        PeerRequest::End(job) => jobs::on_end(node, &job).await,
+        PeerRequest::Adopt(job, learnt) => {
             let node = node.clone();
             // The asker doesn't wait: it may be about to stop.
             spawn_local(async move { takeover::take_over_with_retry(&node, &job, learnt).await });
-            Reply::Done
+            PeerReply::Done
         }
-        Ask::Trial(content) => Reply::Trial(quarantine::on_trial(node, content)),
-        Ask::Strikes => Reply::Strikes(quarantine::strikes(node)),
+        PeerRequest::Trial(content) => PeerReply::Trial(quarantine::on_trial(node, content)),
+        PeerRequest::Strikes => PeerReply::Strikes(quarantine::strikes(node)),
     }
 }
 
@@ -144,12 +148,12 @@
     let _ended = spawn_local(duty).await;
 }
 
-fn sync(node: &Rc<Node>, from: InstanceId, mark: Mark, contact: Contact) -> Reply {
+fn sync(node: &Rc<Node>, from: InstanceId, mark: Mark, contact: Contact) -> PeerReply {
     platform_health::on_peer_report(node, from, contact);
     let mine = node.mark();
     let config = node.config().filter(|config| config.table.version > mark.config);
     let config = config.map(|config| (config.table.version, config.text.clone()));
-    Reply::News { mark: mine, config, contact: node.contact() }
+    PeerReply::News { mark: mine, config, contact: node.contact() }
 }
 
 fn hear(node: &Rc<Node>, from: Member, notes: &[Note]) {
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -12,7 +12,7 @@
 //! sign of life costs a tenth of a call.
 
 use super::cause::Cause;
-use super::message::{Ask, Contact};
+use super::message::{Contact, PeerRequest};
 use super::node::Node;
 use crate::clock;
 use coordination::connectivity::Uptime;
@@ -122,7 +122,7 @@
 
 /// Tells the instances of the own data centre whether this one reaches the platform.
 fn tell(node: &Rc<Node>) {
-    let ask = Ask::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
+    let ask = PeerRequest::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
     let is_near = |member: &Member| member.data_centre == *node.data_centre();
     for member in node.others().into_iter().filter(is_near) {
         node.tell(member.peer, ask.clone());
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -7,7 +7,7 @@
 use super::broadcast;
 use super::cause::Cause;
 use super::crash::hex;
-use super::message::{Ask, News, Reply};
+use super::message::{News, PeerReply, PeerRequest};
 use super::node::{Node, millis};
 use crate::clock;
 use coordination::hash;
@@ -156,8 +156,8 @@
 async fn is_granted(node: &Node, content: ContentId) -> bool {
     match owner(node, content) {
         Some(owner) if owner.id != node.id() => {
-            let reply = node.ask(owner.peer, &Ask::Trial(content), TRIAL_LIMIT).await;
-            matches!(reply, Ok(Reply::Trial(true)))
+            let reply = node.ask(owner.peer, &PeerRequest::Trial(content), TRIAL_LIMIT).await;
+            matches!(reply, Ok(PeerReply::Trial(true)))
         }
         Some(_) => on_trial(node, content),
         None => false,
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -3,7 +3,7 @@
 use super::cause::Cause;
 use super::front::{Call, refusal, text};
 use super::job_store::{self, StoredJob};
-use super::message::{Acceptance, Ask, Reply};
+use super::message::{Acceptance, PeerReply, PeerRequest};
 use super::node::{Node, millis};
 use super::takeover;
 use super::{job_table, platform_health};
@@ -104,8 +104,12 @@
         return Acceptance::Malformed;
     };
     let path = call.target.split('?').next().unwrap_or_default().to_owned();
-    let ask =
-        Ask::Submit { host: call.host.clone(), path, job: call.id.clone(), body: body.to_owned() };
+    let ask = PeerRequest::Submit {
+        host: call.host.clone(),
+        path,
+        job: call.id.clone(),
+        body: body.to_owned(),
+    };
     let now = clock::now();
     let mut members = node.others();
     members.retain(|member| !node.is_shunned(member.peer, now));
@@ -118,9 +122,9 @@
         slog::info!(node.log, "submission relayed"; "job" => &call.id, "to" => %member.peer,
             "reply" => ?reply);
         match reply {
-            Ok(Reply::Submitted(Acceptance::Accepted)) => return Acceptance::Accepted,
-            Ok(Reply::Submitted(Acceptance::Refused)) => {}
-            Ok(Reply::Submitted(Acceptance::Full)) if result == Acceptance::Refused => {
+            Ok(PeerReply::Submitted(Acceptance::Accepted)) => return Acceptance::Accepted,
+            Ok(PeerReply::Submitted(Acceptance::Refused)) => {}
+            Ok(PeerReply::Submitted(Acceptance::Full)) if result == Acceptance::Refused => {
                 return Acceptance::Full;
             }
             Err(transport::peer::Fault::NotSent(_)) => {}
@@ -254,7 +258,7 @@
         takeover::take_over_with_retry(node, id, Handoff::default()).await;
         return Ok(());
     };
-    let ask = Ask::Adopt(id.to_owned(), Handoff::default());
+    let ask = PeerRequest::Adopt(id.to_owned(), Handoff::default());
     let told = node.ask(member.peer, &ask, TELL_LIMIT).await;
     told.map(|_| ()).map_err(|fault| format!("{fault:?}"))
 }
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -9,7 +9,7 @@
 use super::job_store::{self, LoadError, StoredJob};
 use super::job_table::{self, HeldJob};
 use super::job_writer;
-use super::message::{Ask, Status};
+use super::message::{PeerRequest, Status};
 use super::node::Node;
 use crate::clock;
 use coordination::hash;
@@ -156,7 +156,7 @@
             }
             return take_over(node, id, learnt.clone()).await.is_some();
         }
-        let ask = Ask::Adopt(id.to_owned(), learnt.clone());
+        let ask = PeerRequest::Adopt(id.to_owned(), learnt.clone());
         if node.ask(member.peer, &ask, HANDOFF_TIMEOUT).await.is_ok() {
             slog::info!(node.log, "job passed on"; "job" => id, "to" => %member.peer,
                 "partials" => learnt.partials.len(), "failures" => learnt.failures.len(),
@@ -243,7 +243,7 @@
         return;
     }
     let until = clock::now() + SEND_HANDOFF_TIMEOUT;
-    let ask = Ask::Adopt(id.clone(), learnt);
+    let ask = PeerRequest::Adopt(id.clone(), learnt);
     while clock::now() < until {
         if node.ask(holder.address, &ask, HANDOFF_TIMEOUT).await.is_ok() {
             slog::info!(node.log, "what was learnt passed on"; "job" => &id,
@@ -306,7 +306,7 @@
         // Others were faster: whoever holds it now is told, in case it doesn't
         // know, and asked from now on.
         slog::info!(node.log, "job is held"; "job" => &object.name, "holder" => %holder.peer);
-        node.tell(holder.peer, Ask::Adopt(object.name.clone(), Handoff::default()));
+        node.tell(holder.peer, PeerRequest::Adopt(object.name.clone(), Handoff::default()));
         node.jobs.on_status(Status {
             job: object.name.clone(),
             holder: former,
