--- a/crates/daemon/src/gateway/account.rs
+++ b/crates/daemon/src/gateway/account.rs
@@ -294,7 +294,7 @@
         return Answer::Silent;
     }
     let wish = visit.wish(now);
-    match node.ask(keeper.peer, &PeerRequest::Slots(wish), visit.wait + ANSWER).await {
+    match node.request(keeper.peer, &PeerRequest::Slots(wish), visit.wait + ANSWER).await {
         Ok(PeerReply::Slots(grants, _)) => match grants.into_iter().next() {
             Some(grant) => match take(node, grant, Purpose::Online, keeper.peer) {
                 Ok(lease) => Answer::Lease(lease),
--- a/crates/daemon/src/gateway/account/batch.rs
+++ b/crates/daemon/src/gateway/account/batch.rs
@@ -61,7 +61,7 @@
     } else if node.is_shunned(at, now) {
         return None;
     } else {
-        node.ask(at, &PeerRequest::Slots(wish), wait + ANSWER * 4).await.ok()?
+        node.request(at, &PeerRequest::Slots(wish), wait + ANSWER * 4).await.ok()?
     };
     let PeerReply::Slots(grants, span) = reply else {
         return None;
--- a/crates/daemon/src/gateway/account/lease.rs
+++ b/crates/daemon/src/gateway/account/lease.rs
@@ -61,7 +61,7 @@
             Some(Keeper::Here) => {
                 self.node.accounts.ledger.borrow_mut().on_overdue(&target, clock::now());
             }
-            Some(Keeper::At(address)) => self.node.tell(address, PeerRequest::Doubt(target)),
+            Some(Keeper::At(address)) => self.node.notify(address, PeerRequest::Doubt(target)),
             Some(Keeper::Nobody) | None => {}
         }
     }
@@ -75,7 +75,7 @@
         match out.keeper {
             Keeper::Here => keeper::on_release(&self.node, self.grant.lease, self.report),
             Keeper::At(address) => {
-                self.node.tell(address, PeerRequest::Release(self.grant.lease, self.report));
+                self.node.notify(address, PeerRequest::Release(self.grant.lease, self.report));
             }
             Keeper::Nobody => {}
         }
@@ -118,7 +118,7 @@
     slog::info!(node.log, "slot of a target that has left"; "target" => &target,
         "keeper" => %keeper, "registry" => lease.registry);
     let news = News::Targets(known.into_iter().collect());
-    node.tell(keeper, PeerRequest::News(node.as_holder().address, news));
+    node.notify(keeper, PeerRequest::News(node.as_holder().address, news));
     drop(lease);
     Err(target)
 }
--- a/crates/daemon/src/gateway/account/wait.rs
+++ b/crates/daemon/src/gateway/account/wait.rs
@@ -151,7 +151,9 @@
             let wish = (self.node.id(), *ticket);
             match keeper(&self.node, data_centre) {
                 Some(keeper) if keeper.id == wish.0 => kept::on_withdrawn(&self.node, wish),
-                Some(keeper) => self.node.tell(keeper.peer, PeerRequest::Withdraw(wish.0, wish.1)),
+                Some(keeper) => {
+                    self.node.notify(keeper.peer, PeerRequest::Withdraw(wish.0, wish.1))
+                }
                 None => {}
             }
         }
--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -58,7 +58,7 @@
         return;
     }
     let ask = PeerRequest::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
-    let reply = node.ask(others[at].peer, &ask, SYNC_LIMIT).await;
+    let reply = node.request(others[at].peer, &ask, SYNC_LIMIT).await;
     if let Ok(PeerReply::News { config, mark, contact }) = reply {
         platform_health::on_peer_report(&node, others[at].id, contact);
         let is_due = node.jobs.learnt.get().is_none_or(|at| clock::since(at) >= LEARN_EVERY);
@@ -75,7 +75,7 @@
         }
         if mark.targets != node.mark().targets {
             let ask = PeerRequest::Targets(node.registry.borrow().digests());
-            let reply = node.ask(others[at].peer, &ask, SYNC_LIMIT).await;
+            let reply = node.request(others[at].peer, &ask, SYNC_LIMIT).await;
             if let Ok(PeerReply::Targets(changes)) = reply {
                 discovery::on_targets(&node, changes, "compared");
             }
@@ -86,7 +86,7 @@
 /// Learns the strikes of an instance that knows which requests are held.
 async fn compare_strikes(node: &Node, other: &Member, digest: u64) {
     if node.quarantine.borrow().digest() != digest {
-        let reply = node.ask(other.peer, &PeerRequest::Strikes, SYNC_LIMIT).await;
+        let reply = node.request(other.peer, &PeerRequest::Strikes, SYNC_LIMIT).await;
         let Ok(PeerReply::Strikes(strikes)) = reply else {
             return;
         };
--- a/crates/daemon/src/gateway/broadcast.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -95,7 +95,7 @@
 async fn send_to_relay(node: Rc<Node>, relays: Vec<Member>, news: News) {
     let ask = PeerRequest::PassOn(node.as_holder().address, news);
     for relay in relays.iter().chain(&relays) {
-        match node.ask(relay.peer, &ask, RELAY).await {
+        match node.request(relay.peer, &ask, RELAY).await {
             Ok(_) => return,
             Err(fault) => slog::debug!(node.log, "relay silent"; "relay" => %relay.peer,
                 "fault" => ?fault),
@@ -111,7 +111,7 @@
         }
         if matches!(news, News::Statuses(_)) {
             // Told all the time: the next word makes up for a lost one.
-            node.tell(member.peer, ask.clone());
+            node.notify(member.peer, ask.clone());
         } else {
             spawn_local(deliver(node.clone(), member.peer, ask.clone()));
         }
@@ -120,10 +120,10 @@
 
 /// Tells an instance, once more if it doesn't reply.
 async fn deliver(node: Rc<Node>, to: SocketAddr, ask: PeerRequest) {
-    if node.try_ask(to, &ask, TELLS[0]).await.is_ok() {
+    if node.try_request(to, &ask, TELLS[0]).await.is_ok() {
         return;
     }
-    if let Err(fault) = node.ask(to, &ask, TELLS[1]).await {
+    if let Err(fault) = node.request(to, &ask, TELLS[1]).await {
         slog::debug!(node.log, "not told"; "to" => %to, "fault" => ?fault);
     }
 }
@@ -199,9 +199,9 @@
     }
     node.outbox.fetching.set(Some((version, now)));
     let ask = || PeerRequest::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
-    let mut reply = node.try_ask(from, &ask(), FETCHES[0]).await;
+    let mut reply = node.try_request(from, &ask(), FETCHES[0]).await;
     if reply.is_err() {
-        reply = node.ask(from, &ask(), FETCHES[1]).await;
+        reply = node.request(from, &ask(), FETCHES[1]).await;
     }
     node.outbox.fetching.set(None);
     match reply {
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -254,7 +254,7 @@
         let address = witness.map(|member| member.peer);
         async move {
             match address {
-                Some(address) => node.ask(address, &ask, WITNESS).await.is_ok(),
+                Some(address) => node.request(address, &ask, WITNESS).await.is_ok(),
                 None => false,
             }
         }
@@ -316,7 +316,7 @@
 pub async fn fetch_statuses_from(node: &Rc<Node>, address: SocketAddr, wanted: Wanted) -> bool {
     let is_open_only = matches!(wanted, Wanted::Open(_));
     let ask = PeerRequest::Directory(wanted);
-    let reply = node.ask(address, &ask, peers::PING_TIMEOUT).await;
+    let reply = node.request(address, &ask, peers::PING_TIMEOUT).await;
     let Ok(PeerReply::Statuses(statuses)) = reply else {
         return false;
     };
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -196,7 +196,7 @@
                 // told where it was when it took the job.
                 let news = News::Ended(id.to_owned());
                 let ask = PeerRequest::News(node.as_holder().address, news.clone());
-                node.tell(stored_job.holder().address, ask);
+                node.notify(stored_job.holder().address, ask);
                 broadcast::send(node, news);
                 return true;
             }
@@ -332,7 +332,7 @@
     limit: Duration,
 ) -> Option<PeerReply> {
     let address = node.members.borrow().get(holder).map(|member| member.peer)?;
-    match node.ask(address, &ask, limit).await {
+    match node.request(address, &ask, limit).await {
         Ok(PeerReply::NotHere) => None,
         Ok(reply) => Some(reply),
         Err(fault) => {
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -178,7 +178,7 @@
     }
     let address = node.members.borrow().get(revocation.holder).map(|member| member.peer);
     if let Some(address) = address {
-        node.tell(address, PeerRequest::Revoke(revocation.lease));
+        node.notify(address, PeerRequest::Revoke(revocation.lease));
     }
 }
 
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -29,7 +29,7 @@
 use transport::upstream;
 
 /// Longest wait for the reply to a message that is only told.
-const TELL: Duration = Duration::from_millis(800);
+const NOTIFY_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long a member that didn't reply is passed over where another will do.
 const SHUN: Duration = Duration::from_millis(400);
 
@@ -273,13 +273,13 @@
     /// # Errors
     ///
     /// Whether the message left.
-    pub async fn ask(
+    pub async fn request(
         &self,
         to: SocketAddr,
-        ask: &PeerRequest,
+        request: &PeerRequest,
         limit: Duration,
     ) -> Result<PeerReply, Fault> {
-        let result = self.try_ask(to, ask, limit).await;
+        let result = self.try_request(to, request, limit).await;
         if result.is_err() {
             self.shunned.borrow_mut().insert(to, clock::now() + SHUN);
         }
@@ -291,21 +291,21 @@
     /// # Errors
     ///
     /// Whether the message left.
-    pub async fn try_ask(
+    pub async fn try_request(
         &self,
         to: SocketAddr,
-        ask: &PeerRequest,
+        request: &PeerRequest,
         limit: Duration,
     ) -> Result<PeerReply, Fault> {
-        let bytes = self.peers.ask(to, &encode(ask), limit).await?;
+        let bytes = self.peers.ask(to, &encode(request), limit).await?;
         decode(&bytes).ok_or_else(|| Fault::Lost(String::from("a reply of another version")))
     }
 
     /// Tells one member, without waiting.
-    pub fn tell(self: &Rc<Node>, to: SocketAddr, ask: PeerRequest) {
+    pub fn notify(self: &Rc<Node>, to: SocketAddr, request: PeerRequest) {
         let node = self.clone();
         spawn_local(async move {
-            if let Err(fault) = node.ask(to, &ask, TELL).await {
+            if let Err(fault) = node.request(to, &request, NOTIFY_TIMEOUT).await {
                 // Hints may be lost: what they say is found out by other ways.
                 slog::debug!(node.log, "not told"; "to" => %to, "fault" => ?fault);
             }
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -125,7 +125,7 @@
     let ask = PeerRequest::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
     let is_near = |member: &Member| member.data_centre == *node.data_centre();
     for member in node.others().into_iter().filter(is_near) {
-        node.tell(member.peer, ask.clone());
+        node.notify(member.peer, ask.clone());
     }
 }
 
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -156,7 +156,7 @@
 async fn is_granted(node: &Node, content: ContentId) -> bool {
     match owner(node, content) {
         Some(owner) if owner.id != node.id() => {
-            let reply = node.ask(owner.peer, &PeerRequest::Trial(content), TRIAL_LIMIT).await;
+            let reply = node.request(owner.peer, &PeerRequest::Trial(content), TRIAL_LIMIT).await;
             matches!(reply, Ok(PeerReply::Trial(true)))
         }
         Some(_) => on_trial(node, content),
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -118,7 +118,7 @@
     members.sort_by_cached_key(|member| (has_lost(member), rand::random::<u32>()));
     let mut result = acceptance;
     for member in members.into_iter().take(RELAYS) {
-        let reply = node.ask(member.peer, &ask, RELAY_LIMIT).await;
+        let reply = node.request(member.peer, &ask, RELAY_LIMIT).await;
         slog::info!(node.log, "submission relayed"; "job" => &call.id, "to" => %member.peer,
             "reply" => ?reply);
         match reply {
@@ -259,6 +259,6 @@
         return Ok(());
     };
     let ask = PeerRequest::Adopt(id.to_owned(), Handoff::default());
-    let told = node.ask(member.peer, &ask, TELL_LIMIT).await;
+    let told = node.request(member.peer, &ask, TELL_LIMIT).await;
     told.map(|_| ()).map_err(|fault| format!("{fault:?}"))
 }
