--- a/crates/daemon/src/gateway/account.rs
+++ b/crates/daemon/src/gateway/account.rs
@@ -10,7 +10,7 @@
 pub use report::report;
 
 use super::keeper;
-use super::message::{PeerReply, PeerRequest, Ticket, Wish};
+use super::message::{PeerReply, PeerRequest, SlotRequest, SlotRequestId};
 use super::node::Node;
 use crate::clock;
 use coordination::membership::Member;
@@ -70,10 +70,10 @@
     pub(super) waiters: RefCell<HashMap<WaiterId, oneshot::Sender<Result<Grant, Duration>>>>,
     pub(super) is_looking: Cell<bool>,
     /// Wishes that wait in the accounts kept here.
-    pub(super) tickets: RefCell<HashMap<(InstanceId, Ticket), WaiterId>>,
+    pub(super) pending: RefCell<HashMap<(InstanceId, SlotRequestId), WaiterId>>,
     out: RefCell<HashMap<LeaseId, Out>>,
     next_own: Cell<LeaseId>,
-    next_ticket: Cell<Ticket>,
+    next_request_id: Cell<SlotRequestId>,
 }
 
 impl Accounts {
@@ -88,17 +88,17 @@
             places: RefCell::default(),
             waiters: RefCell::default(),
             is_looking: Cell::new(false),
-            tickets: RefCell::default(),
+            pending: RefCell::default(),
             out: RefCell::default(),
             next_own: Cell::new(seed | OWN),
-            next_ticket: Cell::default(),
+            next_request_id: Cell::default(),
         }
     }
 
-    fn ticket(&self) -> Ticket {
-        let ticket = self.next_ticket.get() + 1;
-        self.next_ticket.set(ticket);
-        ticket
+    fn next_request_id(&self) -> SlotRequestId {
+        let id = self.next_request_id.get() + 1;
+        self.next_request_id.set(id);
+        id
     }
 
     /// Leases of the accounts kept here: online and batch.
@@ -202,7 +202,7 @@
 struct Visit {
     data_centre: DataCentreId,
     ask: slots::Request,
-    ticket: Ticket,
+    id: SlotRequestId,
     /// How long it may wait there; zero if it may not.
     wait: Duration,
 }
@@ -225,27 +225,27 @@
             excluded: want.avoid.clone(),
             may_wait: false,
         };
-        let ticket = node.accounts.ticket();
-        Visit { data_centre: data_centre.to_owned(), ask, ticket, wait: Duration::ZERO }
+        let id = node.accounts.next_request_id();
+        Visit { data_centre: data_centre.to_owned(), ask, id, wait: Duration::ZERO }
     }
 
-    fn wish(&self, now: Instant) -> Wish {
-        Wish {
+    fn request(&self, now: Instant) -> SlotRequest {
+        SlotRequest {
             from: self.ask.holder,
             data_centre: self.data_centre.clone(),
             service: self.ask.service.clone(),
             purpose: self.ask.purpose,
-            ticket: self.ticket,
+            id: self.id,
             due_ms: span(self.ask.due, now),
-            left_ms: 0,
-            is_begun: false,
-            in_time_ms: span(self.ask.latest_start, now),
-            sure_ms: span(self.ask.safe_start, now),
-            until_ms: span(self.ask.expires, now),
-            reach: self.ask.total_slots,
+            remaining_ms: 0,
+            is_started: false,
+            latest_start_ms: span(self.ask.latest_start, now),
+            safe_start_ms: span(self.ask.safe_start, now),
+            expires_ms: span(self.ask.expires, now),
+            total_slots: self.ask.total_slots,
             wait_ms: self.wait.as_millis() as u64,
-            most: 1,
-            avoid: self.ask.excluded.clone(),
+            limit: 1,
+            excluded: self.ask.excluded.clone(),
         }
     }
 }
@@ -280,8 +280,8 @@
         return Answer::Silent;
     };
     if keeper.id == node.id() {
-        let Visit { data_centre, ask, ticket, wait } = visit;
-        return match keeper::serve(node, data_centre, ask.clone(), *ticket, *wait).await {
+        let Visit { data_centre, ask, id, wait } = visit;
+        return match keeper::serve(node, data_centre, ask.clone(), *id, *wait).await {
             keeper::Served::Grant(grant) => {
                 Answer::Lease(hold(node, grant, Purpose::Online, Keeper::Here))
             }
@@ -293,8 +293,8 @@
     if node.is_shunned(keeper.peer, now) {
         return Answer::Silent;
     }
-    let wish = visit.wish(now);
-    match node.request(keeper.peer, &PeerRequest::Slots(wish), visit.wait + ANSWER).await {
+    let request = visit.request(now);
+    match node.request(keeper.peer, &PeerRequest::Slots(request), visit.wait + ANSWER).await {
         Ok(PeerReply::Slots(grants, _)) => match grants.into_iter().next() {
             Some(grant) => match take(node, grant, Purpose::Online, keeper.peer) {
                 Ok(lease) => Answer::Lease(lease),
--- a/crates/daemon/src/gateway/account/batch.rs
+++ b/crates/daemon/src/gateway/account/batch.rs
@@ -4,7 +4,7 @@
 use super::{ANSWER, Lease, keeper};
 use crate::clock;
 use crate::gateway::keeper as kept;
-use crate::gateway::message::{PeerReply, PeerRequest, Wish};
+use crate::gateway::message::{PeerReply, PeerRequest, SlotRequest};
 use crate::gateway::node::Node;
 use coordination::slots::Purpose;
 use std::rc::Rc;
@@ -37,31 +37,31 @@
     let Batch { data_centre, service, due, in_time, sure, left, is_begun, most, wait } = want;
     let keeper = keeper(node, data_centre)?;
     let now = clock::now();
-    let wish = Wish {
+    let request = SlotRequest {
         from: node.id(),
         data_centre: data_centre.to_owned(),
         service: service.to_owned(),
         purpose: Purpose::Batch,
-        ticket: node.accounts.ticket(),
+        id: node.accounts.next_request_id(),
         due_ms: due.as_millis() as u64,
-        left_ms: left.as_millis() as u64,
-        is_begun,
-        in_time_ms: in_time.as_millis() as u64,
-        sure_ms: sure.as_millis() as u64,
-        until_ms: wait.as_millis() as u64,
-        reach: 0,
+        remaining_ms: left.as_millis() as u64,
+        is_started: is_begun,
+        latest_start_ms: in_time.as_millis() as u64,
+        safe_start_ms: sure.as_millis() as u64,
+        expires_ms: wait.as_millis() as u64,
+        total_slots: 0,
         wait_ms: wait.as_millis() as u64,
-        most,
-        avoid: Vec::new(),
+        limit: most,
+        excluded: Vec::new(),
     };
     let at = keeper.peer;
     let is_here = keeper.id == node.id();
     let reply = if is_here {
-        kept::on_wish(node, wish).await
+        kept::on_wish(node, request).await
     } else if node.is_shunned(at, now) {
         return None;
     } else {
-        node.request(at, &PeerRequest::Slots(wish), wait + ANSWER * 4).await.ok()?
+        node.request(at, &PeerRequest::Slots(request), wait + ANSWER * 4).await.ok()?
     };
     let PeerReply::Slots(grants, span) = reply else {
         return None;
--- a/crates/daemon/src/gateway/account/wait.rs
+++ b/crates/daemon/src/gateway/account/wait.rs
@@ -5,7 +5,7 @@
 use super::{Answer, Outcome, Refusal, Visit, Want, ask, keeper};
 use crate::clock;
 use crate::gateway::keeper as kept;
-use crate::gateway::message::{PeerRequest, Ticket};
+use crate::gateway::message::{PeerRequest, SlotRequestId};
 use crate::gateway::node::Node;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -30,7 +30,11 @@
     };
     let all: Vec<DataCentreId> = std::iter::once(nearest.clone()).chain(names.clone()).collect();
     let mut search = Search {
-        places: Places { node: node.clone(), tickets: Vec::new(), wishes: FuturesUnordered::new() },
+        places: Places {
+            node: node.clone(),
+            pending: Vec::new(),
+            requests: FuturesUnordered::new(),
+        },
         start: ask,
         want,
         reach: reach(node, want, &all),
@@ -75,14 +79,14 @@
         visit.ask.total_slots = self.reach;
         visit.ask.may_wait = true;
         visit.wait = self.left().min(RENEW);
-        self.places.tickets.push((visit.data_centre.clone(), visit.ticket));
-        self.places.wishes.push((self.start)(node, visit));
+        self.places.pending.push((visit.data_centre.clone(), visit.id));
+        self.places.requests.push((self.start)(node, visit));
     }
 
     fn look_at(&mut self, name: &str) {
         let node = self.places.node.clone();
         let visit = Visit::look(&node, self.want, name);
-        self.places.wishes.push((self.start)(node, visit));
+        self.places.requests.push((self.start)(node, visit));
     }
 
     fn left(&self) -> Duration {
@@ -93,7 +97,7 @@
     /// waits at all that answered.
     async fn run(&mut self, mut names: impl Iterator<Item = DataCentreId>) -> Outcome {
         self.look_at_next(&mut names);
-        while let Some((visit, answer)) = self.places.wishes.next().await {
+        while let Some((visit, answer)) = self.places.requests.next().await {
             let is_look = !visit.ask.may_wait;
             match answer {
                 Answer::Lease(lease) => return Outcome::Lease(lease),
@@ -137,27 +141,27 @@
 struct Places<F: Future<Output = (Visit, Answer)> + 'static> {
     node: Rc<Node>,
     /// Places in accounts' queues.
-    tickets: Vec<(DataCentreId, Ticket)>,
-    wishes: FuturesUnordered<F>,
+    pending: Vec<(DataCentreId, SlotRequestId)>,
+    requests: FuturesUnordered<F>,
 }
 
 impl<F: Future<Output = (Visit, Answer)> + 'static> Drop for Places<F> {
     fn drop(&mut self) {
-        let wishes = std::mem::take(&mut self.wishes);
-        if wishes.is_empty() {
+        let requests = std::mem::take(&mut self.requests);
+        if requests.is_empty() {
             return;
         }
-        for (data_centre, ticket) in &self.tickets {
-            let wish = (self.node.id(), *ticket);
+        for (data_centre, id) in &self.pending {
+            let request = (self.node.id(), *id);
             match keeper(&self.node, data_centre) {
-                Some(keeper) if keeper.id == wish.0 => kept::on_withdrawn(&self.node, wish),
+                Some(keeper) if keeper.id == request.0 => kept::on_withdrawn(&self.node, request),
                 Some(keeper) => {
-                    self.node.notify(keeper.peer, PeerRequest::Withdraw(wish.0, wish.1))
+                    self.node.notify(keeper.peer, PeerRequest::Withdraw(request.0, request.1))
                 }
                 None => {}
             }
         }
         // A grant that has crossed the withdrawal is given back as it is dropped.
-        spawn_local(async move { wishes.for_each(|answer| async move { drop(answer) }).await });
+        spawn_local(async move { requests.for_each(|answer| async move { drop(answer) }).await });
     }
 }
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -4,7 +4,7 @@
 //! verdicts are carried to those who asked, who wait, or who must give way.
 
 use super::account::keeper;
-use super::message::{PeerReply, PeerRequest, Ticket, Wish};
+use super::message::{PeerReply, PeerRequest, SlotRequest, SlotRequestId};
 use super::node::Node;
 use super::wake;
 use crate::clock;
@@ -20,33 +20,33 @@
 use tokio::task::spawn_local;
 
 /// Answers a wish of another instance, or of this one for batch.
-pub async fn on_wish(node: &Rc<Node>, wish: Wish) -> PeerReply {
+pub async fn on_wish(node: &Rc<Node>, request: SlotRequest) -> PeerReply {
     let now = clock::now();
     let after = |millis: u64| now + Duration::from_millis(millis);
     let ask = |may_wait| slots::Request {
-        holder: wish.from,
-        data_centre: wish.data_centre.clone(),
-        service: wish.service.clone(),
-        purpose: wish.purpose,
-        due: after(wish.due_ms),
-        remaining: Duration::from_millis(wish.left_ms),
-        is_started: wish.is_begun,
-        latest_start: after(wish.in_time_ms),
-        safe_start: after(wish.sure_ms),
-        expires: after(wish.until_ms),
-        total_slots: wish.reach,
-        excluded: wish.avoid.clone(),
+        holder: request.from,
+        data_centre: request.data_centre.clone(),
+        service: request.service.clone(),
+        purpose: request.purpose,
+        due: after(request.due_ms),
+        remaining: Duration::from_millis(request.remaining_ms),
+        is_started: request.is_started,
+        latest_start: after(request.latest_start_ms),
+        safe_start: after(request.safe_start_ms),
+        expires: after(request.expires_ms),
+        total_slots: request.total_slots,
+        excluded: request.excluded.clone(),
         may_wait,
     };
-    let wait = Duration::from_millis(wish.wait_ms);
+    let wait = Duration::from_millis(request.wait_ms);
     let mut grants = Vec::new();
-    while grants.len() < wish.most {
+    while grants.len() < request.limit {
         // The first one may be waited for; more only if they are free now.
         let may_wait = grants.is_empty() && !wait.is_zero();
-        match serve(node, &wish.data_centre, ask(may_wait), wish.ticket, wait).await {
+        match serve(node, &request.data_centre, ask(may_wait), request.id, wait).await {
             Served::Grant(grant) => grants.push(grant),
             Served::NotHere => return PeerReply::NotHere,
-            Served::Full(after) if grants.is_empty() && wish.purpose == Purpose::Online => {
+            Served::Full(after) if grants.is_empty() && request.purpose == Purpose::Online => {
                 return PeerReply::Full(after.as_millis() as u64);
             }
             Served::Full(_) | Served::Pending => break,
@@ -71,13 +71,13 @@
 struct Place {
     node: Rc<Node>,
     id: WaiterId,
-    wish: (InstanceId, Ticket),
+    request: (InstanceId, SlotRequestId),
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
         let accounts = &self.node.accounts;
-        accounts.tickets.borrow_mut().remove(&self.wish);
+        accounts.pending.borrow_mut().remove(&self.request);
         if accounts.waiters.borrow_mut().remove(&self.id).is_some() {
             accounts.ledger.borrow_mut().on_waiter_gone(self.id);
         }
@@ -86,9 +86,9 @@
 
 /// A wish that waits here is withdrawn; one that was granted meanwhile isn't
 /// found, and its asker gives the lease back.
-pub fn on_withdrawn(node: &Node, wish: (InstanceId, Ticket)) {
+pub fn on_withdrawn(node: &Node, request: (InstanceId, SlotRequestId)) {
     let accounts = &node.accounts;
-    let Some(id) = accounts.tickets.borrow_mut().remove(&wish) else {
+    let Some(id) = accounts.pending.borrow_mut().remove(&request) else {
         return;
     };
     accounts.ledger.borrow_mut().on_waiter_gone(id);
@@ -101,14 +101,14 @@
     node: &Rc<Node>,
     data_centre: &str,
     ask: slots::Request,
-    ticket: Ticket,
+    request_id: SlotRequestId,
     wait: Duration,
 ) -> Served {
     refresh(node);
     if !node.accounts.kept.borrow().contains(data_centre) {
         return Served::NotHere;
     }
-    let wish = (ask.holder, ticket);
+    let request = (ask.holder, request_id);
     let verdict = node.accounts.ledger.borrow_mut().on_request(ask, clock::now());
     match verdict {
         Decision::Granted(grant, revocation) => {
@@ -120,8 +120,8 @@
         Decision::Queued(id) => {
             let (sender, receiver) = oneshot::channel();
             node.accounts.waiters.borrow_mut().insert(id, sender);
-            node.accounts.tickets.borrow_mut().insert(wish, id);
-            let place = Place { node: node.clone(), id, wish };
+            node.accounts.pending.borrow_mut().insert(request, id);
+            let place = Place { node: node.clone(), id, request };
             look(node);
             let answer = tokio::time::timeout(wait, receiver).await;
             drop(place);
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -14,11 +14,11 @@
 use std::net::SocketAddr;
 
 /// Names a wish among those of one asker.
-pub type Ticket = u64;
+pub type SlotRequestId = u64;
 
 /// A wish for slots at the account of a data centre.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Wish {
+pub struct SlotRequest {
     /// Who asks.
     pub from: InstanceId,
     /// Data centre whose account is asked.
@@ -28,28 +28,37 @@
     /// What the slots are for.
     pub purpose: Purpose,
     /// Names the wish among those of its asker, so that it can be withdrawn.
-    pub ticket: Ticket,
+    #[serde(rename = "ticket")]
+    pub id: SlotRequestId,
     /// Milliseconds until the work is due.
     pub due_ms: u64,
     /// Milliseconds of slot time that the work needs; 0 where it isn't known.
-    pub left_ms: u64,
+    #[serde(rename = "left_ms")]
+    pub remaining_ms: u64,
     /// Whether an earlier run has done a part of the work.
-    pub is_begun: bool,
+    #[serde(rename = "is_begun")]
+    pub is_started: bool,
     /// Milliseconds in which a slot brings the answer within its objective.
-    pub in_time_ms: u64,
+    #[serde(rename = "in_time_ms")]
+    pub latest_start_ms: u64,
     /// Milliseconds in which a slot brings the work to its end in time for sure; of batch
     /// only.
-    pub sure_ms: u64,
+    #[serde(rename = "sure_ms")]
+    pub safe_start_ms: u64,
     /// Milliseconds until the caller leaves.
-    pub until_ms: u64,
+    #[serde(rename = "until_ms")]
+    pub expires_ms: u64,
     /// Slots of all the accounts in which the request waits.
-    pub reach: u32,
+    #[serde(rename = "reach")]
+    pub total_slots: u32,
     /// Milliseconds that the asker waits for an answer; 0 for no wait.
     pub wait_ms: u64,
     /// Most slots.
-    pub most: usize,
+    #[serde(rename = "most")]
+    pub limit: usize,
     /// Targets that won't do.
-    pub avoid: Vec<TargetId>,
+    #[serde(rename = "avoid")]
+    pub excluded: Vec<TargetId>,
 }
 
 /// How a job stands, as its holder tells the others.
@@ -131,9 +140,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Slots.
-    Slots(Wish),
+    Slots(SlotRequest),
     /// A wish that waits is withdrawn: its asker has a slot elsewhere, or has gone.
-    Withdraw(InstanceId, Ticket),
+    Withdraw(InstanceId, SlotRequestId),
     /// A lease is given back.
     Release(LeaseId, LeaseReport),
     /// Somebody waits in vain for a first event at a target.
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -80,9 +80,9 @@
 
 async fn answer(node: &Rc<Node>, ask: PeerRequest) -> PeerReply {
     match ask {
-        PeerRequest::Slots(wish) => keeper::on_wish(node, wish).await,
-        PeerRequest::Withdraw(from, ticket) => {
-            keeper::on_withdrawn(node, (from, ticket));
+        PeerRequest::Slots(request) => keeper::on_wish(node, request).await,
+        PeerRequest::Withdraw(from, id) => {
+            keeper::on_withdrawn(node, (from, id));
             PeerReply::Done
         }
         PeerRequest::Release(lease, report) => {
