--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -57,23 +57,27 @@
     if node.is_shunned(others[at].peer, now) {
         return;
     }
-    let ask = PeerRequest::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
+    let ask = PeerRequest::Sync {
+        from: node.id(),
+        digest: node.state_digest(),
+        connectivity: node.connectivity(),
+    };
     let reply = node.request(others[at].peer, &ask, SYNC_LIMIT).await;
-    if let Ok(PeerReply::Sync { config, mark, contact }) = reply {
-        platform_health::on_peer_report(&node, others[at].id, contact);
+    if let Ok(PeerReply::Sync { config, digest, connectivity }) = reply {
+        platform_health::on_peer_report(&node, others[at].id, connectivity);
         let is_due = node.jobs.learnt.get().is_none_or(|at| clock::since(at) >= LEARN_EVERY);
-        if mark.jobs != node.mark().jobs && is_due {
+        if digest.jobs != node.state_digest().jobs && is_due {
             node.jobs.learnt.set(Some(now));
             let wanted = job_table::open_jobs_filter(&node);
             job_table::fetch_statuses_from(&node, others[at].peer, wanted).await;
         }
-        if let Some(digest) = mark.strikes {
+        if let Some(digest) = digest.strikes {
             compare_strikes(&node, &others[at], digest).await;
         }
         if let Some((version, text)) = config {
             discovery::on_config(&node, version, &text, "compared");
         }
-        if mark.targets != node.mark().targets {
+        if digest.targets != node.state_digest().targets {
             let ask = PeerRequest::Targets(node.registry.borrow().digests());
             let reply = node.request(others[at].peer, &ask, SYNC_LIMIT).await;
             if let Ok(PeerReply::Targets(changes)) = reply {
--- a/crates/daemon/src/gateway/broadcast.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -198,7 +198,11 @@
         return false;
     }
     node.outbox.fetching.set(Some((version, now)));
-    let ask = || PeerRequest::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
+    let ask = || PeerRequest::Sync {
+        from: node.id(),
+        digest: node.state_digest(),
+        connectivity: node.connectivity(),
+    };
     let mut reply = node.try_request(from, &ask(), FETCHES[0]).await;
     if reply.is_err() {
         reply = node.request(from, &ask(), FETCHES[1]).await;
--- a/crates/daemon/src/gateway/measure.rs
+++ b/crates/daemon/src/gateway/measure.rs
@@ -183,7 +183,7 @@
         ("gatespool.platform.reads", counts.reads.get()),
         ("gatespool.platform.writes", counts.writes.get()),
         ("gatespool.platform.silence_ms", silence),
-        ("gatespool.config.version", node.mark().config),
+        ("gatespool.config.version", node.state_digest().config),
         ("gatespool.targets.revision", node.registry.borrow().revision()),
         ("gatespool.targets.connections", node.targets.opened()),
         ("gatespool.members", node.others().len() as u64 + 1),
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -82,7 +82,7 @@
 
 /// How far an instance is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct StateDigest {
     /// Version of the configuration in force; 0 for none.
     pub config: Version,
     /// Digest of the registry of targets.
@@ -96,16 +96,18 @@
 
 /// Whether an instance reaches the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Contact {
+pub struct Connectivity {
     /// Whether it has lately failed to.
-    pub is_lost: bool,
+    #[serde(rename = "is_lost")]
+    pub is_disconnected: bool,
     /// When the platform answered somebody, by what it knows; `None` for never.
-    pub answers: Option<Answers>,
+    #[serde(rename = "answers")]
+    pub uptime: Option<Uptime>,
 }
 
 /// A time in which the platform answered without a long break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answers {
+pub struct Uptime {
     /// Milliseconds since its first answer.
     pub since_ms: u64,
     /// Milliseconds since its last one.
@@ -156,9 +158,11 @@
         /// Sender.
         from: InstanceId,
         /// How far it is.
-        mark: Mark,
+        #[serde(rename = "mark")]
+        digest: StateDigest,
         /// Whether it reaches the platform.
-        contact: Contact,
+        #[serde(rename = "contact")]
+        connectivity: Connectivity,
     },
     /// News, and who tells it.
     #[serde(rename = "News")]
@@ -213,11 +217,13 @@
     #[serde(rename = "News")]
     Sync {
         /// How far the receiver is.
-        mark: Mark,
+        #[serde(rename = "mark")]
+        digest: StateDigest,
         /// Its configuration, if it is later.
         config: Option<(Version, String)>,
         /// Whether it reaches the platform.
-        contact: Contact,
+        #[serde(rename = "contact")]
+        connectivity: Connectivity,
     },
     /// What the receiver knows of targets.
     Targets(Vec<Change>),
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -5,7 +5,7 @@
 use super::crash::Inquiries;
 use super::job_table::JobTable;
 use super::measure::Measure;
-use super::message::{Answers, Contact, Mark, PeerReply, PeerRequest, decode, encode};
+use super::message::{Connectivity, PeerReply, PeerRequest, StateDigest, Uptime, decode, encode};
 use super::store::PlatformStore;
 use crate::clock;
 use coordination::membership::{Member, Policy, Table};
@@ -201,23 +201,23 @@
     }
 
     /// How far this instance is.
-    pub fn mark(&self) -> Mark {
+    pub fn state_digest(&self) -> StateDigest {
         let config = self.config.borrow().as_ref().map_or(0, |config| config.table.version);
         let jobs = super::job_table::digest(self);
         let knows_strikes = self.knows_strikes.get();
         let strikes = knows_strikes.then(|| self.quarantine.borrow().digest());
-        Mark { config, targets: self.registry.borrow().digest(), jobs, strikes }
+        StateDigest { config, targets: self.registry.borrow().digest(), jobs, strikes }
     }
 
     /// Whether this instance reaches the platform, as it tells the others.
-    pub fn contact(&self) -> Contact {
-        let is_lost = self.store.is_disconnected() || self.store.last_call_failed();
+    pub fn connectivity(&self) -> Connectivity {
+        let is_disconnected = self.store.is_disconnected() || self.store.last_call_failed();
         let now = clock::now();
         let ago = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
-        let series = self.store.uptime();
-        let answers =
-            series.map(|series| Answers { since_ms: ago(series.since), last_ms: ago(series.last) });
-        Contact { is_lost, answers }
+        let known = self.store.uptime();
+        let uptime =
+            known.map(|known| Uptime { since_ms: ago(known.since), last_ms: ago(known.last) });
+        Connectivity { is_disconnected, uptime }
     }
 
     /// Members other than this one that are not known to be gone.
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -1,6 +1,6 @@
 //! Membership, and answers to what other instances say.
 
-use super::message::{Contact, Mark, PeerReply, PeerRequest, decode, encode};
+use super::message::{Connectivity, PeerReply, PeerRequest, StateDigest, decode, encode};
 use super::node::Node;
 use super::{
     broadcast, job_table, jobs, keeper, platform_health, quarantine, submit, takeover, watch,
@@ -101,7 +101,7 @@
             node.accounts.on_revoked(lease);
             PeerReply::Done
         }
-        PeerRequest::Sync { from, mark, contact } => sync(node, from, mark, contact),
+        PeerRequest::Sync { from, digest, connectivity } => sync(node, from, digest, connectivity),
         PeerRequest::Update(from, update) => {
             let node = node.clone();
             to_its_end(async move { broadcast::on_update(&node, from, update).await }).await;
@@ -148,12 +148,17 @@
     let _ended = spawn_local(duty).await;
 }
 
-fn sync(node: &Rc<Node>, from: InstanceId, mark: Mark, contact: Contact) -> PeerReply {
-    platform_health::on_peer_report(node, from, contact);
-    let mine = node.mark();
-    let config = node.config().filter(|config| config.table.version > mark.config);
+fn sync(
+    node: &Rc<Node>,
+    from: InstanceId,
+    digest: StateDigest,
+    connectivity: Connectivity,
+) -> PeerReply {
+    platform_health::on_peer_report(node, from, connectivity);
+    let mine = node.state_digest();
+    let config = node.config().filter(|config| config.table.version > digest.config);
     let config = config.map(|config| (config.table.version, config.text.clone()));
-    PeerReply::Sync { mark: mine, config, contact: node.contact() }
+    PeerReply::Sync { digest: mine, config, connectivity: node.connectivity() }
 }
 
 fn hear(node: &Rc<Node>, from: Member, notes: &[Note]) {
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -12,7 +12,7 @@
 //! sign of life costs a tenth of a call.
 
 use super::cause::Cause;
-use super::message::{Contact, PeerRequest};
+use super::message::{Connectivity, PeerRequest};
 use super::node::Node;
 use crate::clock;
 use coordination::connectivity::Uptime;
@@ -122,7 +122,11 @@
 
 /// Tells the instances of the own data centre whether this one reaches the platform.
 fn tell(node: &Rc<Node>) {
-    let ask = PeerRequest::Sync { from: node.id(), mark: node.mark(), contact: node.contact() };
+    let ask = PeerRequest::Sync {
+        from: node.id(),
+        digest: node.state_digest(),
+        connectivity: node.connectivity(),
+    };
     let is_near = |member: &Member| member.data_centre == *node.data_centre();
     for member in node.others().into_iter().filter(is_near) {
         node.notify(member.peer, ask.clone());
@@ -130,15 +134,15 @@
 }
 
 /// A member says whether it reaches the platform.
-pub fn on_peer_report(node: &Node, member: InstanceId, contact: Contact) {
+pub fn on_peer_report(node: &Node, member: InstanceId, connectivity: Connectivity) {
     let now = clock::now();
     let ago = |millis: u64| now.checked_sub(Duration::from_millis(millis));
-    let series = contact.answers.and_then(|answers| {
+    let series = connectivity.uptime.and_then(|answers| {
         Some(Uptime { since: ago(answers.since_ms)?, last: ago(answers.last_ms)? })
     });
-    node.store.on_peer_report(series, contact.is_lost);
+    node.store.on_peer_report(series, connectivity.is_disconnected);
     let mut lost = node.lost_contact.borrow_mut();
-    if contact.is_lost {
+    if connectivity.is_disconnected {
         lost.insert(member, now + LOST);
     } else {
         lost.remove(&member);
