--- a/crates/daemon/src/gateway/broadcast.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -9,7 +9,7 @@
 //! from whoever told. How jobs stand is told all the time, so a relay gathers it
 //! and each instance gets some messages a second, however many jobs there are.
 
-use super::message::{PeerReply, PeerRequest, Status, Update};
+use super::message::{JobStatus, PeerReply, PeerRequest, Update};
 use super::node::Node;
 use super::{discovery, job_table, jobs, quarantine};
 use crate::clock;
@@ -47,7 +47,7 @@
 #[derive(Default)]
 pub struct Outbox {
     /// How jobs stand, to be passed on in the own data centre.
-    statuses: RefCell<HashMap<JobId, Status>>,
+    statuses: RefCell<HashMap<JobId, JobStatus>>,
     /// Version that is being fetched, and since when.
     fetching: Cell<Option<(Version, Instant)>>,
     /// Highest version that was passed on as the relay.
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -9,7 +9,7 @@
 use super::cause::Cause;
 use super::job_store::{self, JobSummary};
 use super::job_table::{self, HeldJob};
-use super::message::{Status, Update};
+use super::message::{JobStatus, Update};
 use super::node::{Node, millis};
 use super::takeover::{self, MEMBERSHIP_WARM_UP};
 use crate::clock;
@@ -121,7 +121,7 @@
         let is_last =
             !page.is_cut || !page.last.as_ref().is_some_and(|last| range.is_before_end(last));
         after.clone_from(&page.last);
-        let mut of_page: Vec<Status> = Vec::new();
+        let mut of_page: Vec<JobStatus> = Vec::new();
         for object in page.objects.iter().filter(|object| range.is_before_end(&object.name)) {
             jobs += 1;
             match look_at(node, object, is_warmed_up) {
@@ -155,7 +155,7 @@
     /// Its holder is stopping.
     Leaving,
     /// Its holder is gone.
-    Orphan(Box<Status>),
+    Orphan(Box<JobStatus>),
 }
 
 fn look_at(node: &Node, object: &Object, is_warmed_up: bool) -> Look {
@@ -175,7 +175,7 @@
         let is_leaving = members.get(holder.instance).is_some_and(|m| m.state == State::Leaving);
         return if is_leaving { Look::Leaving } else { Look::Nothing };
     }
-    Look::Orphan(Box::new(Status {
+    Look::Orphan(Box::new(JobStatus {
         job: object.name.clone(),
         holder,
         data_centre: String::new(),
@@ -187,7 +187,7 @@
 }
 
 /// Whoever each orphan falls to takes it over, and tries again until it is done.
-fn tell(node: &Rc<Node>, orphans: Vec<Status>) {
+fn tell(node: &Rc<Node>, orphans: Vec<JobStatus>) {
     if orphans.is_empty() {
         return;
     }
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -2,7 +2,7 @@
 //! stand by their holders' word.
 
 use super::job_store::{Overflow, StoredJob};
-use super::message::{PeerReply, PeerRequest, Status, Update, Wanted};
+use super::message::{JobFilter, JobStatus, PeerReply, PeerRequest, Update};
 use super::node::Node;
 use super::{broadcast, job_writer, peers};
 use crate::clock;
@@ -87,9 +87,9 @@
     /// Jobs in memory here.
     pub held: RefCell<HashMap<JobId, Rc<HeldJob>>>,
     /// How jobs stand by their holders' word.
-    pub directory: RefCell<HashMap<JobId, Status>>,
+    pub directory: RefCell<HashMap<JobId, JobStatus>>,
     /// What is to be told to all others.
-    outbox: RefCell<HashMap<JobId, Status>>,
+    outbox: RefCell<HashMap<JobId, JobStatus>>,
     /// Jobs read from the platform for callers, and when.
     pub(super) recent: RefCell<HashMap<JobId, (Instant, StoredJob)>>,
     /// When another instance's open jobs were last asked for.
@@ -110,7 +110,7 @@
     }
 
     /// A word about a job; an earlier one is passed over.
-    pub fn on_status(&self, status: Status) {
+    pub fn on_status(&self, status: JobStatus) {
         let mut directory = self.directory.borrow_mut();
         let known = directory.get(&status.job);
         if known.is_none_or(|known| known.revision <= status.revision) {
@@ -147,7 +147,7 @@
 
 /// A holder's word; if it speaks of a job that is held here, the platform tells
 /// whose it is.
-pub fn on_status(node: &Rc<Node>, status: Status) {
+pub fn on_status(node: &Rc<Node>, status: JobStatus) {
     let held = node.jobs.held_job(&status.job).filter(|held| !held.is_frozen);
     if let Some(held) = held
         && status.holder.instance != node.id()
@@ -203,9 +203,9 @@
     held.changed.notify_waiters();
 }
 
-fn status(node: &Node, held: &HeldJob) -> Status {
+fn status(node: &Node, held: &HeldJob) -> JobStatus {
     let state = held.state.borrow();
-    Status {
+    JobStatus {
         job: state.job().id.clone(),
         holder: node.as_holder(),
         data_centre: node.data_centre().clone(),
@@ -266,9 +266,9 @@
 }
 
 /// How the jobs stand that another instance asks for.
-pub fn statuses_for(node: &Node, wanted: &Wanted) -> Vec<Status> {
+pub fn statuses_for(node: &Node, filter: &JobFilter) -> Vec<JobStatus> {
     let mut statuses = directory(node);
-    if let Wanted::Open(ids) = wanted {
+    if let JobFilter::Open(ids) = filter {
         let ids: HashSet<&JobId> = ids.iter().collect();
         statuses.retain(|status| !status.is_settled || ids.contains(&status.job));
     }
@@ -276,7 +276,7 @@
 }
 
 /// How jobs stand that are known here.
-fn directory(node: &Node) -> Vec<Status> {
+fn directory(node: &Node) -> Vec<JobStatus> {
     let held_jobs = node.jobs.held.borrow();
     let own = held_jobs.values().filter(|held| !held.is_frozen).map(|held| status(node, held));
     let directory = node.jobs.directory.borrow();
@@ -286,25 +286,25 @@
 
 /// A number that two instances share if they know the same open jobs and holders.
 pub fn digest(node: &Node) -> u64 {
-    let one = |status: &Status| hash::weight(status.job.as_bytes(), status.holder.instance);
+    let one = |status: &JobStatus| hash::weight(status.job.as_bytes(), status.holder.instance);
     open(node).iter().map(one).fold(0, u64::wrapping_add)
 }
 
-fn open(node: &Node) -> Vec<Status> {
+fn open(node: &Node) -> Vec<JobStatus> {
     directory(node).into_iter().filter(|status| !status.is_settled).collect()
 }
 
 /// What to ask another instance for whose open jobs differ: a job may have been
 /// settled without a word of it here.
-pub fn open_jobs_filter(node: &Node) -> Wanted {
-    Wanted::Open(open(node).into_iter().map(|status| status.job).collect())
+pub fn open_jobs_filter(node: &Node) -> JobFilter {
+    JobFilter::Open(open(node).into_iter().map(|status| status.job).collect())
 }
 
 /// Learns from another instance how jobs stand, after a start.
 pub async fn fetch_statuses(node: &Rc<Node>) {
     loop {
         for member in node.others() {
-            if fetch_statuses_from(node, member.peer, Wanted::All).await {
+            if fetch_statuses_from(node, member.peer, JobFilter::All).await {
                 return;
             }
         }
@@ -313,9 +313,9 @@
 }
 
 /// Learns how jobs stand from one instance; `false` when it didn't answer.
-pub async fn fetch_statuses_from(node: &Rc<Node>, address: SocketAddr, wanted: Wanted) -> bool {
-    let is_open_only = matches!(wanted, Wanted::Open(_));
-    let ask = PeerRequest::Directory(wanted);
+pub async fn fetch_statuses_from(node: &Rc<Node>, address: SocketAddr, filter: JobFilter) -> bool {
+    let is_open_only = matches!(filter, JobFilter::Open(_));
+    let ask = PeerRequest::Directory(filter);
     let reply = node.request(address, &ask, peers::PING_TIMEOUT).await;
     let Ok(PeerReply::Statuses(statuses)) = reply else {
         return false;
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -63,7 +63,7 @@
 
 /// How a job stands, as its holder tells the others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Status {
+pub struct JobStatus {
     /// The job.
     pub job: JobId,
     /// Who holds it.
@@ -122,7 +122,7 @@
     /// Changes of the registry of targets.
     Targets(Vec<Change>),
     /// How jobs stand.
-    Statuses(Vec<Status>),
+    Statuses(Vec<JobStatus>),
     /// A job was ended on the platform while its holder was silent.
     Ended(JobId),
     /// Requests ran on targets that crashed, or have come to their end since.
@@ -131,7 +131,7 @@
 
 /// Jobs that are asked for.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Wanted {
+pub enum JobFilter {
     /// All.
     All,
     /// Open ones; and these, which the asker takes for open, however they stand.
@@ -173,9 +173,9 @@
     /// What the receiver knows of targets in the parts whose digests differ.
     Targets(Vec<u64>),
     /// How jobs stand.
-    Statuses(Vec<Status>),
+    Statuses(Vec<JobStatus>),
     /// The jobs that the receiver knows of.
-    Directory(Wanted),
+    Directory(JobFilter),
     /// A submission that the sender can't put on the platform itself: host,
     /// path, id and body.
     Submit {
@@ -228,13 +228,13 @@
     /// What the receiver knows of targets.
     Targets(Vec<Change>),
     /// How jobs stand.
-    Statuses(Vec<Status>),
+    Statuses(Vec<JobStatus>),
     /// Total of the job's items, and results.
     Results(usize, Vec<Outcome>),
     /// Body of an item, in base64; `None` if the job has no such item.
     Body(Option<String>),
     /// The answer to a submission.
-    Submitted(Acceptance),
+    Submitted(SubmitOutcome),
     /// Whether a held request may be tried.
     Trial(bool),
     /// Strikes of requests that have several.
@@ -245,7 +245,7 @@
 
 /// How a submission ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Acceptance {
+pub enum SubmitOutcome {
     /// It is kept.
     Accepted,
     /// It would exceed what may wait on the route.
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -119,8 +119,8 @@
             statuses.into_iter().for_each(|status| job_table::on_status(node, status));
             PeerReply::Done
         }
-        PeerRequest::Directory(wanted) => {
-            PeerReply::Statuses(job_table::statuses_for(node, &wanted))
+        PeerRequest::Directory(filter) => {
+            PeerReply::Statuses(job_table::statuses_for(node, &filter))
         }
         PeerRequest::Submit { host, path, job, body } => {
             PeerReply::Submitted(submit::on_submit(node, &host, &path, &job, body.as_bytes()).await)
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -3,7 +3,7 @@
 use super::cause::Cause;
 use super::front::{Call, refusal, text};
 use super::job_store::{self, StoredJob};
-use super::message::{Acceptance, PeerReply, PeerRequest};
+use super::message::{PeerReply, PeerRequest, SubmitOutcome};
 use super::node::{Node, millis};
 use super::takeover;
 use super::{job_table, platform_health};
@@ -40,32 +40,32 @@
 /// Answers a submission.
 pub async fn submit(node: &Rc<Node>, route: &Route, call: &Call) -> Response<Body> {
     let until = call.started + call.left(call.started).mul_f64(DOUBT_SHARE);
-    let mut acceptance = accept(node, route, call, until).await;
-    if acceptance == Acceptance::Refused && !node.is_stopping() || node.store.last_call_failed() {
-        let is_open = matches!(acceptance, Acceptance::Refused | Acceptance::Unknown);
+    let mut outcome = accept(node, route, call, until).await;
+    if outcome == SubmitOutcome::Refused && !node.is_stopping() || node.store.last_call_failed() {
+        let is_open = matches!(outcome, SubmitOutcome::Refused | SubmitOutcome::Unknown);
         if is_open {
-            acceptance = relay(node, call, acceptance).await;
+            outcome = relay(node, call, outcome).await;
         }
     }
     slog::info!(node.log, "submission"; "job" => &call.id, "route" => &route.name,
-        "acceptance" => ?acceptance, "bytes" => call.body.len(),
+        "acceptance" => ?outcome, "bytes" => call.body.len(),
         "age_ms" => clock::since(call.started).as_millis() as u64);
-    answer(node, &call.id, acceptance)
+    answer(node, &call.id, outcome)
 }
 
-fn answer(node: &Node, id: &str, acceptance: Acceptance) -> Response<Body> {
+fn answer(node: &Node, id: &str, outcome: SubmitOutcome) -> Response<Body> {
     let refuse = |kind, message| {
         let mut error = Error::new(kind, message);
         error.retry_after = Some(COME_BACK);
         refusal(node, id, &error)
     };
-    match acceptance {
-        Acceptance::Accepted => text(202, "accepted"),
-        Acceptance::Full => refuse(Kind::CallerLimit, "too many tokens wait on the route"),
-        Acceptance::Refused => refuse(Kind::PlatformAway, "the platform is away"),
-        Acceptance::Unknown => text(502, "nobody can say whether the job is kept"),
-        Acceptance::Malformed => text(400, "the submission can't be understood"),
-        Acceptance::TooLong => text(413, "the platform can't keep an item that long"),
+    match outcome {
+        SubmitOutcome::Accepted => text(202, "accepted"),
+        SubmitOutcome::Full => refuse(Kind::CallerLimit, "too many tokens wait on the route"),
+        SubmitOutcome::Refused => refuse(Kind::PlatformAway, "the platform is away"),
+        SubmitOutcome::Unknown => text(502, "nobody can say whether the job is kept"),
+        SubmitOutcome::Malformed => text(400, "the submission can't be understood"),
+        SubmitOutcome::TooLong => text(413, "the platform can't keep an item that long"),
     }
 }
 
@@ -76,12 +76,12 @@
     path: &str,
     id: &str,
     body: &[u8],
-) -> Acceptance {
+) -> SubmitOutcome {
     let Some(config) = node.config() else {
-        return Acceptance::Refused;
+        return SubmitOutcome::Refused;
     };
     let Some(route) = config.table.find(host, path) else {
-        return Acceptance::Refused;
+        return SubmitOutcome::Refused;
     };
     let now = clock::now();
     let call = Call {
@@ -99,9 +99,9 @@
 }
 
 /// Has other instances keep a submission.
-async fn relay(node: &Rc<Node>, call: &Call, acceptance: Acceptance) -> Acceptance {
+async fn relay(node: &Rc<Node>, call: &Call, outcome: SubmitOutcome) -> SubmitOutcome {
     let Ok(body) = std::str::from_utf8(&call.body) else {
-        return Acceptance::Malformed;
+        return SubmitOutcome::Malformed;
     };
     let path = call.target.split('?').next().unwrap_or_default().to_owned();
     let ask = PeerRequest::Submit {
@@ -116,39 +116,39 @@
     let has_lost = |member: &Member| platform_health::is_disconnected(node, member.id, now);
     // Cached: a key that is drawn anew at each comparison is no order.
     members.sort_by_cached_key(|member| (has_lost(member), rand::random::<u32>()));
-    let mut result = acceptance;
+    let mut result = outcome;
     for member in members.into_iter().take(RELAYS) {
         let reply = node.request(member.peer, &ask, RELAY_LIMIT).await;
         slog::info!(node.log, "submission relayed"; "job" => &call.id, "to" => %member.peer,
             "reply" => ?reply);
         match reply {
-            Ok(PeerReply::Submitted(Acceptance::Accepted)) => return Acceptance::Accepted,
-            Ok(PeerReply::Submitted(Acceptance::Refused)) => {}
-            Ok(PeerReply::Submitted(Acceptance::Full)) if result == Acceptance::Refused => {
-                return Acceptance::Full;
+            Ok(PeerReply::Submitted(SubmitOutcome::Accepted)) => return SubmitOutcome::Accepted,
+            Ok(PeerReply::Submitted(SubmitOutcome::Refused)) => {}
+            Ok(PeerReply::Submitted(SubmitOutcome::Full)) if result == SubmitOutcome::Refused => {
+                return SubmitOutcome::Full;
             }
             Err(transport::peer::Fault::NotSent(_)) => {}
-            Ok(_) | Err(_) => result = Acceptance::Unknown,
+            Ok(_) | Err(_) => result = SubmitOutcome::Unknown,
         }
     }
     result
 }
 
 /// Keeps a job on the platform, or finds it kept already.
-async fn accept(node: &Rc<Node>, route: &Route, call: &Call, until: Instant) -> Acceptance {
+async fn accept(node: &Rc<Node>, route: &Route, call: &Call, until: Instant) -> SubmitOutcome {
     let id = &call.id;
     if node.jobs.held_job(id).is_some() || node.jobs.directory.borrow().contains_key(id) {
-        return Acceptance::Accepted;
+        return SubmitOutcome::Accepted;
     }
     let Some(terms) = route.terms else {
-        return Acceptance::Malformed;
+        return SubmitOutcome::Malformed;
     };
     let items = match job::decode(&call.body) {
         Ok(items) if !id.is_empty() => items,
-        Ok(_) => return Acceptance::Malformed,
+        Ok(_) => return SubmitOutcome::Malformed,
         Err(error) => {
             slog::info!(node.log, "submission not understood"; "job" => id, "error" => error);
-            return Acceptance::Malformed;
+            return SubmitOutcome::Malformed;
         }
     };
     let now = millis();
@@ -172,18 +172,18 @@
 }
 
 /// A job that doesn't fit may have been kept before, when it did.
-async fn is_kept(node: &Rc<Node>, id: &str) -> Acceptance {
+async fn is_kept(node: &Rc<Node>, id: &str) -> SubmitOutcome {
     match node.store.get(Cause::Submission, job::KIND, id).await {
-        Ok(Some(_)) => Acceptance::Accepted,
-        Ok(None) => Acceptance::Full,
+        Ok(Some(_)) => SubmitOutcome::Accepted,
+        Ok(None) => SubmitOutcome::Full,
         Err(fault) => {
             slog::info!(node.log, "job not read"; "job" => id, "fault" => %fault);
-            Acceptance::Unknown
+            SubmitOutcome::Unknown
         }
     }
 }
 
-async fn create(node: &Rc<Node>, job: Job, until: Instant) -> Acceptance {
+async fn create(node: &Rc<Node>, job: Job, until: Instant) -> SubmitOutcome {
     // Once an answer was lost, the job may be kept, and a refusal would be false.
     let mut is_doubtful = false;
     loop {
@@ -193,20 +193,20 @@
                 let stored_job = StoredJob { job, progress, overflow, revision: object.revision };
                 let held = job_table::hold(node, stored_job);
                 job_table::notify_witnesses(node, &held).await;
-                return Acceptance::Accepted;
+                return SubmitOutcome::Accepted;
             }
             Err(Fault::Conflict(_)) => {
                 spawn_local(tell_holder(node.clone(), job.id));
-                return Acceptance::Accepted;
+                return SubmitOutcome::Accepted;
             }
             Err(Fault::Lost(fault)) => {
                 slog::info!(node.log, "submission in doubt"; "job" => &job.id, "fault" => fault);
                 is_doubtful = true;
             }
-            Err(Fault::Away(_)) if !is_doubtful => return Acceptance::Refused,
+            Err(Fault::Away(_)) if !is_doubtful => return SubmitOutcome::Refused,
             Err(Fault::Rejected(fault)) => {
                 slog::warn!(node.log, "submission not kept"; "job" => &job.id, "fault" => fault);
-                return Acceptance::TooLong;
+                return SubmitOutcome::TooLong;
             }
             Err(fault) => {
                 slog::info!(node.log, "submission in doubt"; "job" => &job.id,
@@ -215,7 +215,7 @@
         }
         let pause = node.store.backoff_remaining(clock::now()).max(AGAIN);
         if clock::now() + pause >= until {
-            return Acceptance::Unknown;
+            return SubmitOutcome::Unknown;
         }
         tokio::time::sleep(pause).await;
     }
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -9,7 +9,7 @@
 use super::job_store::{self, LoadError, StoredJob};
 use super::job_table::{self, HeldJob};
 use super::job_writer;
-use super::message::{PeerRequest, Status};
+use super::message::{JobStatus, PeerRequest};
 use super::node::Node;
 use crate::clock;
 use coordination::hash;
@@ -114,7 +114,7 @@
             && !held_jobs.contains_key(&status.job)
             && is_gone(node, status.holder, is_warmed_up)
     });
-    let orphaned: Vec<&Status> = orphaned.collect();
+    let orphaned: Vec<&JobStatus> = orphaned.collect();
     noticed.retain(|id, _| orphaned.iter().any(|status| status.job == *id));
     let mut due = Vec::new();
     for status in orphaned {
@@ -307,7 +307,7 @@
         // know, and asked from now on.
         slog::info!(node.log, "job is held"; "job" => &object.name, "holder" => %holder.peer);
         node.notify(holder.peer, PeerRequest::Adopt(object.name.clone(), Handoff::default()));
-        node.jobs.on_status(Status {
+        node.jobs.on_status(JobStatus {
             job: object.name.clone(),
             holder: former,
             data_centre: holder.data_centre,
