--- a/crates/daemon/src/gateway/account/lease.rs
+++ b/crates/daemon/src/gateway/account/lease.rs
@@ -61,7 +61,9 @@
             Some(Keeper::Here) => {
                 self.node.accounts.ledger.borrow_mut().on_overdue(&target, clock::now());
             }
-            Some(Keeper::At(address)) => self.node.notify(address, PeerRequest::Doubt(target)),
+            Some(Keeper::At(address)) => {
+                self.node.notify(address, PeerRequest::TargetOverdue(target))
+            }
             Some(Keeper::Nobody) | None => {}
         }
     }
--- a/crates/daemon/src/gateway/account/report.rs
+++ b/crates/daemon/src/gateway/account/report.rs
@@ -55,7 +55,7 @@
         if keeper.id == node.id() {
             node.accounts.ledger.borrow_mut().on_lease_report(keeper.id, &held, clock::now());
         } else {
-            node.notify(keeper.peer, PeerRequest::Held(node.id(), held));
+            node.notify(keeper.peer, PeerRequest::LeaseReport(node.id(), held));
         }
     }
 }
--- a/crates/daemon/src/gateway/account/wait.rs
+++ b/crates/daemon/src/gateway/account/wait.rs
@@ -156,7 +156,7 @@
             match keeper(&self.node, data_centre) {
                 Some(keeper) if keeper.id == request.0 => kept::on_withdrawn(&self.node, request),
                 Some(keeper) => {
-                    self.node.notify(keeper.peer, PeerRequest::Withdraw(request.0, request.1))
+                    self.node.notify(keeper.peer, PeerRequest::CancelSlots(request.0, request.1))
                 }
                 None => {}
             }
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -315,7 +315,7 @@
 /// Learns how jobs stand from one instance; `false` when it didn't answer.
 pub async fn fetch_statuses_from(node: &Rc<Node>, address: SocketAddr, filter: JobFilter) -> bool {
     let is_open_only = matches!(filter, JobFilter::Open(_));
-    let ask = PeerRequest::Directory(filter);
+    let ask = PeerRequest::ListJobs(filter);
     let reply = node.request(address, &ask, peers::PING_TIMEOUT).await;
     let Ok(PeerReply::Statuses(statuses)) = reply else {
         return false;
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -333,7 +333,7 @@
 ) -> Option<PeerReply> {
     let address = node.members.borrow().get(holder).map(|member| member.peer)?;
     match node.request(address, &ask, limit).await {
-        Ok(PeerReply::NotHere) => None,
+        Ok(PeerReply::NotOwner) => None,
         Ok(reply) => Some(reply),
         Err(fault) => {
             slog::info!(node.log, "holder silent"; "holder" => %address, "fault" => ?fault);
@@ -349,7 +349,7 @@
             let (total, outcomes) = held_results(&held, from, wait.min(LONGEST_HOLD)).await;
             PeerReply::Results(total, outcomes)
         }
-        None => PeerReply::NotHere,
+        None => PeerReply::NotOwner,
     }
 }
 
@@ -357,15 +357,15 @@
 pub fn on_body(node: &Node, id: &str, item: &str) -> PeerReply {
     match node.jobs.held_job(id) {
         Some(held) => PeerReply::Body(body_in(held.state.borrow().job(), item)),
-        None => PeerReply::NotHere,
+        None => PeerReply::NotOwner,
     }
 }
 
 /// The end of a job for another instance.
 pub async fn on_end(node: &Rc<Node>, id: &str) -> PeerReply {
     match node.jobs.held_job(id) {
-        None => PeerReply::NotHere,
+        None => PeerReply::NotOwner,
         Some(held) if end_held(node, &held).await => PeerReply::Done,
-        Some(_) => PeerReply::Away,
+        Some(_) => PeerReply::Unavailable,
     }
 }
--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/keeper.rs
@@ -45,7 +45,7 @@
         let may_wait = grants.is_empty() && !wait.is_zero();
         match serve(node, &request.data_centre, ask(may_wait), request.id, wait).await {
             Served::Grant(grant) => grants.push(grant),
-            Served::NotHere => return PeerReply::NotHere,
+            Served::NotHere => return PeerReply::NotOwner,
             Served::Full(after) if grants.is_empty() && request.purpose == Purpose::Online => {
                 return PeerReply::Full(after.as_millis() as u64);
             }
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -144,13 +144,16 @@
     /// Slots.
     Slots(SlotRequest),
     /// A wish that waits is withdrawn: its asker has a slot elsewhere, or has gone.
-    Withdraw(InstanceId, SlotRequestId),
+    #[serde(rename = "Withdraw")]
+    CancelSlots(InstanceId, SlotRequestId),
     /// A lease is given back.
     Release(LeaseId, LeaseReport),
     /// Somebody waits in vain for a first event at a target.
-    Doubt(TargetId),
+    #[serde(rename = "Doubt")]
+    TargetOverdue(TargetId),
     /// All leases that an instance holds at this account.
-    Held(InstanceId, Vec<HeldLease>),
+    #[serde(rename = "Held")]
+    LeaseReport(InstanceId, Vec<HeldLease>),
     /// A batch lease must be given back at once.
     Revoke(LeaseId),
     /// How far the sender is; the reply brings what it lacks.
@@ -175,7 +178,8 @@
     /// How jobs stand.
     Statuses(Vec<JobStatus>),
     /// The jobs that the receiver knows of.
-    Directory(JobFilter),
+    #[serde(rename = "Directory")]
+    ListJobs(JobFilter),
     /// A submission that the sender can't put on the platform itself: host,
     /// path, id and body.
     Submit {
@@ -195,7 +199,8 @@
     /// The end of a job.
     End(JobId),
     /// The receiver should hold the job; with what another holder has learnt of it.
-    Adopt(JobId, Handoff),
+    #[serde(rename = "Adopt")]
+    TakeOver(JobId, Handoff),
     /// May a held request be tried? The receiver decides for it.
     Trial(ContentId),
     /// Strikes of requests that have several.
@@ -210,7 +215,8 @@
     /// No slot is free; one is expected after this many milliseconds.
     Full(u64),
     /// The receiver keeps no such account, or holds no such job.
-    NotHere,
+    #[serde(rename = "NotHere")]
+    NotOwner,
     /// Done.
     Done,
     /// What the asker lacked.
@@ -240,7 +246,8 @@
     /// Strikes of requests that have several.
     Strikes(Vec<Strike>),
     /// It can't be done now.
-    Away,
+    #[serde(rename = "Away")]
+    Unavailable,
 }
 
 /// How a submission ended.
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -67,7 +67,7 @@
     async fn ask(&self, body: Vec<u8>) -> Vec<u8> {
         let reply = match decode::<PeerRequest>(&body) {
             Some(ask) => answer(&self.node, ask).await,
-            None => PeerReply::Away,
+            None => PeerReply::Unavailable,
         };
         encode(&reply)
     }
@@ -81,7 +81,7 @@
 async fn answer(node: &Rc<Node>, ask: PeerRequest) -> PeerReply {
     match ask {
         PeerRequest::Slots(request) => keeper::on_wish(node, request).await,
-        PeerRequest::Withdraw(from, id) => {
+        PeerRequest::CancelSlots(from, id) => {
             keeper::on_withdrawn(node, (from, id));
             PeerReply::Done
         }
@@ -89,11 +89,11 @@
             keeper::on_release(node, lease, report);
             PeerReply::Done
         }
-        PeerRequest::Doubt(target) => {
+        PeerRequest::TargetOverdue(target) => {
             keeper::on_doubt(node, &target);
             PeerReply::Done
         }
-        PeerRequest::Held(from, held) => {
+        PeerRequest::LeaseReport(from, held) => {
             keeper::on_held(node, from, &held);
             PeerReply::Done
         }
@@ -119,7 +119,7 @@
             statuses.into_iter().for_each(|status| job_table::on_status(node, status));
             PeerReply::Done
         }
-        PeerRequest::Directory(filter) => {
+        PeerRequest::ListJobs(filter) => {
             PeerReply::Statuses(job_table::statuses_for(node, &filter))
         }
         PeerRequest::Submit { host, path, job, body } => {
@@ -130,7 +130,7 @@
         }
         PeerRequest::Body(job, item) => jobs::on_body(node, &job, &item),
         PeerRequest::End(job) => jobs::on_end(node, &job).await,
-        PeerRequest::Adopt(job, learnt) => {
+        PeerRequest::TakeOver(job, learnt) => {
             let node = node.clone();
             // The asker doesn't wait: it may be about to stop.
             spawn_local(async move { takeover::take_over_with_retry(&node, &job, learnt).await });
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -258,7 +258,7 @@
         takeover::take_over_with_retry(node, id, Handoff::default()).await;
         return Ok(());
     };
-    let ask = PeerRequest::Adopt(id.to_owned(), Handoff::default());
+    let ask = PeerRequest::TakeOver(id.to_owned(), Handoff::default());
     let told = node.request(member.peer, &ask, TELL_LIMIT).await;
     told.map(|_| ()).map_err(|fault| format!("{fault:?}"))
 }
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -156,7 +156,7 @@
             }
             return take_over(node, id, learnt.clone()).await.is_some();
         }
-        let ask = PeerRequest::Adopt(id.to_owned(), learnt.clone());
+        let ask = PeerRequest::TakeOver(id.to_owned(), learnt.clone());
         if node.request(member.peer, &ask, HANDOFF_TIMEOUT).await.is_ok() {
             slog::info!(node.log, "job passed on"; "job" => id, "to" => %member.peer,
                 "partials" => learnt.partials.len(), "failures" => learnt.failures.len(),
@@ -243,7 +243,7 @@
         return;
     }
     let until = clock::now() + SEND_HANDOFF_TIMEOUT;
-    let ask = PeerRequest::Adopt(id.clone(), learnt);
+    let ask = PeerRequest::TakeOver(id.clone(), learnt);
     while clock::now() < until {
         if node.request(holder.address, &ask, HANDOFF_TIMEOUT).await.is_ok() {
             slog::info!(node.log, "what was learnt passed on"; "job" => &id,
@@ -306,7 +306,7 @@
         // Others were faster: whoever holds it now is told, in case it doesn't
         // know, and asked from now on.
         slog::info!(node.log, "job is held"; "job" => &object.name, "holder" => %holder.peer);
-        node.notify(holder.peer, PeerRequest::Adopt(object.name.clone(), Handoff::default()));
+        node.notify(holder.peer, PeerRequest::TakeOver(object.name.clone(), Handoff::default()));
         node.jobs.on_status(JobStatus {
             job: object.name.clone(),
             holder: former,
