--- a/crates/daemon/src/gateway/keeper.rs
+++ b/crates/daemon/src/gateway/allocator.rs
@@ -3,7 +3,7 @@
 //! What is decided is decided by [`coordination::slots::Ledger`]; here its
 //! verdicts are carried to those who asked, who wait, or who must give way.
 
-use super::account::keeper;
+use super::leases::allocator_owner;
 use super::message::{PeerReply, PeerRequest, SlotRequest, SlotRequestId};
 use super::node::Node;
 use super::wake;
@@ -149,7 +149,8 @@
         let places = registry.usable().map(|target| target.data_centre.clone());
         *accounts.places.borrow_mut() = places.collect();
     }
-    let is_mine = |name: &&DataCentreId| keeper(node, name).is_some_and(|m| m.id == node.id());
+    let is_mine =
+        |name: &&DataCentreId| allocator_owner(node, name).is_some_and(|m| m.id == node.id());
     let kept: BTreeSet<DataCentreId> =
         accounts.places.borrow().iter().filter(is_mine).cloned().collect();
     let mut ledger = accounts.ledger.borrow_mut();
--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -97,7 +97,7 @@
     let addresses: Vec<SocketAddr> = registry.usable().map(|target| target.address).collect();
     drop(registry);
     node.targets.retain(|address| addresses.contains(&address));
-    super::keeper::pump(node);
+    super::allocator::pump(node);
     node.jobs.wake();
 }
 
--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -2,8 +2,8 @@
 
 mod run;
 
-use super::account::{self, Lease};
 use super::job_table::{HeldJob, route_of};
+use super::leases::{self, Lease};
 use super::node::{Node, millis};
 use super::{job_writer, takeover};
 use coordination::hash;
@@ -41,7 +41,7 @@
             continue;
         }
         for service in services(&node) {
-            for place in account::data_centres(&node, &service) {
+            for place in leases::data_centres(&node, &service) {
                 let key = (place, service.clone());
                 if node.jobs.filling.borrow_mut().insert(key.clone()) {
                     spawn_local(fill(node.clone(), key.0, key.1, stop.clone()));
@@ -125,13 +125,13 @@
     service: &'a str,
     held: &HeldJob,
     most: usize,
-) -> account::Batch<'a> {
+) -> leases::Batch<'a> {
     let now = millis();
     let state = held.state.borrow();
     let made = state.next_event_count().unwrap_or_default();
     let until = |at: Millis| Duration::from_millis(at.saturating_sub(now));
     let (sure, in_time) = latest(node, &state);
-    account::Batch {
+    leases::Batch {
         data_centre,
         service,
         due: until(state.job().due),
@@ -154,7 +154,7 @@
         let most = alike(&node, &waiting).clamp(1, MOST_SLOTS);
         let want = want(&node, &place, &service, first, most);
         drop(waiting);
-        match account::acquire_batch(&node, want).await {
+        match leases::acquire_batch(&node, want).await {
             Some(leases) => leases.into_iter().for_each(|lease| start(&node, &service, lease)),
             None => tokio::time::sleep(SLOT_PAUSE).await,
         }
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -1,9 +1,9 @@
 //! One run of one item on a slot: sends it, takes its events, and says how it ended.
 
 use crate::clock;
-use crate::gateway::account::Lease;
 use crate::gateway::crash::{self, Broken, hex};
 use crate::gateway::job_table::HeldJob;
+use crate::gateway::leases::Lease;
 use crate::gateway::node::{Node, millis};
 use crate::gateway::online::{is_not_run, is_own, refusal_of};
 use crate::gateway::quarantine::{self, Admission};
--- a/crates/daemon/src/gateway/account.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -9,7 +9,7 @@
 pub use lease::Lease;
 pub use report::report;
 
-use super::keeper;
+use super::allocator;
 use super::message::{PeerReply, PeerRequest, SlotRequest, SlotRequestId};
 use super::node::Node;
 use crate::clock;
@@ -121,7 +121,7 @@
 
 /// The member that keeps the account of a data centre: one of the strongest of that
 /// data centre, or of all if none of its own is left.
-pub fn keeper(node: &Node, data_centre: &str) -> Option<Member> {
+pub fn allocator_owner(node: &Node, data_centre: &str) -> Option<Member> {
     let members = node.members.borrow();
     let choose = |own_only: bool| {
         let fits = |m: &&Member| !own_only || m.data_centre == data_centre;
@@ -276,18 +276,18 @@
 
 async fn answer(node: &Rc<Node>, visit: &Visit) -> Answer {
     let now = clock::now();
-    let Some(keeper) = keeper(node, &visit.data_centre) else {
+    let Some(keeper) = allocator_owner(node, &visit.data_centre) else {
         return Answer::Silent;
     };
     if keeper.id == node.id() {
         let Visit { data_centre, ask, id, wait } = visit;
-        return match keeper::serve(node, data_centre, ask.clone(), *id, *wait).await {
-            keeper::Served::Grant(grant) => {
+        return match allocator::serve(node, data_centre, ask.clone(), *id, *wait).await {
+            allocator::Served::Grant(grant) => {
                 Answer::Lease(hold(node, grant, Purpose::Online, Keeper::Here))
             }
-            keeper::Served::Full(after) => Answer::Full(after),
-            keeper::Served::Pending => Answer::Pending,
-            keeper::Served::NotHere => Answer::Silent,
+            allocator::Served::Full(after) => Answer::Full(after),
+            allocator::Served::Pending => Answer::Pending,
+            allocator::Served::NotHere => Answer::Silent,
         };
     }
     if node.is_shunned(keeper.peer, now) {
--- a/crates/daemon/src/gateway/account/batch.rs
+++ b/crates/daemon/src/gateway/leases/batch.rs
@@ -1,9 +1,9 @@
 //! Slots for batch: asked of one account at a time, several at once.
 
 use super::lease::{Keeper, hold, take};
-use super::{ANSWER, Lease, keeper};
+use super::{ANSWER, Lease, allocator_owner};
 use crate::clock;
-use crate::gateway::keeper as kept;
+use crate::gateway::allocator;
 use crate::gateway::message::{PeerReply, PeerRequest, SlotRequest};
 use crate::gateway::node::Node;
 use coordination::slots::Purpose;
@@ -35,7 +35,7 @@
 /// Asks the account of a data centre for slots for batch, and waits for them.
 pub async fn acquire_batch(node: &Rc<Node>, want: Batch<'_>) -> Option<Vec<Lease>> {
     let Batch { data_centre, service, due, in_time, sure, left, is_begun, most, wait } = want;
-    let keeper = keeper(node, data_centre)?;
+    let keeper = allocator_owner(node, data_centre)?;
     let now = clock::now();
     let request = SlotRequest {
         from: node.id(),
@@ -57,7 +57,7 @@
     let at = keeper.peer;
     let is_here = keeper.id == node.id();
     let reply = if is_here {
-        kept::on_wish(node, request).await
+        allocator::on_wish(node, request).await
     } else if node.is_shunned(at, now) {
         return None;
     } else {
--- a/crates/daemon/src/gateway/account/lease.rs
+++ b/crates/daemon/src/gateway/leases/lease.rs
@@ -1,7 +1,7 @@
 //! Leases in use here: each gives itself back to the account that granted it.
 
 use crate::clock;
-use crate::gateway::keeper;
+use crate::gateway::allocator;
 use crate::gateway::message::{PeerRequest, Update};
 use crate::gateway::node::Node;
 use coordination::slots::{Grant, HeldLease, LeaseOutcome, LeaseReport, Purpose};
@@ -75,7 +75,7 @@
             return;
         };
         match out.keeper {
-            Keeper::Here => keeper::on_release(&self.node, self.grant.lease, self.report),
+            Keeper::Here => allocator::on_release(&self.node, self.grant.lease, self.report),
             Keeper::At(address) => {
                 self.node.notify(address, PeerRequest::Release(self.grant.lease, self.report));
             }
--- a/crates/daemon/src/gateway/account/report.rs
+++ b/crates/daemon/src/gateway/leases/report.rs
@@ -1,8 +1,8 @@
 //! Reports of the leases held here, from which accounts mend what was lost.
 
-use super::keeper;
+use super::allocator_owner;
 use crate::clock;
-use crate::gateway::keeper as kept;
+use crate::gateway::allocator;
 use crate::gateway::message::PeerRequest;
 use crate::gateway::node::Node;
 use coordination::slots::HeldLease;
@@ -24,7 +24,7 @@
             () = tokio::time::sleep(REPORT_EVERY / 4) => {}
             () = stop.cancelled() => return,
         }
-        kept::refresh(&node);
+        allocator::refresh(&node);
         let is_due = clock::since(last) >= REPORT_EVERY;
         if is_due {
             last = clock::now();
@@ -38,7 +38,7 @@
     let names: BTreeSet<DataCentreId> =
         registry.usable().map(|target| target.data_centre.clone()).collect();
     for name in names {
-        let Some(keeper) = keeper(node, &name) else {
+        let Some(keeper) = allocator_owner(node, &name) else {
             continue;
         };
         let is_new = told.insert(name.clone(), keeper.id) != Some(keeper.id);
--- a/crates/daemon/src/gateway/account/wait.rs
+++ b/crates/daemon/src/gateway/leases/wait.rs
@@ -2,9 +2,9 @@
 //! the others, a wait there too. The first slot counts, the other places are given
 //! up.
 
-use super::{Answer, Outcome, Refusal, Visit, Want, ask, keeper};
+use super::{Answer, Outcome, Refusal, Visit, Want, allocator_owner, ask};
 use crate::clock;
-use crate::gateway::keeper as kept;
+use crate::gateway::allocator;
 use crate::gateway::message::{PeerRequest, SlotRequestId};
 use crate::gateway::node::Node;
 use futures_util::StreamExt;
@@ -153,8 +153,10 @@
         }
         for (data_centre, id) in &self.pending {
             let request = (self.node.id(), *id);
-            match keeper(&self.node, data_centre) {
-                Some(keeper) if keeper.id == request.0 => kept::on_withdrawn(&self.node, request),
+            match allocator_owner(&self.node, data_centre) {
+                Some(keeper) if keeper.id == request.0 => {
+                    allocator::on_withdrawn(&self.node, request)
+                }
                 Some(keeper) => {
                     self.node.notify(keeper.peer, PeerRequest::CancelSlots(request.0, request.1))
                 }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -10,7 +10,7 @@
 //! | --- | --- |
 //! | [`front`] | callers' requests: which route, which call |
 //! | [`online`], [`streaming`] | one request at a time; streams, resumed where they broke |
-//! | [`account`], [`keeper`] | slots: asks for leases; keeps the account of a data centre |
+//! | [`leases`], [`allocator`] | slots: asks for leases; keeps the account of a data centre |
 //! | [`submit`], [`jobs`] | batch jobs: submissions, and calls about accepted ones |
 //! | [`crash`], [`quarantine`] | whether a target whose answer broke off has crashed; requests that crash their targets |
 //! | [`job_table`], [`job_writer`], [`items`] | jobs known here; results made durable; runs of items |
@@ -23,7 +23,7 @@
 //! | [`store`], [`job_store`] | the platform's store with a breaker in front; how jobs lie there |
 //! | [`measure`] | counters and histograms as text |
 
-pub mod account;
+pub mod allocator;
 pub mod anti_entropy;
 pub mod broadcast;
 pub mod cause;
@@ -36,7 +36,7 @@
 pub mod job_table;
 pub mod job_writer;
 pub mod jobs;
-pub mod keeper;
+pub mod leases;
 pub mod measure;
 pub mod message;
 pub mod node;
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -1,9 +1,9 @@
 //! What one instance of the gateway knows.
 
-use super::account::Accounts;
 use super::broadcast::Outbox;
 use super::crash::Inquiries;
 use super::job_table::JobTable;
+use super::leases::Accounts;
 use super::measure::Measure;
 use super::message::{Connectivity, PeerReply, PeerRequest, StateDigest, Uptime, decode, encode};
 use super::store::PlatformStore;
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -4,9 +4,9 @@
 
 pub use attempt::{is_not_run, is_own, refusal_of};
 
-use super::account::{self, Lease, Refusal, Want};
 use super::crash::{self, Broken, hex};
 use super::front::{Call, refusal, text};
+use super::leases::{self, Lease, Refusal, Want};
 use super::node::{Config, Node};
 use super::quarantine::{self, Admission};
 use super::streaming;
@@ -303,7 +303,7 @@
         let (in_time_until, until) = self.window(after.is_some(), clock::now());
         let want =
             Want { service: self.service.clone(), in_time_until, until, avoid: self.avoid.clone() };
-        let result = account::acquire(&self.node, &want).await;
+        let result = leases::acquire(&self.node, &want).await;
         self.slot_wait.set(clock::since(self.call.started));
         result
     }
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::{Begun, Forward};
 use crate::clock;
-use crate::gateway::account::Lease;
+use crate::gateway::leases::Lease;
 use bytes::Bytes;
 use coordination::slots::LeaseOutcome;
 use http_body_util::Full;
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -3,7 +3,7 @@
 use super::message::{Connectivity, PeerReply, PeerRequest, StateDigest, decode, encode};
 use super::node::Node;
 use super::{
-    broadcast, job_table, jobs, keeper, platform_health, quarantine, submit, takeover, watch,
+    allocator, broadcast, job_table, jobs, platform_health, quarantine, submit, takeover, watch,
 };
 use crate::clock;
 use coordination::membership::{Member, Note, State, Table};
@@ -80,21 +80,21 @@
 
 async fn answer(node: &Rc<Node>, ask: PeerRequest) -> PeerReply {
     match ask {
-        PeerRequest::Slots(request) => keeper::on_wish(node, request).await,
+        PeerRequest::Slots(request) => allocator::on_wish(node, request).await,
         PeerRequest::CancelSlots(from, id) => {
-            keeper::on_withdrawn(node, (from, id));
+            allocator::on_withdrawn(node, (from, id));
             PeerReply::Done
         }
         PeerRequest::Release(lease, report) => {
-            keeper::on_release(node, lease, report);
+            allocator::on_release(node, lease, report);
             PeerReply::Done
         }
         PeerRequest::TargetOverdue(target) => {
-            keeper::on_doubt(node, &target);
+            allocator::on_doubt(node, &target);
             PeerReply::Done
         }
         PeerRequest::LeaseReport(from, held) => {
-            keeper::on_held(node, from, &held);
+            allocator::on_held(node, from, &held);
             PeerReply::Done
         }
         PeerRequest::Revoke(lease) => {
@@ -208,7 +208,7 @@
     slog::info!(node.log, "members"; "version" => members.version(), "alive" => alive,
         "doubtful" => ?doubtful, "lost" => members.losses());
     drop(members);
-    keeper::pump(node);
+    allocator::pump(node);
 }
 
 /// Sends heartbeats and news until `stop`.
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -5,8 +5,8 @@
 use super::node::Node;
 use super::peers::{PING_TIMEOUT, PeerHandler};
 use super::{
-    account, anti_entropy, discovery, items, job_scan, peers, platform_health, quarantine,
-    takeover, wake, watch,
+    anti_entropy, discovery, items, job_scan, leases, peers, platform_health, quarantine, takeover,
+    wake, watch,
 };
 use crate::clock;
 use crate::start;
@@ -73,7 +73,7 @@
     spawn_local(wake::run(node.clone(), stop.clone()));
     spawn_local(discovery::run(node.clone(), stop.clone()));
     spawn_local(anti_entropy::run(node.clone(), stop.clone()));
-    spawn_local(account::report(node.clone(), stop.clone()));
+    spawn_local(leases::report(node.clone(), stop.clone()));
     spawn_local(items::run(node.clone(), stop.clone()));
     spawn_local(takeover::run(node.clone(), stop.clone()));
     spawn_local(quarantine::keep(node.clone(), stop.clone()));
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -1,9 +1,9 @@
 //! Streams: events are passed on as they come, and a stream that may be resumed
 //! goes on at another target where it broke.
 
-use super::account::{Lease, Refusal};
 use super::crash::hex;
 use super::front::Call;
+use super::leases::{Lease, Refusal};
 use super::node::Node;
 use super::online::{Begun, Failed, Forward, InHand, head_of, respond};
 use crate::clock;
