--- a/crates/daemon/src/gateway/allocator.rs
+++ b/crates/daemon/src/gateway/allocator.rs
@@ -52,7 +52,7 @@
             Served::Full(_) | Served::Pending => break,
         }
     }
-    PeerReply::Slots(grants, node.accounts.ledger.borrow().run_time())
+    PeerReply::Slots(grants, node.leases.allocator.borrow().run_time())
 }
 
 /// The answer to one wish.
@@ -76,10 +76,10 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        let accounts = &self.node.accounts;
-        accounts.pending.borrow_mut().remove(&self.request);
-        if accounts.waiters.borrow_mut().remove(&self.id).is_some() {
-            accounts.ledger.borrow_mut().on_waiter_gone(self.id);
+        let leases = &self.node.leases;
+        leases.pending.borrow_mut().remove(&self.request);
+        if leases.waiters.borrow_mut().remove(&self.id).is_some() {
+            leases.allocator.borrow_mut().on_waiter_gone(self.id);
         }
     }
 }
@@ -87,13 +87,13 @@
 /// A wish that waits here is withdrawn; one that was granted meanwhile isn't
 /// found, and its asker gives the lease back.
 pub fn on_withdrawn(node: &Node, request: (InstanceId, SlotRequestId)) {
-    let accounts = &node.accounts;
-    let Some(id) = accounts.pending.borrow_mut().remove(&request) else {
+    let leases = &node.leases;
+    let Some(id) = leases.pending.borrow_mut().remove(&request) else {
         return;
     };
-    accounts.ledger.borrow_mut().on_waiter_gone(id);
+    leases.allocator.borrow_mut().on_waiter_gone(id);
     // Ends the wait: its asker is answered that it got none.
-    drop(accounts.waiters.borrow_mut().remove(&id));
+    drop(leases.waiters.borrow_mut().remove(&id));
 }
 
 /// Asks an account kept here; waits up to `wait` if the wish may wait.
@@ -105,11 +105,11 @@
     wait: Duration,
 ) -> Served {
     refresh(node);
-    if !node.accounts.kept.borrow().contains(data_centre) {
+    if !node.leases.owned.borrow().contains(data_centre) {
         return Served::NotHere;
     }
     let request = (ask.holder, request_id);
-    let verdict = node.accounts.ledger.borrow_mut().on_request(ask, clock::now());
+    let verdict = node.leases.allocator.borrow_mut().on_request(ask, clock::now());
     match verdict {
         Decision::Granted(grant, revocation) => {
             revocation.into_iter().for_each(|revocation| revoke(node, revocation));
@@ -119,8 +119,8 @@
         Decision::NoTarget => Served::NotHere,
         Decision::Queued(id) => {
             let (sender, receiver) = oneshot::channel();
-            node.accounts.waiters.borrow_mut().insert(id, sender);
-            node.accounts.pending.borrow_mut().insert(request, id);
+            node.leases.waiters.borrow_mut().insert(id, sender);
+            node.leases.pending.borrow_mut().insert(request, id);
             let place = Place { node: node.clone(), id, request };
             look(node);
             let answer = tokio::time::timeout(wait, receiver).await;
@@ -137,44 +137,45 @@
 /// Sets the accounts for the members and targets known now.
 pub fn refresh(node: &Rc<Node>) {
     wake::look(node);
-    let seen = (node.members.borrow().version(), node.registry.borrow().version());
-    let accounts = &node.accounts;
-    let before = accounts.seen.replace(seen);
-    if before == seen {
+    let versions = (node.members.borrow().version(), node.registry.borrow().version());
+    let leases = &node.leases;
+    let before = leases.seen_versions.replace(versions);
+    if before == versions {
         return;
     }
     let registry = node.registry.borrow();
-    let has_new_targets = before.1 != seen.1;
+    let has_new_targets = before.1 != versions.1;
     if has_new_targets {
-        let places = registry.usable().map(|target| target.data_centre.clone());
-        *accounts.places.borrow_mut() = places.collect();
+        let names = registry.usable().map(|target| target.data_centre.clone());
+        *leases.data_centres.borrow_mut() = names.collect();
     }
     let is_mine =
         |name: &&DataCentreId| allocator_owner(node, name).is_some_and(|m| m.id == node.id());
-    let kept: BTreeSet<DataCentreId> =
-        accounts.places.borrow().iter().filter(is_mine).cloned().collect();
-    let mut ledger = accounts.ledger.borrow_mut();
-    let is_new = |name: &DataCentreId| !accounts.kept.borrow().contains(name);
-    if kept.iter().any(is_new) {
-        slog::info!(node.log, "keeps accounts"; "data_centres" => ?kept, "members" => seen.0);
-        ledger.start_settling(clock::now());
+    let owned: BTreeSet<DataCentreId> =
+        leases.data_centres.borrow().iter().filter(is_mine).cloned().collect();
+    let mut allocator = leases.allocator.borrow_mut();
+    let is_new = |name: &DataCentreId| !leases.owned.borrow().contains(name);
+    if owned.iter().any(is_new) {
+        slog::info!(node.log, "keeps accounts"; "data_centres" => ?owned, "members" => versions.0);
+        allocator.start_settling(clock::now());
     }
     // Members change often when a fleet starts, and there may be many targets.
-    if has_new_targets || *accounts.kept.borrow() != kept {
-        ledger.set_targets(registry.usable().filter(|target| kept.contains(&target.data_centre)));
+    if has_new_targets || *leases.owned.borrow() != owned {
+        allocator
+            .set_targets(registry.usable().filter(|target| owned.contains(&target.data_centre)));
     }
     let members = node.members.borrow();
-    for holder in ledger.holders() {
+    for holder in allocator.holders() {
         if members.is_dead(holder) {
-            ledger.on_holder_lost(holder);
+            allocator.on_holder_lost(holder);
         }
     }
-    *accounts.kept.borrow_mut() = kept;
+    *leases.owned.borrow_mut() = owned;
 }
 
 fn revoke(node: &Rc<Node>, revocation: Revocation) {
     if revocation.holder == node.id() {
-        node.accounts.on_revoked(revocation.lease);
+        node.leases.on_revoked(revocation.lease);
         return;
     }
     let address = node.members.borrow().get(revocation.holder).map(|member| member.peer);
@@ -185,22 +186,22 @@
 
 /// A lease of an account kept here was given back.
 pub fn on_release(node: &Rc<Node>, lease: LeaseId, report: LeaseReport) {
-    node.accounts.ledger.borrow_mut().on_release(lease, report, clock::now());
+    node.leases.allocator.borrow_mut().on_release(lease, report, clock::now());
     pump(node);
 }
 
 /// Somebody waits in vain for a first event at a target.
 pub fn on_doubt(node: &Rc<Node>, target: &str) {
-    node.accounts.ledger.borrow_mut().on_overdue(target, clock::now());
+    node.leases.allocator.borrow_mut().on_overdue(target, clock::now());
 }
 
 /// A holder reports all that it holds.
 pub fn on_held(node: &Rc<Node>, holder: InstanceId, held: &[HeldLease]) {
     refresh(node);
     let revocations = {
-        let mut ledger = node.accounts.ledger.borrow_mut();
-        ledger.on_lease_report(holder, held, clock::now());
-        ledger.revoke_excess()
+        let mut allocator = node.leases.allocator.borrow_mut();
+        allocator.on_lease_report(holder, held, clock::now());
+        allocator.revoke_excess()
     };
     revocations.into_iter().for_each(|revocation| revoke(node, revocation));
     pump(node);
@@ -210,19 +211,19 @@
 pub fn pump(node: &Rc<Node>) {
     refresh(node);
     loop {
-        let grants = node.accounts.ledger.borrow_mut().next_grants(clock::now());
+        let grants = node.leases.allocator.borrow_mut().next_grants(clock::now());
         if grants.is_empty() {
             return;
         }
         for (waiter, grant, revocation) in grants {
             revocation.into_iter().for_each(|revocation| revoke(node, revocation));
-            let sender = node.accounts.waiters.borrow_mut().remove(&waiter);
+            let sender = node.leases.waiters.borrow_mut().remove(&waiter);
             let lease = grant.lease;
             let is_taken = sender.is_some_and(|sender| sender.send(Ok(grant)).is_ok());
             if !is_taken {
                 let unused =
                     LeaseReport { outcome: LeaseOutcome::Unused, ..LeaseReport::default() };
-                node.accounts.ledger.borrow_mut().on_release(lease, unused, clock::now());
+                node.leases.allocator.borrow_mut().on_release(lease, unused, clock::now());
             }
         }
     }
@@ -230,23 +231,23 @@
 
 /// Looks after those that wait until nobody does.
 fn look(node: &Rc<Node>) {
-    if node.accounts.is_looking.replace(true) {
+    if node.leases.is_looking.replace(true) {
         return;
     }
     let node = node.clone();
     spawn_local(async move {
-        while !node.accounts.waiters.borrow().is_empty() {
+        while !node.leases.waiters.borrow().is_empty() {
             tokio::time::sleep(WAITER_CHECK_INTERVAL).await;
             wake::look(&node);
-            let refused = node.accounts.ledger.borrow_mut().take_unserviceable(clock::now());
+            let refused = node.leases.allocator.borrow_mut().take_unserviceable(clock::now());
             for (waiter, after) in refused {
-                if let Some(sender) = node.accounts.waiters.borrow_mut().remove(&waiter) {
+                if let Some(sender) = node.leases.waiters.borrow_mut().remove(&waiter) {
                     // Whoever waited may have gone in this moment.
                     let _gone = sender.send(Err(after));
                 }
             }
             pump(&node);
         }
-        node.accounts.is_looking.set(false);
+        node.leases.is_looking.set(false);
     });
 }
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -16,7 +16,7 @@
 use coordination::membership::Member;
 use coordination::slots::{self, Allocator, Grant, LeaseId, Policy, Purpose, WaiterId};
 use coordination::{capacity, hash};
-use lease::{Keeper, Out, hold, take};
+use lease::{ActiveLease, Grantor, hold, take};
 use protocol::{DataCentreId, InstanceId, TargetId};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -60,36 +60,36 @@
 }
 
 /// Leases that this instance holds, and the accounts that it keeps.
-pub struct Accounts {
-    pub(super) ledger: RefCell<Allocator>,
-    pub(super) kept: RefCell<BTreeSet<DataCentreId>>,
+pub struct Leases {
+    pub(super) allocator: RefCell<Allocator>,
+    pub(super) owned: RefCell<BTreeSet<DataCentreId>>,
     /// Versions of members and targets that the ledger was last set for.
-    pub(super) seen: Cell<(u64, u64)>,
+    pub(super) seen_versions: Cell<(u64, u64)>,
     /// Data centres with targets, as of the version seen.
-    pub(super) places: RefCell<BTreeSet<DataCentreId>>,
+    pub(super) data_centres: RefCell<BTreeSet<DataCentreId>>,
     pub(super) waiters: RefCell<HashMap<WaiterId, oneshot::Sender<Result<Grant, Duration>>>>,
     pub(super) is_looking: Cell<bool>,
     /// Wishes that wait in the accounts kept here.
     pub(super) pending: RefCell<HashMap<(InstanceId, SlotRequestId), WaiterId>>,
-    out: RefCell<HashMap<LeaseId, Out>>,
+    active: RefCell<HashMap<LeaseId, ActiveLease>>,
     next_own: Cell<LeaseId>,
     next_request_id: Cell<SlotRequestId>,
 }
 
-impl Accounts {
+impl Leases {
     /// No leases and no accounts.
-    pub fn new(id: InstanceId, policy: Policy, now: Instant) -> Accounts {
+    pub fn new(id: InstanceId, policy: Policy, now: Instant) -> Leases {
         // Ids differ between accounts: the upper half comes from the keeper.
         let seed = (id << 32) & !OWN;
-        Accounts {
-            ledger: RefCell::new(Allocator::new(policy, seed, now)),
-            kept: RefCell::default(),
-            seen: Cell::new((u64::MAX, u64::MAX)),
-            places: RefCell::default(),
+        Leases {
+            allocator: RefCell::new(Allocator::new(policy, seed, now)),
+            owned: RefCell::default(),
+            seen_versions: Cell::new((u64::MAX, u64::MAX)),
+            data_centres: RefCell::default(),
             waiters: RefCell::default(),
             is_looking: Cell::new(false),
             pending: RefCell::default(),
-            out: RefCell::default(),
+            active: RefCell::default(),
             next_own: Cell::new(seed | OWN),
             next_request_id: Cell::default(),
         }
@@ -103,18 +103,18 @@
 
     /// Leases of the accounts kept here: online and batch.
     pub fn in_use(&self) -> [u32; 2] {
-        self.ledger.borrow().in_use()
+        self.allocator.borrow().in_use()
     }
 
     /// Leases that this instance holds.
     pub fn held(&self) -> usize {
-        self.out.borrow().len()
+        self.active.borrow().len()
     }
 
     /// Asks the holder of a lease here to stop.
     pub fn on_revoked(&self, lease: LeaseId) {
-        if let Some(out) = self.out.borrow().get(&lease) {
-            out.stop.cancel();
+        if let Some(lease) = self.active.borrow().get(&lease) {
+            lease.stop.cancel();
         }
     }
 }
@@ -225,7 +225,7 @@
             excluded: want.avoid.clone(),
             may_wait: false,
         };
-        let id = node.accounts.next_request_id();
+        let id = node.leases.next_request_id();
         Visit { data_centre: data_centre.to_owned(), ask, id, wait: Duration::ZERO }
     }
 
@@ -276,27 +276,27 @@
 
 async fn answer(node: &Rc<Node>, visit: &Visit) -> Answer {
     let now = clock::now();
-    let Some(keeper) = allocator_owner(node, &visit.data_centre) else {
+    let Some(owner) = allocator_owner(node, &visit.data_centre) else {
         return Answer::Silent;
     };
-    if keeper.id == node.id() {
+    if owner.id == node.id() {
         let Visit { data_centre, ask, id, wait } = visit;
         return match allocator::serve(node, data_centre, ask.clone(), *id, *wait).await {
             allocator::Served::Grant(grant) => {
-                Answer::Lease(hold(node, grant, Purpose::Online, Keeper::Here))
+                Answer::Lease(hold(node, grant, Purpose::Online, Grantor::Local))
             }
             allocator::Served::Full(after) => Answer::Full(after),
             allocator::Served::Pending => Answer::Pending,
             allocator::Served::NotHere => Answer::Silent,
         };
     }
-    if node.is_shunned(keeper.peer, now) {
+    if node.is_shunned(owner.peer, now) {
         return Answer::Silent;
     }
     let request = visit.request(now);
-    match node.request(keeper.peer, &PeerRequest::Slots(request), visit.wait + ANSWER).await {
+    match node.request(owner.peer, &PeerRequest::Slots(request), visit.wait + ANSWER).await {
         Ok(PeerReply::Slots(grants, _)) => match grants.into_iter().next() {
-            Some(grant) => match take(node, grant, Purpose::Online, keeper.peer) {
+            Some(grant) => match take(node, grant, Purpose::Online, owner.peer) {
                 Ok(lease) => Answer::Lease(lease),
                 Err(target) => Answer::Left(target),
             },
@@ -315,8 +315,8 @@
 /// instance sends them itself, one by lot.
 fn without_account(node: &Rc<Node>, want: &Want) -> Option<Lease> {
     let registry = node.registry.borrow();
-    let out = node.accounts.out.borrow();
-    let own = |id: &str| out.values().filter(|out| out.held.target == id).count();
+    let active = node.leases.active.borrow();
+    let own = |id: &str| active.values().filter(|lease| lease.held.target == id).count();
     let fits = |target: &&protocol::routing::Target| {
         target.service == want.service && !want.avoid.contains(&target.id)
     };
@@ -325,11 +325,11 @@
         (is_far, own(&target.id), rand::random::<u32>())
     };
     let target = registry.usable().filter(fits).min_by_key(rank)?;
-    let lease = node.accounts.next_own.get() + 1;
-    node.accounts.next_own.set(lease);
+    let lease = node.leases.next_own.get() + 1;
+    node.leases.next_own.set(lease);
     let grant = Grant { lease, target: target.id.clone(), address: target.address };
-    drop(out);
+    drop(active);
     slog::info!(node.log, "slot without account"; "target" => &grant.target,
         "service" => &want.service);
-    Some(hold(node, grant, Purpose::Online, Keeper::Nobody))
+    Some(hold(node, grant, Purpose::Online, Grantor::None))
 }
--- a/crates/daemon/src/gateway/leases/batch.rs
+++ b/crates/daemon/src/gateway/leases/batch.rs
@@ -1,6 +1,6 @@
 //! Slots for batch: asked of one account at a time, several at once.
 
-use super::lease::{Keeper, hold, take};
+use super::lease::{Grantor, hold, take};
 use super::{ANSWER, Lease, allocator_owner};
 use crate::clock;
 use crate::gateway::allocator;
@@ -35,14 +35,14 @@
 /// Asks the account of a data centre for slots for batch, and waits for them.
 pub async fn acquire_batch(node: &Rc<Node>, want: Batch<'_>) -> Option<Vec<Lease>> {
     let Batch { data_centre, service, due, in_time, sure, left, is_begun, most, wait } = want;
-    let keeper = allocator_owner(node, data_centre)?;
+    let owner = allocator_owner(node, data_centre)?;
     let now = clock::now();
     let request = SlotRequest {
         from: node.id(),
         data_centre: data_centre.to_owned(),
         service: service.to_owned(),
         purpose: Purpose::Batch,
-        id: node.accounts.next_request_id(),
+        id: node.leases.next_request_id(),
         due_ms: due.as_millis() as u64,
         remaining_ms: left.as_millis() as u64,
         is_started: is_begun,
@@ -54,8 +54,8 @@
         limit: most,
         excluded: Vec::new(),
     };
-    let at = keeper.peer;
-    let is_here = keeper.id == node.id();
+    let at = owner.peer;
+    let is_here = owner.id == node.id();
     let reply = if is_here {
         allocator::on_wish(node, request).await
     } else if node.is_shunned(at, now) {
@@ -70,7 +70,7 @@
     let granted = grants.len();
     let lease = |grant| {
         if is_here {
-            return Some(hold(node, grant, Purpose::Batch, Keeper::Here));
+            return Some(hold(node, grant, Purpose::Batch, Grantor::Local));
         }
         take(node, grant, Purpose::Batch, at).ok()
     };
--- a/crates/daemon/src/gateway/leases/lease.rs
+++ b/crates/daemon/src/gateway/leases/lease.rs
@@ -14,17 +14,17 @@
 
 /// Where a lease is given back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Keeper {
-    Here,
-    At(SocketAddr),
+pub(super) enum Grantor {
+    Local,
+    Remote(SocketAddr),
     /// Nobody: the instance granted it to itself.
-    Nobody,
+    None,
 }
 
 /// A lease that is out, as its holder keeps it.
-pub(super) struct Out {
+pub(super) struct ActiveLease {
     pub(super) held: HeldLease,
-    pub(super) keeper: Keeper,
+    pub(super) grantor: Grantor,
     pub(super) stop: CancellationToken,
 }
 
@@ -56,40 +56,41 @@
     /// Tells the account that a first event is overdue.
     pub fn doubt(&self) {
         let target = self.grant.target.clone();
-        let keeper = self.node.accounts.out.borrow().get(&self.grant.lease).map(|out| out.keeper);
-        match keeper {
-            Some(Keeper::Here) => {
-                self.node.accounts.ledger.borrow_mut().on_overdue(&target, clock::now());
+        let grantor =
+            self.node.leases.active.borrow().get(&self.grant.lease).map(|lease| lease.grantor);
+        match grantor {
+            Some(Grantor::Local) => {
+                self.node.leases.allocator.borrow_mut().on_overdue(&target, clock::now());
             }
-            Some(Keeper::At(address)) => {
+            Some(Grantor::Remote(address)) => {
                 self.node.notify(address, PeerRequest::TargetOverdue(target))
             }
-            Some(Keeper::Nobody) | None => {}
+            Some(Grantor::None) | None => {}
         }
     }
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        let Some(out) = self.node.accounts.out.borrow_mut().remove(&self.grant.lease) else {
+        let Some(lease) = self.node.leases.active.borrow_mut().remove(&self.grant.lease) else {
             return;
         };
-        match out.keeper {
-            Keeper::Here => allocator::on_release(&self.node, self.grant.lease, self.report),
-            Keeper::At(address) => {
+        match lease.grantor {
+            Grantor::Local => allocator::on_release(&self.node, self.grant.lease, self.report),
+            Grantor::Remote(address) => {
                 self.node.notify(address, PeerRequest::Release(self.grant.lease, self.report));
             }
-            Keeper::Nobody => {}
+            Grantor::None => {}
         }
     }
 }
 
 /// Takes a granted slot into use.
-pub(super) fn hold(node: &Rc<Node>, grant: Grant, purpose: Purpose, keeper: Keeper) -> Lease {
+pub(super) fn hold(node: &Rc<Node>, grant: Grant, purpose: Purpose, grantor: Grantor) -> Lease {
     let stop = CancellationToken::new();
     let held = HeldLease { lease: grant.lease, target: grant.target.clone(), purpose };
-    let out = Out { held, keeper, stop: stop.clone() };
-    node.accounts.out.borrow_mut().insert(grant.lease, out);
+    let lease = ActiveLease { held, grantor, stop: stop.clone() };
+    node.leases.active.borrow_mut().insert(grant.lease, lease);
     // Whoever drops it without a word has not used it to the end.
     let report = LeaseReport { outcome: LeaseOutcome::Unused, ..LeaseReport::default() };
     let registry = node.registry.borrow().revision();
@@ -106,10 +107,10 @@
     node: &Rc<Node>,
     grant: Grant,
     purpose: Purpose,
-    keeper: SocketAddr,
+    owner: SocketAddr,
 ) -> Result<Lease, TargetId> {
     let target = grant.target.clone();
-    let lease = hold(node, grant, purpose, Keeper::At(keeper));
+    let lease = hold(node, grant, purpose, Grantor::Remote(owner));
     let known = {
         let registry = node.registry.borrow();
         if !registry.has_left(&target) {
@@ -118,9 +119,9 @@
         registry.change(&target)
     };
     slog::info!(node.log, "slot of a target that has left"; "target" => &target,
-        "keeper" => %keeper, "registry" => lease.registry);
+        "keeper" => %owner, "registry" => lease.registry);
     let update = Update::Targets(known.into_iter().collect());
-    node.notify(keeper, PeerRequest::Update(node.as_holder().address, update));
+    node.notify(owner, PeerRequest::Update(node.as_holder().address, update));
     drop(lease);
     Err(target)
 }
--- a/crates/daemon/src/gateway/leases/report.rs
+++ b/crates/daemon/src/gateway/leases/report.rs
@@ -38,24 +38,24 @@
     let names: BTreeSet<DataCentreId> =
         registry.usable().map(|target| target.data_centre.clone()).collect();
     for name in names {
-        let Some(keeper) = allocator_owner(node, &name) else {
+        let Some(owner) = allocator_owner(node, &name) else {
             continue;
         };
-        let is_new = told.insert(name.clone(), keeper.id) != Some(keeper.id);
+        let is_new = told.insert(name.clone(), owner.id) != Some(owner.id);
         if !(is_due || is_new) {
             continue;
         }
-        let out = node.accounts.out.borrow();
+        let active = node.leases.active.borrow();
         let of_this = |held: &&HeldLease| {
             registry.get(&held.target).is_some_and(|target| target.data_centre == name)
         };
         let held: Vec<HeldLease> =
-            out.values().map(|out| &out.held).filter(of_this).cloned().collect();
-        drop(out);
-        if keeper.id == node.id() {
-            node.accounts.ledger.borrow_mut().on_lease_report(keeper.id, &held, clock::now());
+            active.values().map(|lease| &lease.held).filter(of_this).cloned().collect();
+        drop(active);
+        if owner.id == node.id() {
+            node.leases.allocator.borrow_mut().on_lease_report(owner.id, &held, clock::now());
         } else {
-            node.notify(keeper.peer, PeerRequest::LeaseReport(node.id(), held));
+            node.notify(owner.peer, PeerRequest::LeaseReport(node.id(), held));
         }
     }
 }
--- a/crates/daemon/src/gateway/leases/wait.rs
+++ b/crates/daemon/src/gateway/leases/wait.rs
@@ -154,11 +154,11 @@
         for (data_centre, id) in &self.pending {
             let request = (self.node.id(), *id);
             match allocator_owner(&self.node, data_centre) {
-                Some(keeper) if keeper.id == request.0 => {
+                Some(owner) if owner.id == request.0 => {
                     allocator::on_withdrawn(&self.node, request)
                 }
-                Some(keeper) => {
-                    self.node.notify(keeper.peer, PeerRequest::CancelSlots(request.0, request.1))
+                Some(owner) => {
+                    self.node.notify(owner.peer, PeerRequest::CancelSlots(request.0, request.1))
                 }
                 None => {}
             }
--- a/crates/daemon/src/gateway/measure.rs
+++ b/crates/daemon/src/gateway/measure.rs
@@ -176,7 +176,7 @@
     let mut text = node.measure.text();
     text.push_str(&node.measure.burn_text(clock::now()));
     let counts = node.store.without_breaker().counts();
-    let [online, batch] = node.accounts.in_use();
+    let [online, batch] = node.leases.in_use();
     // Never answered counts as silent for as long as a gauge can say.
     let silence = node.store.silence(clock::now()).map_or(u64::MAX, |t| t.as_millis() as u64);
     let gauges = [
@@ -187,7 +187,7 @@
         ("gatespool.targets.revision", node.registry.borrow().revision()),
         ("gatespool.targets.connections", node.targets.opened()),
         ("gatespool.members", node.others().len() as u64 + 1),
-        ("gatespool.leases.held", node.accounts.held() as u64),
+        ("gatespool.leases.held", node.leases.held() as u64),
         ("gatespool.account.online", u64::from(online)),
         ("gatespool.account.batch", u64::from(batch)),
         ("gatespool.jobs.held", node.jobs.held_count() as u64),
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -3,7 +3,7 @@
 use super::broadcast::Outbox;
 use super::crash::Inquiries;
 use super::job_table::JobTable;
-use super::leases::Accounts;
+use super::leases::Leases;
 use super::measure::Measure;
 use super::message::{Connectivity, PeerReply, PeerRequest, StateDigest, Uptime, decode, encode};
 use super::store::PlatformStore;
@@ -90,7 +90,7 @@
     /// Connections to other instances.
     pub peers: Peers,
     /// Slots: leases held, and the accounts kept here.
-    pub accounts: Accounts,
+    pub leases: Leases,
     /// Batch jobs.
     pub jobs: JobTable,
     /// News on its way through this instance.
@@ -133,7 +133,7 @@
             watched: Cell::new(0),
             is_probing: Cell::new(false),
             targets: upstream::Pool::new(connections),
-            accounts: Accounts::new(me.id, slot_policy(&settings.policy), now),
+            leases: Leases::new(me.id, slot_policy(&settings.policy), now),
             members: RefCell::new(Table::new(me, policy)),
             membership_changed: Notify::new(),
             seeds: RefCell::new(settings.seeds.clone()),
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -98,7 +98,7 @@
             PeerReply::Done
         }
         PeerRequest::Revoke(lease) => {
-            node.accounts.on_revoked(lease);
+            node.leases.on_revoked(lease);
             PeerReply::Done
         }
         PeerRequest::Sync { from, digest, connectivity } => sync(node, from, digest, connectivity),
--- a/crates/daemon/src/gateway/wake.rs
+++ b/crates/daemon/src/gateway/wake.rs
@@ -40,7 +40,7 @@
     slog::warn!(node.log, "was suspended"; "for_ms" => last.as_millis() as u64,
         "running" => node.running.get(), "jobs" => node.jobs.held_count());
     node.measure.count("suspended");
-    node.accounts.ledger.borrow_mut().on_resume(clock::now());
+    node.leases.allocator.borrow_mut().on_resume(clock::now());
     node.woken.notify_waiters();
     spawn_local(anti_entropy::compare(node.clone()));
 }
