--- a/crates/daemon/src/gateway/allocator.rs
+++ b/crates/daemon/src/gateway/allocator.rs
@@ -44,19 +44,21 @@
         // The first one may be waited for; more only if they are free now.
         let may_wait = grants.is_empty() && !wait.is_zero();
         match serve(node, &request.data_centre, ask(may_wait), request.id, wait).await {
-            Served::Grant(grant) => grants.push(grant),
-            Served::NotHere => return PeerReply::NotOwner,
-            Served::Full(after) if grants.is_empty() && request.purpose == Purpose::Online => {
+            AcquireOutcome::Grant(grant) => grants.push(grant),
+            AcquireOutcome::NotOwner => return PeerReply::NotOwner,
+            AcquireOutcome::Full(after)
+                if grants.is_empty() && request.purpose == Purpose::Online =>
+            {
                 return PeerReply::Full(after.as_millis() as u64);
             }
-            Served::Full(_) | Served::Pending => break,
+            AcquireOutcome::Full(_) | AcquireOutcome::Pending => break,
         }
     }
     PeerReply::Slots(grants, node.leases.allocator.borrow().run_time())
 }
 
 /// The answer to one wish.
-pub enum Served {
+pub enum AcquireOutcome {
     /// A slot.
     Grant(Grant),
     /// None is free; one is expected after this long.
@@ -64,7 +66,7 @@
     /// The wait is over without a slot.
     Pending,
     /// The account isn't kept here, or has no such service.
-    NotHere,
+    NotOwner,
 }
 
 /// A waiter that leaves the account's queue when whoever waits is dropped.
@@ -103,20 +105,20 @@
     ask: slots::Request,
     request_id: SlotRequestId,
     wait: Duration,
-) -> Served {
+) -> AcquireOutcome {
     refresh(node);
     if !node.leases.owned.borrow().contains(data_centre) {
-        return Served::NotHere;
+        return AcquireOutcome::NotOwner;
     }
     let request = (ask.holder, request_id);
     let verdict = node.leases.allocator.borrow_mut().on_request(ask, clock::now());
     match verdict {
         Decision::Granted(grant, revocation) => {
             revocation.into_iter().for_each(|revocation| revoke(node, revocation));
-            Served::Grant(grant)
+            AcquireOutcome::Grant(grant)
         }
-        Decision::Full(after) => Served::Full(after),
-        Decision::NoTarget => Served::NotHere,
+        Decision::Full(after) => AcquireOutcome::Full(after),
+        Decision::NoTarget => AcquireOutcome::NotOwner,
         Decision::Queued(id) => {
             let (sender, receiver) = oneshot::channel();
             node.leases.waiters.borrow_mut().insert(id, sender);
@@ -126,9 +128,9 @@
             let answer = tokio::time::timeout(wait, receiver).await;
             drop(place);
             match answer {
-                Ok(Ok(Ok(grant))) => Served::Grant(grant),
-                Ok(Ok(Err(after))) => Served::Full(after),
-                Ok(Err(_)) | Err(_) => Served::Pending,
+                Ok(Ok(Ok(grant))) => AcquireOutcome::Grant(grant),
+                Ok(Ok(Err(after))) => AcquireOutcome::Full(after),
+                Ok(Err(_)) | Err(_) => AcquireOutcome::Pending,
             }
         }
     }
--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -125,13 +125,13 @@
     service: &'a str,
     held: &HeldJob,
     most: usize,
-) -> leases::Batch<'a> {
+) -> leases::BatchQuery<'a> {
     let now = millis();
     let state = held.state.borrow();
     let made = state.next_event_count().unwrap_or_default();
     let until = |at: Millis| Duration::from_millis(at.saturating_sub(now));
     let (sure, in_time) = latest(node, &state);
-    leases::Batch {
+    leases::BatchQuery {
         data_centre,
         service,
         due: until(state.job().due),
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -5,7 +5,7 @@
 mod report;
 mod wait;
 
-pub use batch::{Batch, acquire_batch};
+pub use batch::{BatchQuery, acquire_batch};
 pub use lease::Lease;
 pub use report::report;
 
@@ -37,7 +37,7 @@
 
 /// What is asked of the accounts.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct SlotQuery {
     /// Service.
     pub service: String,
     /// Until when a slot brings the answer within its objective.
@@ -50,7 +50,7 @@
 
 /// Why there is no lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum AcquireError {
     /// All slots are taken; one is expected after this long.
     Full(Duration),
     /// No target of the service is known.
@@ -155,12 +155,12 @@
 /// # Errors
 ///
 /// Why there is none.
-pub async fn acquire(node: &Rc<Node>, want: &Want) -> Result<Lease, Refusal> {
+pub async fn acquire(node: &Rc<Node>, query: &SlotQuery) -> Result<Lease, AcquireError> {
     loop {
-        match acquire_once(node, want).await {
+        match acquire_once(node, query).await {
             Outcome::Lease(lease) => return Ok(lease),
             Outcome::Refused(refusal) => return Err(refusal),
-            Outcome::Unanswered => return Err(Refusal::NoTarget),
+            Outcome::Unanswered => return Err(AcquireError::NoTarget),
             // Accounts and their keepers may have changed meanwhile.
             Outcome::Pending => {}
         }
@@ -169,37 +169,37 @@
 
 enum Outcome {
     Lease(Lease),
-    Refused(Refusal),
+    Refused(AcquireError),
     /// Nothing came free so far; there is time left.
     Pending,
     /// No account answered.
     Unanswered,
 }
 
-async fn acquire_once(node: &Rc<Node>, want: &Want) -> Outcome {
-    let mut names = data_centres(node, &want.service);
+async fn acquire_once(node: &Rc<Node>, query: &SlotQuery) -> Outcome {
+    let mut names = data_centres(node, &query.service);
     if names.is_empty() {
-        return Outcome::Refused(Refusal::NoTarget);
+        return Outcome::Refused(AcquireError::NoTarget);
     }
     // Messages grow with the requests that wait, not with the data centres.
     names.truncate(node.settings.policy.accounts);
     let nearest = names.remove(0);
-    match ask(node.clone(), Visit::look(node, want, &nearest)).await.1 {
-        Answer::Lease(lease) => return Outcome::Lease(lease),
-        Answer::Full(_) | Answer::Pending => names.insert(0, nearest),
-        Answer::Left(_) | Answer::Silent => {}
+    match ask(node.clone(), AllocatorCall::look(node, query, &nearest)).await.1 {
+        AllocatorReply::Lease(lease) => return Outcome::Lease(lease),
+        AllocatorReply::Full(_) | AllocatorReply::Pending => names.insert(0, nearest),
+        AllocatorReply::TargetLeft(_) | AllocatorReply::Unresponsive => {}
     }
-    match wait::first(node, want, names).await {
+    match wait::first(node, query, names).await {
         Outcome::Unanswered => {
-            let lease = without_account(node, want);
-            lease.map_or(Outcome::Refused(Refusal::NoTarget), Outcome::Lease)
+            let lease = without_account(node, query);
+            lease.map_or(Outcome::Refused(AcquireError::NoTarget), Outcome::Lease)
         }
         outcome => outcome,
     }
 }
 
 /// One wish at one account.
-struct Visit {
+struct AllocatorCall {
     data_centre: DataCentreId,
     ask: slots::Request,
     id: SlotRequestId,
@@ -207,26 +207,26 @@
     wait: Duration,
 }
 
-impl Visit {
+impl AllocatorCall {
     /// A look for a slot that is free now.
-    fn look(node: &Node, want: &Want, data_centre: &str) -> Visit {
+    fn look(node: &Node, query: &SlotQuery, data_centre: &str) -> AllocatorCall {
         let ask = slots::Request {
             holder: node.id(),
             data_centre: data_centre.to_owned(),
-            service: want.service.clone(),
+            service: query.service.clone(),
             purpose: Purpose::Online,
-            due: want.until,
+            due: query.until,
             remaining: Duration::ZERO,
             is_started: false,
-            latest_start: want.in_time_until,
-            safe_start: want.in_time_until,
-            expires: want.until,
+            latest_start: query.in_time_until,
+            safe_start: query.in_time_until,
+            expires: query.until,
             total_slots: 0,
-            excluded: want.avoid.clone(),
+            excluded: query.avoid.clone(),
             may_wait: false,
         };
         let id = node.leases.next_request_id();
-        Visit { data_centre: data_centre.to_owned(), ask, id, wait: Duration::ZERO }
+        AllocatorCall { data_centre: data_centre.to_owned(), ask, id, wait: Duration::ZERO }
     }
 
     fn request(&self, now: Instant) -> SlotRequest {
@@ -250,60 +250,60 @@
     }
 }
 
-enum Answer {
+enum AllocatorReply {
     Lease(Lease),
     /// A slot of this target, which has left.
-    Left(TargetId),
+    TargetLeft(TargetId),
     /// Nothing is free; a slot is expected after this long.
     Full(Duration),
     /// The wait there is over without a slot.
     Pending,
-    Silent,
+    Unresponsive,
 }
 
 /// Makes a wish, and gives it back with its answer.
-async fn ask(node: Rc<Node>, visit: Visit) -> (Visit, Answer) {
-    let mut visit = visit;
+async fn ask(node: Rc<Node>, call: AllocatorCall) -> (AllocatorCall, AllocatorReply) {
+    let mut call = call;
     for _ in 0..MOST_LEFT {
-        match answer(&node, &visit).await {
-            Answer::Left(target) => visit.ask.excluded.push(target),
-            answer => return (visit, answer),
+        match answer(&node, &call).await {
+            AllocatorReply::TargetLeft(target) => call.ask.excluded.push(target),
+            reply => return (call, reply),
         }
     }
     // An account that knows so little is no better than none.
-    (visit, Answer::Silent)
+    (call, AllocatorReply::Unresponsive)
 }
 
-async fn answer(node: &Rc<Node>, visit: &Visit) -> Answer {
+async fn answer(node: &Rc<Node>, call: &AllocatorCall) -> AllocatorReply {
     let now = clock::now();
-    let Some(owner) = allocator_owner(node, &visit.data_centre) else {
-        return Answer::Silent;
+    let Some(owner) = allocator_owner(node, &call.data_centre) else {
+        return AllocatorReply::Unresponsive;
     };
     if owner.id == node.id() {
-        let Visit { data_centre, ask, id, wait } = visit;
+        let AllocatorCall { data_centre, ask, id, wait } = call;
         return match allocator::serve(node, data_centre, ask.clone(), *id, *wait).await {
-            allocator::Served::Grant(grant) => {
-                Answer::Lease(hold(node, grant, Purpose::Online, Grantor::Local))
+            allocator::AcquireOutcome::Grant(grant) => {
+                AllocatorReply::Lease(hold(node, grant, Purpose::Online, Grantor::Local))
             }
-            allocator::Served::Full(after) => Answer::Full(after),
-            allocator::Served::Pending => Answer::Pending,
-            allocator::Served::NotHere => Answer::Silent,
+            allocator::AcquireOutcome::Full(after) => AllocatorReply::Full(after),
+            allocator::AcquireOutcome::Pending => AllocatorReply::Pending,
+            allocator::AcquireOutcome::NotOwner => AllocatorReply::Unresponsive,
         };
     }
     if node.is_shunned(owner.peer, now) {
-        return Answer::Silent;
+        return AllocatorReply::Unresponsive;
     }
-    let request = visit.request(now);
-    match node.request(owner.peer, &PeerRequest::Slots(request), visit.wait + ANSWER).await {
+    let request = call.request(now);
+    match node.request(owner.peer, &PeerRequest::Slots(request), call.wait + ANSWER).await {
         Ok(PeerReply::Slots(grants, _)) => match grants.into_iter().next() {
             Some(grant) => match take(node, grant, Purpose::Online, owner.peer) {
-                Ok(lease) => Answer::Lease(lease),
-                Err(target) => Answer::Left(target),
+                Ok(lease) => AllocatorReply::Lease(lease),
+                Err(target) => AllocatorReply::TargetLeft(target),
             },
-            None => Answer::Pending,
+            None => AllocatorReply::Pending,
         },
-        Ok(PeerReply::Full(after)) => Answer::Full(Duration::from_millis(after)),
-        Ok(_) | Err(_) => Answer::Silent,
+        Ok(PeerReply::Full(after)) => AllocatorReply::Full(Duration::from_millis(after)),
+        Ok(_) | Err(_) => AllocatorReply::Unresponsive,
     }
 }
 
@@ -313,12 +313,12 @@
 
 /// A slot chosen without any account: of the least loaded targets by what this
 /// instance sends them itself, one by lot.
-fn without_account(node: &Rc<Node>, want: &Want) -> Option<Lease> {
+fn without_account(node: &Rc<Node>, query: &SlotQuery) -> Option<Lease> {
     let registry = node.registry.borrow();
     let active = node.leases.active.borrow();
     let own = |id: &str| active.values().filter(|lease| lease.held.target == id).count();
     let fits = |target: &&protocol::routing::Target| {
-        target.service == want.service && !want.avoid.contains(&target.id)
+        target.service == query.service && !query.avoid.contains(&target.id)
     };
     let rank = |target: &&protocol::routing::Target| {
         let is_far = target.data_centre != *node.data_centre();
@@ -330,6 +330,6 @@
     let grant = Grant { lease, target: target.id.clone(), address: target.address };
     drop(active);
     slog::info!(node.log, "slot without account"; "target" => &grant.target,
-        "service" => &want.service);
+        "service" => &query.service);
     Some(hold(node, grant, Purpose::Online, Grantor::None))
 }
--- a/crates/daemon/src/gateway/leases/batch.rs
+++ b/crates/daemon/src/gateway/leases/batch.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// What batch asks of one account.
-pub struct Batch<'a> {
+pub struct BatchQuery<'a> {
     /// Data centre of the account.
     pub data_centre: &'a str,
     /// Service.
@@ -33,8 +33,8 @@
 }
 
 /// Asks the account of a data centre for slots for batch, and waits for them.
-pub async fn acquire_batch(node: &Rc<Node>, want: Batch<'_>) -> Option<Vec<Lease>> {
-    let Batch { data_centre, service, due, in_time, sure, left, is_begun, most, wait } = want;
+pub async fn acquire_batch(node: &Rc<Node>, query: BatchQuery<'_>) -> Option<Vec<Lease>> {
+    let BatchQuery { data_centre, service, due, in_time, sure, left, is_begun, most, wait } = query;
     let owner = allocator_owner(node, data_centre)?;
     let now = clock::now();
     let request = SlotRequest {
--- a/crates/daemon/src/gateway/leases/wait.rs
+++ b/crates/daemon/src/gateway/leases/wait.rs
@@ -2,7 +2,9 @@
 //! the others, a wait there too. The first slot counts, the other places are given
 //! up.
 
-use super::{Answer, Outcome, Refusal, Visit, Want, allocator_owner, ask};
+use super::{
+    AcquireError, AllocatorCall, AllocatorReply, Outcome, SlotQuery, allocator_owner, ask,
+};
 use crate::clock;
 use crate::gateway::allocator;
 use crate::gateway::message::{PeerRequest, SlotRequestId};
@@ -23,7 +25,7 @@
 
 /// Searches the accounts of some data centres, the nearest first, which has just
 /// said that nothing is free there.
-pub(super) async fn first(node: &Rc<Node>, want: &Want, names: Vec<DataCentreId>) -> Outcome {
+pub(super) async fn first(node: &Rc<Node>, query: &SlotQuery, names: Vec<DataCentreId>) -> Outcome {
     let mut names = names.into_iter();
     let Some(nearest) = names.next() else {
         return Outcome::Unanswered;
@@ -36,8 +38,8 @@
             requests: FuturesUnordered::new(),
         },
         start: ask,
-        want,
-        reach: reach(node, want, &all),
+        query,
+        reach: reach(node, query, &all),
         answered: Vec::new(),
         shortest: None,
         is_pending: false,
@@ -48,19 +50,19 @@
 }
 
 /// Slots of the accounts together.
-fn reach(node: &Node, want: &Want, names: &[DataCentreId]) -> u32 {
+fn reach(node: &Node, query: &SlotQuery, names: &[DataCentreId]) -> u32 {
     let registry = node.registry.borrow();
     let fits = |target: &&protocol::routing::Target| {
-        target.service == want.service && names.contains(&target.data_centre)
+        target.service == query.service && names.contains(&target.data_centre)
     };
     registry.usable().filter(fits).map(|target| target.slots).sum()
 }
 
-struct Search<'a, S, F: Future<Output = (Visit, Answer)> + 'static> {
+struct Search<'a, S, F: Future<Output = (AllocatorCall, AllocatorReply)> + 'static> {
     places: Places<F>,
     /// Makes a wish.
     start: S,
-    want: &'a Want,
+    query: &'a SlotQuery,
     reach: u32,
     /// Data centres beside the nearest that have answered a look.
     answered: Vec<DataCentreId>,
@@ -70,45 +72,45 @@
 
 impl<S, F> Search<'_, S, F>
 where
-    S: Fn(Rc<Node>, Visit) -> F,
-    F: Future<Output = (Visit, Answer)> + 'static,
+    S: Fn(Rc<Node>, AllocatorCall) -> F,
+    F: Future<Output = (AllocatorCall, AllocatorReply)> + 'static,
 {
     fn wait_at(&mut self, name: &str) {
         let node = self.places.node.clone();
-        let mut visit = Visit::look(&node, self.want, name);
-        visit.ask.total_slots = self.reach;
-        visit.ask.may_wait = true;
-        visit.wait = self.left().min(RENEW);
-        self.places.pending.push((visit.data_centre.clone(), visit.id));
-        self.places.requests.push((self.start)(node, visit));
+        let mut call = AllocatorCall::look(&node, self.query, name);
+        call.ask.total_slots = self.reach;
+        call.ask.may_wait = true;
+        call.wait = self.left().min(RENEW);
+        self.places.pending.push((call.data_centre.clone(), call.id));
+        self.places.requests.push((self.start)(node, call));
     }
 
     fn look_at(&mut self, name: &str) {
         let node = self.places.node.clone();
-        let visit = Visit::look(&node, self.want, name);
-        self.places.requests.push((self.start)(node, visit));
+        let call = AllocatorCall::look(&node, self.query, name);
+        self.places.requests.push((self.start)(node, call));
     }
 
     fn left(&self) -> Duration {
-        self.want.until.saturating_duration_since(clock::now())
+        self.query.until.saturating_duration_since(clock::now())
     }
 
     /// Looks at one data centre after the other, so that no two give a slot, then
     /// waits at all that answered.
     async fn run(&mut self, mut names: impl Iterator<Item = DataCentreId>) -> Outcome {
         self.look_at_next(&mut names);
-        while let Some((visit, answer)) = self.places.requests.next().await {
-            let is_look = !visit.ask.may_wait;
-            match answer {
-                Answer::Lease(lease) => return Outcome::Lease(lease),
-                Answer::Full(_) | Answer::Pending if is_look => {
-                    self.answered.push(visit.data_centre);
+        while let Some((call, reply)) = self.places.requests.next().await {
+            let is_look = !call.ask.may_wait;
+            match reply {
+                AllocatorReply::Lease(lease) => return Outcome::Lease(lease),
+                AllocatorReply::Full(_) | AllocatorReply::Pending if is_look => {
+                    self.answered.push(call.data_centre);
                 }
-                Answer::Full(after) => {
+                AllocatorReply::Full(after) => {
                     self.shortest = Some(self.shortest.map_or(after, |known| known.min(after)));
                 }
-                Answer::Pending => self.is_pending = true,
-                Answer::Left(_) | Answer::Silent => {}
+                AllocatorReply::Pending => self.is_pending = true,
+                AllocatorReply::TargetLeft(_) | AllocatorReply::Unresponsive => {}
             }
             if is_look {
                 self.look_at_next(&mut names);
@@ -130,22 +132,22 @@
     fn outcome(&self) -> Outcome {
         match self.shortest {
             _ if self.is_pending && !self.left().is_zero() => Outcome::Pending,
-            Some(after) => Outcome::Refused(Refusal::Full(after)),
-            None if self.is_pending => Outcome::Refused(Refusal::Full(RENEW)),
+            Some(after) => Outcome::Refused(AcquireError::Full(after)),
+            None if self.is_pending => Outcome::Refused(AcquireError::Full(RENEW)),
             None => Outcome::Unanswered,
         }
     }
 }
 
 /// Wishes under way; those that are left are given up when it is dropped.
-struct Places<F: Future<Output = (Visit, Answer)> + 'static> {
+struct Places<F: Future<Output = (AllocatorCall, AllocatorReply)> + 'static> {
     node: Rc<Node>,
     /// Places in accounts' queues.
     pending: Vec<(DataCentreId, SlotRequestId)>,
     requests: FuturesUnordered<F>,
 }
 
-impl<F: Future<Output = (Visit, Answer)> + 'static> Drop for Places<F> {
+impl<F: Future<Output = (AllocatorCall, AllocatorReply)> + 'static> Drop for Places<F> {
     fn drop(&mut self) {
         let requests = std::mem::take(&mut self.requests);
         if requests.is_empty() {
@@ -164,6 +166,6 @@
             }
         }
         // A grant that has crossed the withdrawal is given back as it is dropped.
-        spawn_local(async move { requests.for_each(|answer| async move { drop(answer) }).await });
+        spawn_local(async move { requests.for_each(|reply| async move { drop(reply) }).await });
     }
 }
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -6,7 +6,7 @@
 
 use super::crash::{self, Broken, hex};
 use super::front::{Call, refusal, text};
-use super::leases::{self, Lease, Refusal, Want};
+use super::leases::{self, AcquireError, Lease, SlotQuery};
 use super::node::{Config, Node};
 use super::quarantine::{self, Admission};
 use super::streaming;
@@ -68,7 +68,7 @@
 /// How a try without an answer ended.
 pub enum Failed {
     /// No target ran the request: refuse it.
-    NotRun(Refusal),
+    NotRun(AcquireError),
     /// A target may have run it.
     MayHaveRun(String),
     /// The time is over, and a target may have run it.
@@ -237,12 +237,12 @@
                 Again::Unreached(_) => {
                     unreached += 1;
                     if unreached >= MOST_UNREACHED {
-                        return Err(self.refused(Refusal::Full(COME_BACK)));
+                        return Err(self.refused(AcquireError::Full(COME_BACK)));
                     }
                 }
                 Again::NotRun => {
                     if self.sent >= self.route.attempts {
-                        return Err(self.refused(Refusal::Full(COME_BACK)));
+                        return Err(self.refused(AcquireError::Full(COME_BACK)));
                     }
                 }
                 Again::MayHaveRun(text) => {
@@ -258,7 +258,7 @@
 
     /// A refusal says that the request has not run, so it is one only if that is
     /// true.
-    fn refused(&self, refusal: Refusal) -> Failed {
+    fn refused(&self, refusal: AcquireError) -> Failed {
         if self.may_have_run {
             return Failed::MayHaveRun(String::from("no slot for another try"));
         }
@@ -285,24 +285,28 @@
     }
 
     /// A slot, unless the request is held because it crashes its targets.
-    async fn admitted(&self, after: Option<u64>) -> Result<Lease, Refusal> {
+    async fn admitted(&self, after: Option<u64>) -> Result<Lease, AcquireError> {
         let content = || self.call.content();
         let admission = quarantine::admit(&self.node, content).await;
         if let Admission::Held(left) = admission {
-            return Err(Refusal::Quarantined(left));
+            return Err(AcquireError::Quarantined(left));
         }
         let lease = self.lease(after).await?;
         // It may have waited while its like crashed further targets.
         match quarantine::held_for(&self.node, content) {
-            Some(left) if admission == Admission::Free => Err(Refusal::Quarantined(left)),
+            Some(left) if admission == Admission::Free => Err(AcquireError::Quarantined(left)),
             _ => Ok(lease),
         }
     }
 
-    async fn lease(&self, after: Option<u64>) -> Result<Lease, Refusal> {
+    async fn lease(&self, after: Option<u64>) -> Result<Lease, AcquireError> {
         let (in_time_until, until) = self.window(after.is_some(), clock::now());
-        let want =
-            Want { service: self.service.clone(), in_time_until, until, avoid: self.avoid.clone() };
+        let want = SlotQuery {
+            service: self.service.clone(),
+            in_time_until,
+            until,
+            avoid: self.avoid.clone(),
+        };
         let result = leases::acquire(&self.node, &want).await;
         self.slot_wait.set(clock::since(self.call.started));
         result
@@ -313,9 +317,9 @@
         let call = &self.call;
         let age = clock::since(call.started);
         let (status, cause) = match failed {
-            Failed::NotRun(Refusal::Full(_)) => (503, "no slot"),
-            Failed::NotRun(Refusal::NoTarget) => (503, "no target"),
-            Failed::NotRun(Refusal::Quarantined(_)) => (503, "crashes its targets"),
+            Failed::NotRun(AcquireError::Full(_)) => (503, "no slot"),
+            Failed::NotRun(AcquireError::NoTarget) => (503, "no target"),
+            Failed::NotRun(AcquireError::Quarantined(_)) => (503, "crashes its targets"),
             Failed::MayHaveRun(_) => (502, "no whole answer"),
             Failed::TimeOver => (504, "time over"),
         };
@@ -331,13 +335,13 @@
         match failed {
             Failed::NotRun(refused) => {
                 let after = match refused {
-                    Refusal::Full(after) | Refusal::Quarantined(after) => *after,
-                    Refusal::NoTarget => COME_BACK,
+                    AcquireError::Full(after) | AcquireError::Quarantined(after) => *after,
+                    AcquireError::NoTarget => COME_BACK,
                 };
                 let kind = match refused {
-                    Refusal::Full(_) => Kind::Overloaded,
-                    Refusal::NoTarget => Kind::NoTarget,
-                    Refusal::Quarantined(_) => Kind::Quarantined,
+                    AcquireError::Full(_) => Kind::Overloaded,
+                    AcquireError::NoTarget => Kind::NoTarget,
+                    AcquireError::Quarantined(_) => Kind::Quarantined,
                 };
                 let mut error = Error::new(kind, cause);
                 error.retry_after = Some(after);
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -3,7 +3,7 @@
 
 use super::crash::hex;
 use super::front::Call;
-use super::leases::{Lease, Refusal};
+use super::leases::{AcquireError, Lease};
 use super::node::Node;
 use super::online::{Begun, Failed, Forward, InHand, head_of, respond};
 use crate::clock;
@@ -118,7 +118,7 @@
                     begun.lease.end(LeaseOutcome::Completed);
                     return self.abort(&target, &format!("the next target answers {status}")).await;
                 }
-                Err(Failed::NotRun(Refusal::Quarantined(_))) => {
+                Err(Failed::NotRun(AcquireError::Quarantined(_))) => {
                     return self.abort(&target, "crashes its targets").await;
                 }
                 Err(Failed::NotRun(_)) => return self.abort(&target, "no slot to go on").await,
