--- a/crates/daemon/src/gateway/allocator.rs
+++ b/crates/daemon/src/gateway/allocator.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 
 /// Answers a wish of another instance, or of this one for batch.
-pub async fn on_wish(node: &Rc<Node>, request: SlotRequest) -> PeerReply {
+pub async fn on_slot_request(node: &Rc<Node>, request: SlotRequest) -> PeerReply {
     let now = clock::now();
     let after = |millis: u64| now + Duration::from_millis(millis);
     let ask = |may_wait| slots::Request {
@@ -43,7 +43,7 @@
     while grants.len() < request.limit {
         // The first one may be waited for; more only if they are free now.
         let may_wait = grants.is_empty() && !wait.is_zero();
-        match serve(node, &request.data_centre, ask(may_wait), request.id, wait).await {
+        match acquire_local(node, &request.data_centre, ask(may_wait), request.id, wait).await {
             AcquireOutcome::Grant(grant) => grants.push(grant),
             AcquireOutcome::NotOwner => return PeerReply::NotOwner,
             AcquireOutcome::Full(after)
@@ -70,13 +70,13 @@
 }
 
 /// A waiter that leaves the account's queue when whoever waits is dropped.
-struct Place {
+struct WaiterGuard {
     node: Rc<Node>,
     id: WaiterId,
     request: (InstanceId, SlotRequestId),
 }
 
-impl Drop for Place {
+impl Drop for WaiterGuard {
     fn drop(&mut self) {
         let leases = &self.node.leases;
         leases.pending.borrow_mut().remove(&self.request);
@@ -88,7 +88,7 @@
 
 /// A wish that waits here is withdrawn; one that was granted meanwhile isn't
 /// found, and its asker gives the lease back.
-pub fn on_withdrawn(node: &Node, request: (InstanceId, SlotRequestId)) {
+pub fn on_cancelled(node: &Node, request: (InstanceId, SlotRequestId)) {
     let leases = &node.leases;
     let Some(id) = leases.pending.borrow_mut().remove(&request) else {
         return;
@@ -99,7 +99,7 @@
 }
 
 /// Asks an account kept here; waits up to `wait` if the wish may wait.
-pub async fn serve(
+pub async fn acquire_local(
     node: &Rc<Node>,
     data_centre: &str,
     ask: slots::Request,
@@ -123,10 +123,10 @@
             let (sender, receiver) = oneshot::channel();
             node.leases.waiters.borrow_mut().insert(id, sender);
             node.leases.pending.borrow_mut().insert(request, id);
-            let place = Place { node: node.clone(), id, request };
-            look(node);
+            let guard = WaiterGuard { node: node.clone(), id, request };
+            check_waiters(node);
             let answer = tokio::time::timeout(wait, receiver).await;
-            drop(place);
+            drop(guard);
             match answer {
                 Ok(Ok(Ok(grant))) => AcquireOutcome::Grant(grant),
                 Ok(Ok(Err(after))) => AcquireOutcome::Full(after),
@@ -189,16 +189,16 @@
 /// A lease of an account kept here was given back.
 pub fn on_release(node: &Rc<Node>, lease: LeaseId, report: LeaseReport) {
     node.leases.allocator.borrow_mut().on_release(lease, report, clock::now());
-    pump(node);
+    grant_waiters(node);
 }
 
 /// Somebody waits in vain for a first event at a target.
-pub fn on_doubt(node: &Rc<Node>, target: &str) {
+pub fn on_overdue(node: &Rc<Node>, target: &str) {
     node.leases.allocator.borrow_mut().on_overdue(target, clock::now());
 }
 
 /// A holder reports all that it holds.
-pub fn on_held(node: &Rc<Node>, holder: InstanceId, held: &[HeldLease]) {
+pub fn on_lease_report(node: &Rc<Node>, holder: InstanceId, held: &[HeldLease]) {
     refresh(node);
     let revocations = {
         let mut allocator = node.leases.allocator.borrow_mut();
@@ -206,11 +206,11 @@
         allocator.revoke_excess()
     };
     revocations.into_iter().for_each(|revocation| revoke(node, revocation));
-    pump(node);
+    grant_waiters(node);
 }
 
 /// Hands free slots to those that wait.
-pub fn pump(node: &Rc<Node>) {
+pub fn grant_waiters(node: &Rc<Node>) {
     refresh(node);
     loop {
         let grants = node.leases.allocator.borrow_mut().next_grants(clock::now());
@@ -232,8 +232,8 @@
 }
 
 /// Looks after those that wait until nobody does.
-fn look(node: &Rc<Node>) {
-    if node.leases.is_looking.replace(true) {
+fn check_waiters(node: &Rc<Node>) {
+    if node.leases.is_checking_waiters.replace(true) {
         return;
     }
     let node = node.clone();
@@ -248,8 +248,8 @@
                     let _gone = sender.send(Err(after));
                 }
             }
-            pump(&node);
+            grant_waiters(&node);
         }
-        node.leases.is_looking.set(false);
+        node.leases.is_checking_waiters.set(false);
     });
 }
--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -97,7 +97,7 @@
     let addresses: Vec<SocketAddr> = registry.usable().map(|target| target.address).collect();
     drop(registry);
     node.targets.retain(|address| addresses.contains(&address));
-    super::allocator::pump(node);
+    super::allocator::grant_waiters(node);
     node.jobs.wake();
 }
 
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -16,7 +16,7 @@
 use coordination::membership::Member;
 use coordination::slots::{self, Allocator, Grant, LeaseId, Policy, Purpose, WaiterId};
 use coordination::{capacity, hash};
-use lease::{ActiveLease, Grantor, hold, take};
+use lease::{ActiveLease, Grantor, accept_remote_grant, activate};
 use protocol::{DataCentreId, InstanceId, TargetId};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -27,13 +27,13 @@
 /// Longest wait for an account's immediate answer. Within a region a round trip
 /// takes about 2 ms; a keeper that needs more is slow or gone, and a decision
 /// without it is better than none.
-const ANSWER: Duration = Duration::from_millis(60);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
 /// Slots of targets that have left, after which an account isn't asked again: it
 /// learns of each, and of the others within the 500 ms between comparisons.
-const MOST_LEFT: u32 = 4;
+const MAX_LEFT_TARGETS: u32 = 4;
 /// Leases that an instance grants itself while no account answers carry this
 /// bit, so that they never collide with an account's own.
-const OWN: LeaseId = 1 << 63;
+const SELF_GRANTED_BIT: LeaseId = 1 << 63;
 
 /// What is asked of the accounts.
 #[derive(Clone, Debug)]
@@ -68,11 +68,11 @@
     /// Data centres with targets, as of the version seen.
     pub(super) data_centres: RefCell<BTreeSet<DataCentreId>>,
     pub(super) waiters: RefCell<HashMap<WaiterId, oneshot::Sender<Result<Grant, Duration>>>>,
-    pub(super) is_looking: Cell<bool>,
+    pub(super) is_checking_waiters: Cell<bool>,
     /// Wishes that wait in the accounts kept here.
     pub(super) pending: RefCell<HashMap<(InstanceId, SlotRequestId), WaiterId>>,
     active: RefCell<HashMap<LeaseId, ActiveLease>>,
-    next_own: Cell<LeaseId>,
+    next_self_granted: Cell<LeaseId>,
     next_request_id: Cell<SlotRequestId>,
 }
 
@@ -80,17 +80,17 @@
     /// No leases and no accounts.
     pub fn new(id: InstanceId, policy: Policy, now: Instant) -> Leases {
         // Ids differ between accounts: the upper half comes from the keeper.
-        let seed = (id << 32) & !OWN;
+        let seed = (id << 32) & !SELF_GRANTED_BIT;
         Leases {
             allocator: RefCell::new(Allocator::new(policy, seed, now)),
             owned: RefCell::default(),
             seen_versions: Cell::new((u64::MAX, u64::MAX)),
             data_centres: RefCell::default(),
             waiters: RefCell::default(),
-            is_looking: Cell::new(false),
+            is_checking_waiters: Cell::new(false),
             pending: RefCell::default(),
             active: RefCell::default(),
-            next_own: Cell::new(seed | OWN),
+            next_self_granted: Cell::new(seed | SELF_GRANTED_BIT),
             next_request_id: Cell::default(),
         }
     }
@@ -191,7 +191,7 @@
     }
     match wait::first(node, query, names).await {
         Outcome::Unanswered => {
-            let lease = without_account(node, query);
+            let lease = grant_locally(node, query);
             lease.map_or(Outcome::Refused(AcquireError::NoTarget), Outcome::Lease)
         }
         outcome => outcome,
@@ -264,7 +264,7 @@
 /// Makes a wish, and gives it back with its answer.
 async fn ask(node: Rc<Node>, call: AllocatorCall) -> (AllocatorCall, AllocatorReply) {
     let mut call = call;
-    for _ in 0..MOST_LEFT {
+    for _ in 0..MAX_LEFT_TARGETS {
         match answer(&node, &call).await {
             AllocatorReply::TargetLeft(target) => call.ask.excluded.push(target),
             reply => return (call, reply),
@@ -281,9 +281,9 @@
     };
     if owner.id == node.id() {
         let AllocatorCall { data_centre, ask, id, wait } = call;
-        return match allocator::serve(node, data_centre, ask.clone(), *id, *wait).await {
+        return match allocator::acquire_local(node, data_centre, ask.clone(), *id, *wait).await {
             allocator::AcquireOutcome::Grant(grant) => {
-                AllocatorReply::Lease(hold(node, grant, Purpose::Online, Grantor::Local))
+                AllocatorReply::Lease(activate(node, grant, Purpose::Online, Grantor::Local))
             }
             allocator::AcquireOutcome::Full(after) => AllocatorReply::Full(after),
             allocator::AcquireOutcome::Pending => AllocatorReply::Pending,
@@ -294,9 +294,9 @@
         return AllocatorReply::Unresponsive;
     }
     let request = call.request(now);
-    match node.request(owner.peer, &PeerRequest::Slots(request), call.wait + ANSWER).await {
+    match node.request(owner.peer, &PeerRequest::Slots(request), call.wait + REPLY_TIMEOUT).await {
         Ok(PeerReply::Slots(grants, _)) => match grants.into_iter().next() {
-            Some(grant) => match take(node, grant, Purpose::Online, owner.peer) {
+            Some(grant) => match accept_remote_grant(node, grant, Purpose::Online, owner.peer) {
                 Ok(lease) => AllocatorReply::Lease(lease),
                 Err(target) => AllocatorReply::TargetLeft(target),
             },
@@ -313,7 +313,7 @@
 
 /// A slot chosen without any account: of the least loaded targets by what this
 /// instance sends them itself, one by lot.
-fn without_account(node: &Rc<Node>, query: &SlotQuery) -> Option<Lease> {
+fn grant_locally(node: &Rc<Node>, query: &SlotQuery) -> Option<Lease> {
     let registry = node.registry.borrow();
     let active = node.leases.active.borrow();
     let own = |id: &str| active.values().filter(|lease| lease.held.target == id).count();
@@ -325,11 +325,11 @@
         (is_far, own(&target.id), rand::random::<u32>())
     };
     let target = registry.usable().filter(fits).min_by_key(rank)?;
-    let lease = node.leases.next_own.get() + 1;
-    node.leases.next_own.set(lease);
+    let lease = node.leases.next_self_granted.get() + 1;
+    node.leases.next_self_granted.set(lease);
     let grant = Grant { lease, target: target.id.clone(), address: target.address };
     drop(active);
     slog::info!(node.log, "slot without account"; "target" => &grant.target,
         "service" => &query.service);
-    Some(hold(node, grant, Purpose::Online, Grantor::None))
+    Some(activate(node, grant, Purpose::Online, Grantor::None))
 }
--- a/crates/daemon/src/gateway/leases/batch.rs
+++ b/crates/daemon/src/gateway/leases/batch.rs
@@ -1,7 +1,7 @@
 //! Slots for batch: asked of one account at a time, several at once.
 
-use super::lease::{Grantor, hold, take};
-use super::{ANSWER, Lease, allocator_owner};
+use super::lease::{Grantor, accept_remote_grant, activate};
+use super::{Lease, REPLY_TIMEOUT, allocator_owner};
 use crate::clock;
 use crate::gateway::allocator;
 use crate::gateway::message::{PeerReply, PeerRequest, SlotRequest};
@@ -57,11 +57,11 @@
     let at = owner.peer;
     let is_here = owner.id == node.id();
     let reply = if is_here {
-        allocator::on_wish(node, request).await
+        allocator::on_slot_request(node, request).await
     } else if node.is_shunned(at, now) {
         return None;
     } else {
-        node.request(at, &PeerRequest::Slots(request), wait + ANSWER * 4).await.ok()?
+        node.request(at, &PeerRequest::Slots(request), wait + REPLY_TIMEOUT * 4).await.ok()?
     };
     let PeerReply::Slots(grants, span) = reply else {
         return None;
@@ -70,9 +70,9 @@
     let granted = grants.len();
     let lease = |grant| {
         if is_here {
-            return Some(hold(node, grant, Purpose::Batch, Grantor::Local));
+            return Some(activate(node, grant, Purpose::Batch, Grantor::Local));
         }
-        take(node, grant, Purpose::Batch, at).ok()
+        accept_remote_grant(node, grant, Purpose::Batch, at).ok()
     };
     let leases: Vec<Lease> = grants.into_iter().filter_map(lease).collect();
     // An account that knows only targets that have left is asked again later.
--- a/crates/daemon/src/gateway/leases/lease.rs
+++ b/crates/daemon/src/gateway/leases/lease.rs
@@ -54,7 +54,7 @@
     }
 
     /// Tells the account that a first event is overdue.
-    pub fn doubt(&self) {
+    pub fn report_overdue(&self) {
         let target = self.grant.target.clone();
         let grantor =
             self.node.leases.active.borrow().get(&self.grant.lease).map(|lease| lease.grantor);
@@ -86,7 +86,7 @@
 }
 
 /// Takes a granted slot into use.
-pub(super) fn hold(node: &Rc<Node>, grant: Grant, purpose: Purpose, grantor: Grantor) -> Lease {
+pub(super) fn activate(node: &Rc<Node>, grant: Grant, purpose: Purpose, grantor: Grantor) -> Lease {
     let stop = CancellationToken::new();
     let held = HeldLease { lease: grant.lease, target: grant.target.clone(), purpose };
     let lease = ActiveLease { held, grantor, stop: stop.clone() };
@@ -103,14 +103,14 @@
 ///
 /// Guards against requests that reach a target after its word: up to 3.4 s after it
 /// in replays of cuts of 4 s, where 2 s are allowed.
-pub(super) fn take(
+pub(super) fn accept_remote_grant(
     node: &Rc<Node>,
     grant: Grant,
     purpose: Purpose,
     owner: SocketAddr,
 ) -> Result<Lease, TargetId> {
     let target = grant.target.clone();
-    let lease = hold(node, grant, purpose, Grantor::Remote(owner));
+    let lease = activate(node, grant, purpose, Grantor::Remote(owner));
     let known = {
         let registry = node.registry.borrow();
         if !registry.has_left(&target) {
--- a/crates/daemon/src/gateway/leases/report.rs
+++ b/crates/daemon/src/gateway/leases/report.rs
@@ -13,7 +13,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time between reports of all that is held.
-const REPORT_EVERY: Duration = Duration::from_millis(1_000);
+const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Reports all that is held to the accounts, now and then.
 pub async fn report(node: Rc<Node>, stop: CancellationToken) {
@@ -21,11 +21,11 @@
     let mut last = clock::now();
     loop {
         tokio::select! {
-            () = tokio::time::sleep(REPORT_EVERY / 4) => {}
+            () = tokio::time::sleep(REPORT_INTERVAL / 4) => {}
             () = stop.cancelled() => return,
         }
         allocator::refresh(&node);
-        let is_due = clock::since(last) >= REPORT_EVERY;
+        let is_due = clock::since(last) >= REPORT_INTERVAL;
         if is_due {
             last = clock::now();
         }
--- a/crates/daemon/src/gateway/leases/wait.rs
+++ b/crates/daemon/src/gateway/leases/wait.rs
@@ -21,7 +21,7 @@
 /// and others may have slots by now. Turns depend on the request, not on when it
 /// began to wait, so nothing is lost by asking again. Longer than the 250 ms
 /// between heartbeats, and a fifth of the shortest time that callers wait.
-const RENEW: Duration = Duration::from_millis(400);
+const MAX_QUEUE_WAIT: Duration = Duration::from_millis(400);
 
 /// Searches the accounts of some data centres, the nearest first, which has just
 /// said that nothing is free there.
@@ -80,7 +80,7 @@
         let mut call = AllocatorCall::look(&node, self.query, name);
         call.ask.total_slots = self.reach;
         call.ask.may_wait = true;
-        call.wait = self.left().min(RENEW);
+        call.wait = self.left().min(MAX_QUEUE_WAIT);
         self.places.pending.push((call.data_centre.clone(), call.id));
         self.places.requests.push((self.start)(node, call));
     }
@@ -133,7 +133,7 @@
         match self.shortest {
             _ if self.is_pending && !self.left().is_zero() => Outcome::Pending,
             Some(after) => Outcome::Refused(AcquireError::Full(after)),
-            None if self.is_pending => Outcome::Refused(AcquireError::Full(RENEW)),
+            None if self.is_pending => Outcome::Refused(AcquireError::Full(MAX_QUEUE_WAIT)),
             None => Outcome::Unanswered,
         }
     }
@@ -157,7 +157,7 @@
             let request = (self.node.id(), *id);
             match allocator_owner(&self.node, data_centre) {
                 Some(owner) if owner.id == request.0 => {
-                    allocator::on_withdrawn(&self.node, request)
+                    allocator::on_cancelled(&self.node, request)
                 }
                 Some(owner) => {
                     self.node.notify(owner.peer, PeerRequest::CancelSlots(request.0, request.1))
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -33,7 +33,7 @@
         let result = match first {
             Ok(result) => result,
             Err(_) => {
-                lease.doubt();
+                lease.report_overdue();
                 let rest = limit.saturating_sub(clock::since(now));
                 match tokio::time::timeout(rest, sent).await {
                     Ok(result) => result,
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -80,9 +80,9 @@
 
 async fn answer(node: &Rc<Node>, ask: PeerRequest) -> PeerReply {
     match ask {
-        PeerRequest::Slots(request) => allocator::on_wish(node, request).await,
+        PeerRequest::Slots(request) => allocator::on_slot_request(node, request).await,
         PeerRequest::CancelSlots(from, id) => {
-            allocator::on_withdrawn(node, (from, id));
+            allocator::on_cancelled(node, (from, id));
             PeerReply::Done
         }
         PeerRequest::Release(lease, report) => {
@@ -90,11 +90,11 @@
             PeerReply::Done
         }
         PeerRequest::TargetOverdue(target) => {
-            allocator::on_doubt(node, &target);
+            allocator::on_overdue(node, &target);
             PeerReply::Done
         }
         PeerRequest::LeaseReport(from, held) => {
-            allocator::on_held(node, from, &held);
+            allocator::on_lease_report(node, from, &held);
             PeerReply::Done
         }
         PeerRequest::Revoke(lease) => {
@@ -208,7 +208,7 @@
     slog::info!(node.log, "members"; "version" => members.version(), "alive" => alive,
         "doubtful" => ?doubtful, "lost" => members.losses());
     drop(members);
-    allocator::pump(node);
+    allocator::grant_waiters(node);
 }
 
 /// Sends heartbeats and news until `stop`.
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -172,7 +172,7 @@
                 () = self.sender.closed() => return Stop::Gone,
                 () = tokio::time::sleep(left) => return Stop::TimeOver,
                 () = tokio::time::sleep(quiet), if !is_doubted => {
-                    lease.doubt();
+                    lease.report_overdue();
                     is_doubted = true;
                     if self.forward.may_send_again() {
                         return Stop::Silent;
