--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -15,17 +15,17 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time between comparisons with another instance.
-const SYNC_EVERY: Duration = Duration::from_millis(500);
+const SYNC_INTERVAL: Duration = Duration::from_millis(500);
 /// The same until there are a configuration and targets.
-const FIRST_EVERY: Duration = Duration::from_millis(40);
+const STARTUP_SYNC_INTERVAL: Duration = Duration::from_millis(40);
 /// Time after a start in which comparisons follow each other so fast: whoever knows nothing
 /// by then is cut off, or the platform is away.
-const FIRST_FOR: Duration = Duration::from_secs(5);
+const STARTUP_PERIOD: Duration = Duration::from_secs(5);
 /// Shortest time between looks at another instance's open jobs, if they differ:
 /// for a moment after each change they do.
-const LEARN_EVERY: Duration = Duration::from_secs(4);
+const MIN_JOB_SYNC_INTERVAL: Duration = Duration::from_secs(4);
 /// Longest wait for a comparison's reply.
-const SYNC_LIMIT: Duration = Duration::from_millis(500);
+const SYNC_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Compares until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
@@ -42,8 +42,8 @@
 /// Time until the next comparison: an instance that knows no configuration or no targets
 /// serves nothing.
 fn pause(node: &Node) -> Duration {
-    let is_new = clock::since(node.started) < FIRST_FOR;
-    if node.is_informed() || !is_new { SYNC_EVERY } else { FIRST_EVERY }
+    let is_new = clock::since(node.started) < STARTUP_PERIOD;
+    if node.is_informed() || !is_new { SYNC_INTERVAL } else { STARTUP_SYNC_INTERVAL }
 }
 
 /// Compares with one other instance, drawn by lot.
@@ -62,10 +62,11 @@
         digest: node.state_digest(),
         connectivity: node.connectivity(),
     };
-    let reply = node.request(others[at].peer, &ask, SYNC_LIMIT).await;
+    let reply = node.request(others[at].peer, &ask, SYNC_TIMEOUT).await;
     if let Ok(PeerReply::Sync { config, digest, connectivity }) = reply {
         platform_health::on_peer_report(&node, others[at].id, connectivity);
-        let is_due = node.jobs.learnt.get().is_none_or(|at| clock::since(at) >= LEARN_EVERY);
+        let is_due =
+            node.jobs.learnt.get().is_none_or(|at| clock::since(at) >= MIN_JOB_SYNC_INTERVAL);
         if digest.jobs != node.state_digest().jobs && is_due {
             node.jobs.learnt.set(Some(now));
             let wanted = job_table::open_jobs_filter(&node);
@@ -79,7 +80,7 @@
         }
         if digest.targets != node.state_digest().targets {
             let ask = PeerRequest::Targets(node.registry.borrow().digests());
-            let reply = node.request(others[at].peer, &ask, SYNC_LIMIT).await;
+            let reply = node.request(others[at].peer, &ask, SYNC_TIMEOUT).await;
             if let Ok(PeerReply::Targets(changes)) = reply {
                 discovery::on_targets(&node, changes, "compared");
             }
@@ -90,7 +91,7 @@
 /// Learns the strikes of an instance that knows which requests are held.
 async fn compare_strikes(node: &Node, other: &Member, digest: u64) {
     if node.quarantine.borrow().digest() != digest {
-        let reply = node.request(other.peer, &PeerRequest::Strikes, SYNC_LIMIT).await;
+        let reply = node.request(other.peer, &PeerRequest::Strikes, SYNC_TIMEOUT).await;
         let Ok(PeerReply::Strikes(strikes)) = reply else {
             return;
         };
--- a/crates/daemon/src/gateway/broadcast.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -27,21 +27,21 @@
 use tokio::task::spawn_local;
 
 /// A relay passes on together how jobs stand that it hears of within this time.
-const GATHER: Duration = Duration::from_millis(150);
+const STATUS_BATCH_WINDOW: Duration = Duration::from_millis(150);
 /// Longest wait for a relay's reply; then the next in rank is told.
-const RELAY: Duration = Duration::from_millis(300);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(300);
 /// Relays of a data centre that are tried, each twice.
-const RELAYS: usize = 2;
+const MAX_RELAYS: usize = 2;
 /// Longest waits for the replies to one piece of news, told again to whoever didn't reply.
 /// An open connection may be silent for good while new ones work, and the first try is what
 /// finds it out; a piece of news is taken in within some milliseconds, a configuration after
 /// it was fetched. Without the second try a lost word waits for a comparison drawn by lot:
 /// of ten instances in a test eight or nine lacked a version 1.9 s after it was acknowledged,
 /// now none does.
-const TELLS: [Duration; 2] = [Duration::from_millis(300), Duration::from_millis(800)];
+const SEND_TIMEOUTS: [Duration; 2] = [Duration::from_millis(300), Duration::from_millis(800)];
 /// Longest waits for a configuration that another instance told of, for the same reason. The
 /// second is for the largest: half a megabyte takes 130 ms on the slowest links.
-const FETCHES: [Duration; 2] = [Duration::from_millis(250), Duration::from_millis(500)];
+const FETCH_TIMEOUTS: [Duration; 2] = [Duration::from_millis(250), Duration::from_millis(500)];
 
 /// News on its way through this instance.
 #[derive(Default)]
@@ -88,14 +88,14 @@
     able.sort_by_key(|member| {
         (Reverse(capacity::class(member.id)), hash::weight(b"relay", member.id))
     });
-    able.truncate(RELAYS);
+    able.truncate(MAX_RELAYS);
     able
 }
 
 async fn send_to_relay(node: Rc<Node>, relays: Vec<Member>, update: Update) {
     let ask = PeerRequest::RelayUpdate(node.as_holder().address, update);
     for relay in relays.iter().chain(&relays) {
-        match node.request(relay.peer, &ask, RELAY).await {
+        match node.request(relay.peer, &ask, RELAY_TIMEOUT).await {
             Ok(_) => return,
             Err(fault) => slog::debug!(node.log, "relay silent"; "relay" => %relay.peer,
                 "fault" => ?fault),
@@ -120,10 +120,10 @@
 
 /// Tells an instance, once more if it doesn't reply.
 async fn deliver(node: Rc<Node>, to: SocketAddr, ask: PeerRequest) {
-    if node.try_request(to, &ask, TELLS[0]).await.is_ok() {
+    if node.try_request(to, &ask, SEND_TIMEOUTS[0]).await.is_ok() {
         return;
     }
-    if let Err(fault) = node.request(to, &ask, TELLS[1]).await {
+    if let Err(fault) = node.request(to, &ask, SEND_TIMEOUTS[1]).await {
         slog::debug!(node.log, "not told"; "to" => %to, "fault" => ?fault);
     }
 }
@@ -180,7 +180,7 @@
     if is_first {
         let node = node.clone();
         spawn_local(async move {
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(STATUS_BATCH_WINDOW).await;
             let statuses = std::mem::take(&mut *node.outbox.statuses.borrow_mut());
             send_to_data_centre(&node, &Update::Statuses(statuses.into_values().collect()));
         });
@@ -192,7 +192,7 @@
 async fn fetch(node: &Rc<Node>, from: SocketAddr, version: Version) -> bool {
     let now = clock::now();
     let is_under_way = node.outbox.fetching.get().is_some_and(|(fetched, since)| {
-        fetched >= version && now < since + FETCHES.iter().sum::<Duration>()
+        fetched >= version && now < since + FETCH_TIMEOUTS.iter().sum::<Duration>()
     });
     if in_force(node) >= version || is_under_way {
         return false;
@@ -203,9 +203,9 @@
         digest: node.state_digest(),
         connectivity: node.connectivity(),
     };
-    let mut reply = node.try_request(from, &ask(), FETCHES[0]).await;
+    let mut reply = node.try_request(from, &ask(), FETCH_TIMEOUTS[0]).await;
     if reply.is_err() {
-        reply = node.request(from, &ask(), FETCHES[1]).await;
+        reply = node.request(from, &ask(), FETCH_TIMEOUTS[1]).await;
     }
     node.outbox.fetching.set(None);
     match reply {
--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -19,16 +19,16 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time between looks for targets that stayed away for too long.
-const LOOK: Duration = Duration::from_millis(100);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Changes of targets that get a line each when they are learnt together.
-const MOST_LINES: usize = 64;
+const MAX_LOGGED_CHANGES: usize = 64;
 /// Missing targets that are named in a line.
-const MOST_NAMED: usize = 8;
+const MAX_LOGGED_TARGETS: usize = 8;
 /// Removes what has stayed missing, until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(EXPIRY_CHECK_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
         let lapsed = node.registry.borrow_mut().on_time(clock::now());
@@ -78,11 +78,11 @@
     if news.is_empty() {
         return;
     }
-    if news.len() > MOST_LINES {
+    if news.len() > MAX_LOGGED_CHANGES {
         slog::info!(node.log, "targets"; "changes" => news.len(), "from" => from,
             "revision" => node.registry.borrow().revision());
     }
-    for change in news.iter().filter(|_| news.len() <= MOST_LINES) {
+    for change in news.iter().filter(|_| news.len() <= MAX_LOGGED_CHANGES) {
         match change {
             Change::Present(target) => slog::info!(node.log, "target";
                 "target" => &target.id, "service" => &target.service,
@@ -193,7 +193,7 @@
     if !missing.is_empty() {
         let regained = node.store.reachable_since().map(|at| clock::since(at).as_millis() as u64);
         slog::info!(node.log, "targets missing"; "count" => missing.len(),
-            "targets" => ?missing.iter().take(MOST_NAMED).collect::<Vec<_>>(),
+            "targets" => ?missing.iter().take(MAX_LOGGED_TARGETS).collect::<Vec<_>>(),
             "platform_back_ms" => regained, "bound_ms" => RETURN_TIME.as_millis() as u64);
     }
     on_changed(node, &news, "platform");
--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -17,24 +17,24 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time between looks for items when nothing has happened.
-const LOOK: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait of one request for slots; the account answers when it has one. Each
 /// holder with items waits at each account: at 250 instances and five accounts, 0.8 s
 /// makes 310 wishes a second for each account, beside 300 online requests at a peak.
-const SLOT_WAIT: Duration = Duration::from_secs(2);
+const SLOT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after a request for slots that failed.
-const SLOT_PAUSE: Duration = Duration::from_millis(150);
+const SLOT_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Most slots asked for at once.
-const MOST_SLOTS: usize = 4;
+const MAX_SLOTS_PER_REQUEST: usize = 4;
 /// Pause before a stopping instance tries again to pass on jobs that nobody took.
-const PASS_AGAIN: Duration = Duration::from_millis(300);
+const HANDOFF_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Hands items to slots until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     loop {
         tokio::select! {
             () = node.jobs.work.notified() => {}
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
         if node.is_stopping() {
@@ -140,7 +140,7 @@
         left: node.jobs.span.borrow().remaining(made),
         is_begun: made > 0,
         most,
-        wait: SLOT_WAIT,
+        wait: SLOT_TIMEOUT,
     }
 }
 
@@ -151,12 +151,12 @@
         let Some(first) = waiting.first() else {
             break;
         };
-        let most = alike(&node, &waiting).clamp(1, MOST_SLOTS);
+        let most = alike(&node, &waiting).clamp(1, MAX_SLOTS_PER_REQUEST);
         let want = want(&node, &place, &service, first, most);
         drop(waiting);
         match leases::acquire_batch(&node, want).await {
             Some(leases) => leases.into_iter().for_each(|lease| start(&node, &service, lease)),
-            None => tokio::time::sleep(SLOT_PAUSE).await,
+            None => tokio::time::sleep(SLOT_RETRY_DELAY).await,
         }
     }
     node.jobs.filling.borrow_mut().remove(&(place, service));
@@ -212,6 +212,6 @@
             return;
         }
         left = still;
-        tokio::time::sleep(PASS_AGAIN).await;
+        tokio::time::sleep(HANDOFF_RETRY_DELAY).await;
     }
 }
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -24,11 +24,11 @@
 /// An engine that sends nothing for this long is taken for silent. Prompts are
 /// read and tokens made within tens of milliseconds; an engine that runs five
 /// times slower still stays below it.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause before an item runs again whose run broke off or was turned away.
-const ITEM_PAUSE: Duration = Duration::from_millis(100);
+const ITEM_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Longest answer of a target that isn't a stream and is looked at.
-const MOST_BODY: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// How a run of an item ended.
 enum Ended {
@@ -104,7 +104,7 @@
             }
             lease.end(end);
             if end != LeaseOutcome::Unused {
-                pause = ITEM_PAUSE;
+                pause = ITEM_RETRY_DELAY;
             }
             held.state.borrow_mut().on_stopped(&item.id, partial);
         }
@@ -154,7 +154,7 @@
         }
     };
     let sent = node.targets.send(lease.grant.address, request);
-    let mut exchange = match tokio::time::timeout(SILENCE, sent).await {
+    let mut exchange = match tokio::time::timeout(IDLE_TIMEOUT, sent).await {
         Ok(Ok(exchange)) => exchange,
         Ok(Err(Unsent::NotSent(fault))) => {
             return Ended::Stopped(LeaseOutcome::Unresponsive, fault);
@@ -183,7 +183,7 @@
         return ended;
     }
     // Reading the rest keeps the connection.
-    let rest = exchange.whole(MOST_BODY).await;
+    let rest = exchange.whole(MAX_BODY_BYTES).await;
     slog::info!(node.log, "item failed"; "item" => &item.id, "status" => status.as_u16(),
         "target" => &lease.grant.target, "whole" => rest.is_ok());
     match status {
@@ -197,7 +197,7 @@
     let broken = |fault: &str| Ended::Stopped(LeaseOutcome::Interrupted, fault.to_owned());
     let mut splitter = Splitter::default();
     loop {
-        let piece = match tokio::time::timeout(SILENCE, exchange.next()).await {
+        let piece = match tokio::time::timeout(IDLE_TIMEOUT, exchange.next()).await {
             Err(_) => return Ended::Stopped(LeaseOutcome::Unresponsive, String::from("silent")),
             Ok(Err(fault)) => return broken(&fault),
             Ok(Ok(None)) if !splitter.is_empty() => return broken("ended within an event"),
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -24,21 +24,21 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time between looks whether a sweep is due.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// A sweep after a start waits until the members known have not changed for this
 /// long, so that each knows its share...
-const SETTLED: Duration = Duration::from_millis(250);
+const MEMBERSHIP_STABLE_PERIOD: Duration = Duration::from_millis(250);
 /// ...but no longer than this.
-const FIRST_SWEEP: Duration = Duration::from_millis(1_500);
+const MAX_FIRST_SCAN_DELAY: Duration = Duration::from_millis(1_500);
 /// Pause after a look that failed, or that came before all members were met.
-const AGAIN: Duration = Duration::from_millis(1_000);
+const SCAN_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 /// Pause after a member was lost: others may be lost with it.
-const AFTER_LOSS: Duration = Duration::from_millis(2_000);
+const SCAN_DELAY_AFTER_LOSS: Duration = Duration::from_millis(2_000);
 /// Time between looks when nothing has happened.
-const EVERY: Duration = Duration::from_secs(60);
+const SCAN_INTERVAL: Duration = Duration::from_secs(60);
 /// One in this many instances takes part: a page is a megabyte and takes some
 /// 300 ms on the slowest links, while each reader costs a call more.
-const PER_SHARER: usize = 8;
+const INSTANCES_PER_SCANNER: usize = 8;
 
 /// When the next sweep is due.
 struct Schedule {
@@ -62,11 +62,11 @@
         }
         if self.losses != losses {
             self.losses = losses;
-            let after_loss = now + AFTER_LOSS;
+            let after_loss = now + SCAN_DELAY_AFTER_LOSS;
             self.next = self.next.map(|next| next.min(after_loss));
         }
-        let is_settled = members > 0 && now >= self.settled_since + SETTLED;
-        let first = || is_settled || now >= self.began + FIRST_SWEEP;
+        let is_settled = members > 0 && now >= self.settled_since + MEMBERSHIP_STABLE_PERIOD;
+        let first = || is_settled || now >= self.began + MAX_FIRST_SCAN_DELAY;
         self.next.map_or_else(first, |next| now >= next)
     }
 }
@@ -76,7 +76,7 @@
     let mut schedule = Schedule::new(clock::now());
     loop {
         tokio::select! {
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
         let now = clock::now();
@@ -95,14 +95,14 @@
             Some(range) => sweep(&node, range, is_warmed_up).await,
             None => is_warmed_up,
         };
-        schedule.next = Some(clock::now() + if is_done { EVERY } else { AGAIN });
+        schedule.next = Some(clock::now() + if is_done { SCAN_INTERVAL } else { SCAN_RETRY_DELAY });
         expire(&node);
     }
 }
 
 fn own_share(node: &Node) -> Option<Range> {
     let members = node.members.borrow();
-    share(members.me().id, members.workers().map(|member| member.id), PER_SHARER)
+    share(members.me().id, members.workers().map(|member| member.id), INSTANCES_PER_SCANNER)
 }
 
 /// Looks through a range of the jobs; `false` when it has to be repeated.
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -16,9 +16,9 @@
 
 /// Share of an object's bytes that its spec may take; a status takes less than
 /// the rest, so that both fit with the object's head.
-const SPEC_SHARE: f64 = 0.5;
+const SPEC_BYTES_RATIO: f64 = 0.5;
 /// Share of an object's bytes that its status may take.
-const STATUS_SHARE: f64 = 0.35;
+const STATUS_BYTES_RATIO: f64 = 0.35;
 
 /// A run of items or results that lies in an object of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -200,7 +200,7 @@
 ///
 /// [`Fault::Conflict`] when it is kept already, else how a call failed.
 pub async fn create(node: &Node, job: &Job) -> Result<(Object, Overflow), Fault> {
-    let most = share(node, SPEC_SHARE);
+    let most = share(node, SPEC_BYTES_RATIO);
     let runs = runs(&job.items, most);
     let Some((first, rest)) = runs.split_first().filter(|(_, rest)| !rest.is_empty()) else {
         let object = node.store.create(Cause::Submission, job::KIND, &job.id, job).await?;
@@ -239,7 +239,7 @@
     let mut overflow = overflow.clone();
     let moved = count(&overflow.results).min(progress.outcomes.len());
     let mut left = &progress.outcomes[moved..];
-    let most = share(node, STATUS_SHARE);
+    let most = share(node, STATUS_BYTES_RATIO);
     let runs = runs(left, most);
     for run in runs.split_last().map(|(_, early)| early).unwrap_or_default() {
         overflow.results.push(write_overflow(node, cause, id, run).await?);
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -23,13 +23,13 @@
 
 /// How jobs stand is told together that comes within this time: each message
 /// goes to every member.
-const TELL: Duration = Duration::from_millis(60);
+const STATUS_BATCH_WINDOW: Duration = Duration::from_millis(60);
 /// Longest wait for another instance to know of a job.
-const WITNESS: Duration = Duration::from_millis(60);
+const WITNESS_TIMEOUT: Duration = Duration::from_millis(60);
 /// Attempts of an item when its route no longer tells.
-const ATTEMPTS: u32 = 3;
+const DEFAULT_MAX_ATTEMPTS: u32 = 3;
 /// Pause before others are asked again how jobs stand.
-const LEARN_AGAIN: Duration = Duration::from_millis(500);
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// One job in memory.
 pub struct HeldJob {
@@ -169,7 +169,7 @@
 pub fn hold(node: &Rc<Node>, stored_job: StoredJob) -> Rc<HeldJob> {
     let StoredJob { job, progress, overflow, revision } = stored_job;
     let id = job.id.clone();
-    let attempts = route_of(node, &job).map_or(ATTEMPTS, |route| route.attempts);
+    let attempts = route_of(node, &job).map_or(DEFAULT_MAX_ATTEMPTS, |route| route.attempts);
     let state = JobState::new(job, progress, attempts);
     let is_frozen = state.is_finished();
     let held = Rc::new(HeldJob {
@@ -229,7 +229,7 @@
     }
     let node = node.clone();
     spawn_local(async move {
-        tokio::time::sleep(TELL).await;
+        tokio::time::sleep(STATUS_BATCH_WINDOW).await;
         let statuses = std::mem::take(&mut *node.jobs.outbox.borrow_mut());
         broadcast::send(&node, Update::Statuses(statuses.into_values().collect()));
     });
@@ -254,7 +254,7 @@
         let address = witness.map(|member| member.peer);
         async move {
             match address {
-                Some(address) => node.request(address, &ask, WITNESS).await.is_ok(),
+                Some(address) => node.request(address, &ask, WITNESS_TIMEOUT).await.is_ok(),
                 None => false,
             }
         }
@@ -308,7 +308,7 @@
                 return;
             }
         }
-        tokio::time::sleep(LEARN_AGAIN).await;
+        tokio::time::sleep(FETCH_RETRY_DELAY).await;
     }
 }
 
@@ -316,7 +316,7 @@
 pub async fn fetch_statuses_from(node: &Rc<Node>, address: SocketAddr, filter: JobFilter) -> bool {
     let is_open_only = matches!(filter, JobFilter::Open(_));
     let ask = PeerRequest::ListJobs(filter);
-    let reply = node.request(address, &ask, peers::PING_TIMEOUT).await;
+    let reply = node.request(address, &ask, peers::HEARTBEAT_TIMEOUT).await;
     let Ok(PeerReply::Statuses(statuses)) = reply else {
         return false;
     };
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -17,19 +17,19 @@
 
 /// A holder that finds itself this late was stopped or starved: its jobs may have
 /// been taken over meanwhile.
-const FROZEN: Duration = Duration::from_millis(1_500);
+const STALL_THRESHOLD: Duration = Duration::from_millis(1_500);
 /// Time between looks at a job that nothing has happened to.
-const LOOK: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Shortest pause after a write that failed.
-const WRITE_PAUSE: Duration = Duration::from_millis(100);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time after which a job is looked at that the platform hasn't shown to be held here
 /// meanwhile, while whole data centres are out of sight: they may have taken it over,
 /// or seen its end. A write that succeeds shows as much as a look.
-const VERIFY_EVERY: Duration = Duration::from_millis(1_500);
+const VERIFY_INTERVAL: Duration = Duration::from_millis(1_500);
 /// How long that goes on after all are in sight again: whoever ended a job just
 /// before may not have known its holder. Members of a data centre that was cut off
 /// meet again within some two seconds.
-const AFTER_ISOLATION: Duration = Duration::from_secs(4);
+const ISOLATION_COOLDOWN: Duration = Duration::from_secs(4);
 
 /// Runs that were told to stop have put down what they made after this time.
 pub(super) const RUN_STOP_DELAY: Duration = Duration::from_millis(5);
@@ -57,10 +57,10 @@
     loop {
         tokio::select! {
             () = held.dirty.notified() => {}
-            () = tokio::time::sleep(until_write(&node, &held, clock::now()).min(LOOK)) => {}
+            () = tokio::time::sleep(until_write(&node, &held, clock::now()).min(POLL_INTERVAL)) => {}
             () = held.released.cancelled() => return,
         }
-        if clock::since(looked) >= FROZEN {
+        if clock::since(looked) >= STALL_THRESHOLD {
             verify(&node, &held).await;
         }
         looked = clock::now();
@@ -68,8 +68,8 @@
         if node.is_isolated() {
             isolated = Some(looked);
         }
-        let may_be_overtaken = isolated.is_some_and(|at| clock::since(at) < AFTER_ISOLATION);
-        let is_due = clock::since(tried.max(held.confirmed.get())) >= VERIFY_EVERY;
+        let may_be_overtaken = isolated.is_some_and(|at| clock::since(at) < ISOLATION_COOLDOWN);
+        let is_due = clock::since(tried.max(held.confirmed.get())) >= VERIFY_INTERVAL;
         if is_due && may_be_overtaken {
             tried = clock::now();
             verify(&node, &held).await;
@@ -78,7 +78,7 @@
         // and would show nothing where others had read it on the platform.
         while !held.released.is_cancelled() && until_write(&node, &held, clock::now()).is_zero() {
             if !write(&node, &held).await {
-                let pause = node.store.backoff_remaining(clock::now()).max(WRITE_PAUSE);
+                let pause = node.store.backoff_remaining(clock::now()).max(WRITE_RETRY_DELAY);
                 tokio::time::sleep(pause).await;
             }
         }
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -18,28 +18,28 @@
 use transport::listen::Body;
 
 /// Longest time for which a read of results is held, whatever the caller says.
-const LONGEST_HOLD: Duration = Duration::from_secs(5);
+const MAX_RESULTS_WAIT: Duration = Duration::from_secs(5);
 /// Time for a holder to answer, on top of the time for which a read is held.
-const HOLDER_ANSWER: Duration = Duration::from_millis(400);
+const HOLDER_REPLY_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time between looks whether a job has a holder again.
-const HOLDER_LOOK: Duration = Duration::from_millis(100);
+const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a job that was read from the platform is shown again without a call. What
 /// one instance has shown, all others must show a second later.
-const RECENT: Duration = Duration::from_millis(700);
+const JOB_CACHE_TTL: Duration = Duration::from_millis(700);
 /// Longest wait for the end of a job to become durable.
-const END_LIMIT: Duration = Duration::from_millis(2_500);
+const END_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Tries to write an end while others write to the job.
-const END_TRIES: u32 = 4;
+const MAX_END_ATTEMPTS: u32 = 4;
 
 /// Header of an answer of our own.
-const CONTENT_TYPE_NAME: &str = "content-type";
+const CONTENT_TYPE: &str = "content-type";
 
 /// Answers a call about a job.
 pub async fn call(node: &Rc<Node>, call: job::Call, headers: &HeaderMap) -> Response<Body> {
     match call {
         job::Call::Results { job, from } => {
             let wait = header::millis(headers, header::WAIT).unwrap_or_default();
-            results(node, &job, from, wait.min(LONGEST_HOLD)).await
+            results(node, &job, from, wait.min(MAX_RESULTS_WAIT)).await
         }
         job::Call::Body { job, item } => body(node, &job, &item).await,
         job::Call::End { job } => end(node, &job).await,
@@ -88,7 +88,7 @@
         if left.is_zero() {
             return false;
         }
-        tokio::time::sleep(left.min(HOLDER_LOOK)).await;
+        tokio::time::sleep(left.min(HOLDER_POLL_INTERVAL)).await;
         let now = holder(node);
         if node.jobs.held_job(id).is_some() || (now.is_some() && now != before) {
             return true;
@@ -98,7 +98,7 @@
 
 fn listed(total: usize, from: usize, outcomes: &[Outcome]) -> Response<Body> {
     let mut response = Response::new(Body::Whole(job::results(total, from, outcomes)));
-    set(&mut response, CONTENT_TYPE_NAME, "application/json");
+    set(&mut response, CONTENT_TYPE, "application/json");
     response
 }
 
@@ -106,7 +106,7 @@
     slog::info!(node.log, "job in doubt"; "job" => id,
         "platform_away" => node.store.is_backing_off(clock::now()));
     let mut error = Error::new(Kind::PlatformAway, "the job can't be read now");
-    error.retry_after = Some(submit::COME_BACK);
+    error.retry_after = Some(submit::RETRY_AFTER);
     refusal(node, "", &error)
 }
 
@@ -144,7 +144,7 @@
     match found.and_then(|text| job::body_of(&text).ok()) {
         Some(bytes) => {
             let mut response = Response::new(Body::Whole(bytes));
-            set(&mut response, CONTENT_TYPE_NAME, "application/octet-stream");
+            set(&mut response, CONTENT_TYPE, "application/octet-stream");
             response
         }
         None => text(404, "no such item"),
@@ -156,7 +156,7 @@
 }
 
 async fn end(node: &Rc<Node>, id: &str) -> Response<Body> {
-    match find(node, id, PeerRequest::End, END_LIMIT).await {
+    match find(node, id, PeerRequest::End, END_TIMEOUT).await {
         Found::Here(held) => match end_held(node, &held).await {
             true => text(200, "ended"),
             false => unsure(node, id),
@@ -173,7 +173,7 @@
 /// Ends a job whose holder can't be asked: on the platform, where its holder
 /// finds it with its next write; whoever can be reached is told besides.
 async fn end_stored(node: &Rc<Node>, id: &str) -> bool {
-    for _ in 0..END_TRIES {
+    for _ in 0..MAX_END_ATTEMPTS {
         let mut stored_job = match job_store::load(node, Cause::End, id).await {
             Ok(Some(stored_job)) => stored_job,
             Ok(None) => return false,
@@ -219,7 +219,7 @@
 
 /// Ends a held job; `true` once that is durable.
 async fn end_held(node: &Rc<Node>, held: &Rc<HeldJob>) -> bool {
-    let until = tokio::time::Instant::now() + END_LIMIT;
+    let until = tokio::time::Instant::now() + END_TIMEOUT;
     if held.state.borrow().is_all_durable() {
         return true; // Nothing is left that could be ended.
     }
@@ -266,7 +266,7 @@
     if let Some(held) = node.jobs.held_job(id) {
         return Found::Here(held);
     }
-    let limit = wait + HOLDER_ANSWER;
+    let limit = wait + HOLDER_REPLY_TIMEOUT;
     let status = node.jobs.directory.borrow().get(id).cloned();
     let mut asked = None;
     if let Some(status) = status {
@@ -311,12 +311,12 @@
 async fn load_recent(node: &Node, id: &str) -> Result<Option<StoredJob>, LoadError> {
     let now = clock::now();
     let known = node.jobs.recent.borrow().get(id).cloned();
-    if let Some((_, stored_job)) = known.filter(|(read, _)| now < *read + RECENT) {
+    if let Some((_, stored_job)) = known.filter(|(read, _)| now < *read + JOB_CACHE_TTL) {
         return Ok(Some(stored_job));
     }
     let stored_job = job_store::load(node, Cause::Find, id).await?;
     let mut recent = node.jobs.recent.borrow_mut();
-    recent.retain(|_, (read, _)| now < *read + RECENT);
+    recent.retain(|_, (read, _)| now < *read + JOB_CACHE_TTL);
     if let Some(stored_job) = &stored_job {
         // As of before the call: the answer may show no more than that.
         recent.insert(id.to_owned(), (now, stored_job.clone()));
@@ -346,7 +346,7 @@
 pub async fn on_results(node: &Rc<Node>, id: &str, from: usize, wait: Duration) -> PeerReply {
     match node.jobs.held_job(id) {
         Some(held) => {
-            let (total, outcomes) = held_results(&held, from, wait.min(LONGEST_HOLD)).await;
+            let (total, outcomes) = held_results(&held, from, wait.min(MAX_RESULTS_WAIT)).await;
             PeerReply::Results(total, outcomes)
         }
         None => PeerReply::NotOwner,
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -18,26 +18,26 @@
 
 /// Longest wait for the answer to a heartbeat. A machine that runs five times
 /// slower still answers within it.
-pub const PING_TIMEOUT: Duration = Duration::from_millis(400);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Pause before a heartbeat that failed is sent again.
-const AGAIN: Duration = Duration::from_millis(80);
+const HEARTBEAT_RETRY_DELAY: Duration = Duration::from_millis(80);
 /// Changes of members that come within this time are acted on together.
-const SETTLE: Duration = Duration::from_millis(25);
+const MEMBER_CHANGE_WINDOW: Duration = Duration::from_millis(25);
 /// A heartbeat whose failure is noticed this much after its time limit says that
 /// this instance was late itself, and nothing of the other.
-const OWN_DELAY: Duration = Duration::from_millis(150);
+const MAX_LOCAL_DELAY: Duration = Duration::from_millis(150);
 /// Members that aren't alive and are named in a line.
-const MOST_NAMED: usize = 8;
+const MAX_LOGGED_MEMBERS: usize = 8;
 /// News that comes in within this time leaves together.
-const GATHER: Duration = Duration::from_millis(5);
+const UPDATE_BATCH_WINDOW: Duration = Duration::from_millis(5);
 /// Longest wait for a seed's answer: it may be without power still, and be up in the
 /// next moment. Within a region a round trip takes 2 ms.
-const SEED_LIMIT: Duration = Duration::from_millis(100);
+const SEED_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time after the first look at the seeds; each further one takes so much longer. When
 /// all start at once, the seeds do as well.
-const SEED_FIRST: Duration = Duration::from_millis(30);
+const SEED_RETRY_STEP: Duration = Duration::from_millis(30);
 /// Longest time between looks at the seeds while no other member is known.
-const SEED_ALONE: Duration = Duration::from_millis(300);
+const MAX_SEED_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// PeerHandler other instances.
 #[derive(Clone)]
@@ -192,7 +192,7 @@
     }
     let node = node.clone();
     spawn_local(async move {
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(MEMBER_CHANGE_WINDOW).await;
         node.is_settling.set(false);
         on_settled(&node);
     });
@@ -204,7 +204,7 @@
     let alive = members.others().filter(|member| member.state == State::Alive).count();
     let doubtful = members.others().filter(|member| member.state != State::Alive);
     let name = |member: &Member| format!("{:x} {:?} {}", member.id, member.state, member.peer);
-    let doubtful: Vec<String> = doubtful.take(MOST_NAMED).map(name).collect();
+    let doubtful: Vec<String> = doubtful.take(MAX_LOGGED_MEMBERS).map(name).collect();
     slog::info!(node.log, "members"; "version" => members.version(), "alive" => alive,
         "doubtful" => ?doubtful, "lost" => members.losses());
     drop(members);
@@ -222,7 +222,7 @@
         tokio::select! {
             _ = beat.tick() => {}
             () = node.membership_changed.notified() => {
-                tokio::time::sleep(GATHER).await;
+                tokio::time::sleep(UPDATE_BATCH_WINDOW).await;
                 let behind = node.members.borrow().behind();
                 behind.into_iter().for_each(|member| ping(&node, member));
                 continue;
@@ -255,13 +255,13 @@
         loop {
             let mut is_answered = ping_once(&node, &to).await;
             if !is_answered {
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(HEARTBEAT_RETRY_DELAY).await;
                 is_answered = ping_once(&node, &to).await;
             }
             if !is_answered || !node.members.borrow().is_behind(to.id) {
                 break;
             }
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(UPDATE_BATCH_WINDOW).await;
         }
         node.pinged.borrow_mut().remove(&to.id);
     });
@@ -291,7 +291,7 @@
         }
         Err(fault) => {
             slog::debug!(node.log, "heartbeat missed"; "to" => %to.peer, "fault" => ?fault);
-            if now.saturating_duration_since(sent) < PING_TIMEOUT + OWN_DELAY {
+            if now.saturating_duration_since(sent) < HEARTBEAT_TIMEOUT + MAX_LOCAL_DELAY {
                 node.members.borrow_mut().on_missed(to.id, now);
             }
             false
@@ -310,7 +310,7 @@
         let own = node.as_holder().address;
         let seeds = seeds.into_iter().filter(|seed| *seed != own);
         // At once: one without power holds up its own answer only.
-        let asked = seeds.map(|seed| tokio::time::timeout(SEED_LIMIT, ask_members(&node, seed)));
+        let asked = seeds.map(|seed| tokio::time::timeout(SEED_TIMEOUT, ask_members(&node, seed)));
         futures_util::future::join_all(asked).await;
         tries += 1;
         if node.members.borrow().others().next().is_none() && tries.is_multiple_of(8) {
@@ -323,7 +323,7 @@
         if node.members.borrow().others().next().is_some() {
             break;
         }
-        tokio::time::sleep(SEED_FIRST.saturating_mul(tries).min(SEED_ALONE)).await;
+        tokio::time::sleep(SEED_RETRY_STEP.saturating_mul(tries).min(MAX_SEED_RETRY_DELAY)).await;
     }
     job_table::fetch_statuses(&node).await;
 }
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -26,19 +26,19 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time between looks whether a sign of life is due.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest wait for a sign of life until this instance counts as cut off, and for
 /// the answer of a watch whose wait is over. The platform answers in 4 ms, in 240 ms
 /// when it is sixty times slower.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a member that lost contact with the platform ranks behind others, if it
 /// says nothing more.
-const LOST: Duration = Duration::from_secs(5);
+const DISCONNECTED_TTL: Duration = Duration::from_secs(5);
 /// Time between lines about the calls made.
-const CALLS_EVERY: Duration = Duration::from_secs(4);
+const CALL_LOG_INTERVAL: Duration = Duration::from_secs(4);
 /// Time after which an instance that stays cut off says so again: well before the
 /// others forget it.
-const TELL_AGAIN: Duration = Duration::from_secs(2);
+const REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Asks for signs of life while this instance watches, and tells the others of its
 /// data centre whether it has any, until `stop`.
@@ -48,7 +48,7 @@
     let mut calls_told = clock::now();
     loop {
         tokio::select! {
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
             () = node.store.disconnected(), if !told.is_lost => {}
             () = stop.cancelled() => return,
         }
@@ -60,7 +60,7 @@
         if told.is_due(node.store.is_disconnected(), now) {
             tell(&node);
         }
-        if now >= calls_told + CALLS_EVERY {
+        if now >= calls_told + CALL_LOG_INTERVAL {
             calls_told = now;
             tell_calls(&node, &mut calls);
         }
@@ -77,7 +77,7 @@
     let new: Vec<String> = calls.iter().filter_map(new).collect();
     if !new.is_empty() {
         slog::info!(node.log, "platform calls"; "counts" => new.join(", "),
-            "within_s" => CALLS_EVERY.as_secs());
+            "within_s" => CALL_LOG_INTERVAL.as_secs());
     }
     *told = calls;
 }
@@ -92,7 +92,7 @@
 impl Told {
     /// Whether to tell them now; counts as told if so.
     fn is_due(&mut self, is_lost: bool, now: Instant) -> bool {
-        let is_old = self.at.is_none_or(|at| now >= at + TELL_AGAIN);
+        let is_old = self.at.is_none_or(|at| now >= at + REPORT_INTERVAL);
         if is_lost == self.is_lost && !(is_lost && is_old) {
             return false;
         }
@@ -143,7 +143,7 @@
     node.store.on_peer_report(series, connectivity.is_disconnected);
     let mut lost = node.lost_contact.borrow_mut();
     if connectivity.is_disconnected {
-        lost.insert(member, now + LOST);
+        lost.insert(member, now + DISCONNECTED_TTL);
     } else {
         lost.remove(&member);
     }
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -3,7 +3,7 @@
 use super::front::Front;
 use super::measure::Probe;
 use super::node::Node;
-use super::peers::{PING_TIMEOUT, PeerHandler};
+use super::peers::{HEARTBEAT_TIMEOUT, PeerHandler};
 use super::{
     anti_entropy, discovery, items, job_scan, leases, peers, platform_health, quarantine, takeover,
     wake, watch,
@@ -59,7 +59,7 @@
     let me = start::member(&settings, front.local_addr()?, peer.local_addr()?);
     let cut = Cut::new(settings.cut.clone());
     let traffic = Arc::new(Traffic::default());
-    let pool = Pool::new(PING_TIMEOUT, cut, traffic.clone());
+    let pool = Pool::new(HEARTBEAT_TIMEOUT, cut, traffic.clone());
     let node = Node::new(settings, log, me, pool);
     slog::info!(node.log, "started"; "id" => format!("{:x}", node.id()),
         "front" => front.local_addr()?.to_string(), "peers" => peer.local_addr()?.to_string(),
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -17,16 +17,16 @@
 use tokio::sync::Notify;
 
 /// First back-off after a failed call.
-const BASE: Duration = Duration::from_millis(150);
+const MIN_BACKOFF: Duration = Duration::from_millis(150);
 /// Longest back-off: a store that is back is used again within it.
-const CAP: Duration = Duration::from_millis(1_200);
+const MAX_BACKOFF: Duration = Duration::from_millis(1_200);
 /// Shortest outage in which entries of living targets may lapse, in heartbeats. They
 /// go after three, and the last write before the outage may be one heartbeat old;
 /// half a one is for heartbeats that come late.
-const LAPSE: f64 = 1.5;
+const EXPIRY_HEARTBEATS: f64 = 1.5;
 
 /// Objects of one answer that can't be read and get a line each.
-const MOST_UNREADABLE: usize = 8;
+const MAX_LOGGED_UNDECODABLE: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Breaker {
@@ -49,7 +49,7 @@
 impl PlatformStore {
     /// The store that the settings name.
     pub fn new(settings: &Settings, log: Logger) -> PlatformStore {
-        let lapse = settings.entry_heartbeat.mul_f64(LAPSE);
+        let lapse = settings.entry_heartbeat.mul_f64(EXPIRY_HEARTBEATS);
         PlatformStore {
             store: Store::new(settings.platform, settings.platform_timeout),
             calls: RefCell::default(),
@@ -159,7 +159,7 @@
         self.contact.borrow_mut().on_failure();
         let mut breaker = self.breaker.borrow_mut();
         breaker.failures += 1;
-        let wait = retry::backoff(breaker.failures, BASE, CAP, rand::random());
+        let wait = retry::backoff(breaker.failures, MIN_BACKOFF, MAX_BACKOFF, rand::random());
         breaker.until = Some(now + wait);
         if breaker.failures == 1 {
             slog::warn!(self.log, "platform lost"; "fault" => %fault,
@@ -188,7 +188,7 @@
 
     /// Tells of objects that can't be read; the others hold.
     pub fn report(&self, kind: &str, unreadable: &[Unreadable]) {
-        for found in unreadable.iter().take(MOST_UNREADABLE) {
+        for found in unreadable.iter().take(MAX_LOGGED_UNDECODABLE) {
             slog::warn!(self.log, "object not understood"; "kind" => kind,
                 "name" => found.name.as_deref(), "fault" => &found.fault,
                 "count" => unreadable.len());
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -18,7 +18,7 @@
 
 /// A stream is taken for silent after this many of its longest good pauses, if
 /// it can go on elsewhere.
-const SILENT_GAPS: u32 = 3;
+const IDLE_GAP_FACTOR: u32 = 3;
 
 /// What is known of a stream's events so far.
 #[derive(Debug, Default)]
@@ -230,7 +230,7 @@
 
     fn longest_quiet(&self) -> Duration {
         let route = &self.forward.route;
-        if self.tally.pieces == 0 { route.objective } else { route.gap * SILENT_GAPS }
+        if self.tally.pieces == 0 { route.objective } else { route.gap * IDLE_GAP_FACTOR }
     }
 
     fn call(&self) -> &Rc<Call> {
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -22,24 +22,24 @@
 use transport::listen::Body;
 
 /// Longest wait for an instance that keeps a submission in our place.
-const RELAY_LIMIT: Duration = Duration::from_millis(900);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
 /// Instances that are asked to keep a submission in our place.
-const RELAYS: usize = 2;
+const MAX_FORWARDS: usize = 2;
 /// Share of the caller's time that may go into finding out what became of a
 /// submission whose answer was lost.
-const DOUBT_SHARE: f64 = 0.4;
+const CONFIRM_TIME_RATIO: f64 = 0.4;
 /// Pause before a submission is tried again whose answer was lost.
-const AGAIN: Duration = Duration::from_millis(50);
+const CREATE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest wait for a holder that is told of its job.
-const TELL_LIMIT: Duration = Duration::from_millis(400);
+const NOTIFY_HOLDER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Shortest pause before a holder is told again.
-const TELL_AGAIN: Duration = Duration::from_millis(250);
+const NOTIFY_HOLDER_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// When a caller comes back whose job didn't fit, or while the platform is away.
-pub const COME_BACK: Duration = Duration::from_millis(500);
+pub const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Answers a submission.
 pub async fn submit(node: &Rc<Node>, route: &Route, call: &Call) -> Response<Body> {
-    let until = call.started + call.left(call.started).mul_f64(DOUBT_SHARE);
+    let until = call.started + call.left(call.started).mul_f64(CONFIRM_TIME_RATIO);
     let mut outcome = accept(node, route, call, until).await;
     if outcome == SubmitOutcome::Refused && !node.is_stopping() || node.store.last_call_failed() {
         let is_open = matches!(outcome, SubmitOutcome::Refused | SubmitOutcome::Unknown);
@@ -56,7 +56,7 @@
 fn answer(node: &Node, id: &str, outcome: SubmitOutcome) -> Response<Body> {
     let refuse = |kind, message| {
         let mut error = Error::new(kind, message);
-        error.retry_after = Some(COME_BACK);
+        error.retry_after = Some(RETRY_AFTER);
         refusal(node, id, &error)
     };
     match outcome {
@@ -93,9 +93,9 @@
         body: Bytes::copy_from_slice(body),
         is_again: false,
         started: now,
-        until: now + RELAY_LIMIT,
+        until: now + FORWARD_TIMEOUT,
     };
-    accept(node, route, &call, now + RELAY_LIMIT.mul_f64(0.8)).await
+    accept(node, route, &call, now + FORWARD_TIMEOUT.mul_f64(0.8)).await
 }
 
 /// Has other instances keep a submission.
@@ -117,8 +117,8 @@
     // Cached: a key that is drawn anew at each comparison is no order.
     members.sort_by_cached_key(|member| (has_lost(member), rand::random::<u32>()));
     let mut result = outcome;
-    for member in members.into_iter().take(RELAYS) {
-        let reply = node.request(member.peer, &ask, RELAY_LIMIT).await;
+    for member in members.into_iter().take(MAX_FORWARDS) {
+        let reply = node.request(member.peer, &ask, FORWARD_TIMEOUT).await;
         slog::info!(node.log, "submission relayed"; "job" => &call.id, "to" => %member.peer,
             "reply" => ?reply);
         match reply {
@@ -213,7 +213,7 @@
                     "fault" => %fault);
             }
         }
-        let pause = node.store.backoff_remaining(clock::now()).max(AGAIN);
+        let pause = node.store.backoff_remaining(clock::now()).max(CREATE_RETRY_DELAY);
         if clock::now() + pause >= until {
             return SubmitOutcome::Unknown;
         }
@@ -231,7 +231,10 @@
             takeover::hand_off(&node, &id, &Handoff::default()).await;
             return;
         }
-        tokio::time::sleep(node.store.backoff_remaining(clock::now()).max(TELL_AGAIN)).await;
+        tokio::time::sleep(
+            node.store.backoff_remaining(clock::now()).max(NOTIFY_HOLDER_RETRY_DELAY),
+        )
+        .await;
     }
 }
 
@@ -259,6 +262,6 @@
         return Ok(());
     };
     let ask = PeerRequest::TakeOver(id.to_owned(), Handoff::default());
-    let told = node.request(member.peer, &ask, TELL_LIMIT).await;
+    let told = node.request(member.peer, &ask, NOTIFY_HOLDER_TIMEOUT).await;
     told.map(|_| ()).map_err(|fault| format!("{fault:?}"))
 }
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -24,21 +24,21 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time between looks for jobs without a holder.
-const LOOK: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// A holder must be gone for this long before its jobs are taken over: until
 /// then it shows whether the rest of its data centre is out of sight, too.
-const PATIENCE: Duration = Duration::from_millis(1_200);
+const TAKEOVER_DELAY: Duration = Duration::from_millis(1_200);
 /// The same when nobody of its data centre is heard of: it may be cut off, and
 /// cuts last some seconds.
-const CUT_PATIENCE: Duration = Duration::from_secs(8);
+const PARTITION_TAKEOVER_DELAY: Duration = Duration::from_secs(8);
 /// How long after a takeover this instance looks whether it still stands: another
 /// may have done the same a moment later.
-const LOOK_BACK: Duration = Duration::from_millis(700);
+const VERIFY_DELAY: Duration = Duration::from_millis(700);
 /// A holder that no member list names counts as gone once this instance has
 /// been up for so long.
 pub(super) const MEMBERSHIP_WARM_UP: Duration = Duration::from_secs(3);
 /// Tries to take a job over while others write to it.
-const TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// Shortest pause before a job is tried again that couldn't be taken over.
 const TAKEOVER_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// How long a holder is told what was learnt of its job: longer than the cuts of some
@@ -53,7 +53,7 @@
     let mut noticed: HashMap<JobId, Notice> = HashMap::new();
     loop {
         tokio::select! {
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
         let now = clock::now();
@@ -123,8 +123,8 @@
         notice.was_dark |= is_dark(node, &status.data_centre);
         let patience = match notice.was_dark {
             _ if is_replaced(&node.members.borrow(), status.holder) => Duration::ZERO,
-            true => CUT_PATIENCE,
-            false => PATIENCE,
+            true => PARTITION_TAKEOVER_DELAY,
+            false => TAKEOVER_DELAY,
         };
         if now >= notice.since + patience && is_chosen(node, status.job.as_bytes()) {
             due.push(status.job.clone());
@@ -266,7 +266,7 @@
     learnt: &Handoff,
 ) -> Result<Option<Rc<HeldJob>>, Fault> {
     let mut conflict = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         if let Some(held) = node.jobs.held_job(id) {
             learn(node, &held, learnt.clone());
             return Ok(Some(held));
@@ -334,7 +334,7 @@
         job_table::hold(node, StoredJob { overflow, revision: written.revision, ..stored_job });
     let (node, taken) = (node.clone(), held.clone());
     spawn_local(async move {
-        tokio::time::sleep(LOOK_BACK).await;
+        tokio::time::sleep(VERIFY_DELAY).await;
         if !taken.released.is_cancelled() {
             job_writer::verify(&node, &taken).await;
         }
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -23,37 +23,38 @@
 
 /// Rank by which instances watch: one that does watches all topics, so that a data
 /// centre has one that asks for signs of life.
-const RANK: &str = "watch";
+const RANK_KEY: &str = "watch";
 /// Instances of a data centre that watch.
 const WATCHER_COUNT: usize = 1;
 /// Longest wait of one watch of the targets. What [`super::platform_health`] can't see, a
 /// watch that was lost alone, is noticed when it is overdue, after 1.9 s: targets that
 /// leave get nothing 2 s after their word. Each watch costs a call.
-const TARGETS_WATCH: Duration = Duration::from_millis(1_500);
+const TARGETS_WATCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The same for the configuration, which is in force 2 s after its word and, for the
 /// 3 s after a disturbance of the platform, later.
-const CONFIG_WATCH: Duration = Duration::from_millis(3_400);
+const CONFIG_WATCH_TIMEOUT: Duration = Duration::from_millis(3_400);
 /// The same for orders to empty a machine, which give more time than that.
-const RETIREMENTS_WATCH: Duration = Duration::from_secs(10);
+const RETIREMENTS_WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 /// The same for requests that are held, of which instances tell each other at once.
-const QUARANTINE_WATCH: Duration = Duration::from_secs(20);
+const QUARANTINE_WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause after a change, so that a series of changes costs few calls.
-const GATHER: Duration = Duration::from_millis(200);
+const CHANGE_BATCH_WINDOW: Duration = Duration::from_millis(200);
 /// Time between looks whether this instance should watch.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after a start in which others are met before anybody watches; who has met
 /// nobody by then must ask the platform itself, since it serves nothing until it knows a
 /// configuration and targets. Without it all 250 instances of a fleet that starts take
 /// themselves for watchers: 1,570 lists and watches, 3,000 signs of life and 250 entries
 /// of addresses.
-const MEET: Duration = Duration::from_millis(150);
+const JOIN_DELAY: Duration = Duration::from_millis(150);
 /// The same for what one instance watches for all: nothing waits for it.
-const MEET_ALL: Duration = Duration::from_secs(2);
+const GLOBAL_JOIN_DELAY: Duration = Duration::from_secs(2);
 /// A role counts as lost after this long: members come and go in a cut, and to watch
 /// anew costs a list and a watch.
-const LOST_FOR: Duration = Duration::from_millis(500);
+const ROLE_LOSS_DELAY: Duration = Duration::from_millis(500);
 /// Pauses between tries of a watcher that can't reach the platform.
-const PAUSE: [Duration; 2] = [Duration::from_millis(250), Duration::from_millis(1_500)];
+const RETRY_DELAY_BOUNDS: [Duration; 2] =
+    [Duration::from_millis(250), Duration::from_millis(1_500)];
 
 /// What is watched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,10 +77,10 @@
 
     fn longest_wait(self) -> Duration {
         match self {
-            Topic::Config => CONFIG_WATCH,
-            Topic::Targets => TARGETS_WATCH,
-            Topic::Retirements => RETIREMENTS_WATCH,
-            Topic::Quarantine => QUARANTINE_WATCH,
+            Topic::Config => CONFIG_WATCH_TIMEOUT,
+            Topic::Targets => TARGETS_WATCH_TIMEOUT,
+            Topic::Retirements => RETIREMENTS_WATCH_TIMEOUT,
+            Topic::Quarantine => QUARANTINE_WATCH_TIMEOUT,
         }
     }
 
@@ -99,7 +100,7 @@
 
 /// Time after a start in which others are met before anybody watches.
 fn meeting_time(topic: Topic) -> Duration {
-    if topic.is_global() { MEET_ALL } else { MEET }
+    if topic.is_global() { GLOBAL_JOIN_DELAY } else { JOIN_DELAY }
 }
 
 fn is_watcher(node: &Node, topic: Topic) -> bool {
@@ -113,7 +114,7 @@
         let has_lost_contact = is_disconnected(node, member.id, now);
         Candidate { id: member.id, has_lost_contact }
     };
-    watch::is_watcher(RANK, members.me().id, here.map(candidate), WATCHER_COUNT)
+    watch::is_watcher(RANK_KEY, members.me().id, here.map(candidate), WATCHER_COUNT)
 }
 
 async fn watch_topic(node: Rc<Node>, topic: Topic, stop: CancellationToken) {
@@ -129,7 +130,7 @@
         // Without a sign of life the platform is left alone until there is one.
         if !role.look() || node.store.is_disconnected() {
             revision = None;
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         }
         let opened = clock::now();
@@ -182,11 +183,16 @@
         let now = clock::now();
         node.store.on_failure(fault, now);
         node.store.on_probe_failed(now);
-    } else if open >= PAUSE[0] {
+    } else if open >= RETRY_DELAY_BOUNDS[0] {
         // One watch that is cut says nothing; the list that follows at once does.
         return;
     }
-    let pause = coordination::retry::backoff(failures, PAUSE[0], PAUSE[1], rand::random());
+    let pause = coordination::retry::backoff(
+        failures,
+        RETRY_DELAY_BOUNDS[0],
+        RETRY_DELAY_BOUNDS[1],
+        rand::random(),
+    );
     tokio::time::sleep(pause).await;
 }
 
@@ -202,8 +208,8 @@
     /// costs signs of life all the while.
     async fn lost(&self) {
         let mut held = clock::now();
-        while clock::since(held) < LOST_FOR {
-            tokio::time::sleep(LOOK).await;
+        while clock::since(held) < ROLE_LOSS_DELAY {
+            tokio::time::sleep(POLL_INTERVAL).await;
             if is_watcher(&self.node, self.topic) && !self.node.is_stopping() {
                 held = clock::now();
             }
@@ -281,7 +287,7 @@
         }
     }
     if !is_quiet && topic == Topic::Targets {
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(CHANGE_BATCH_WINDOW).await;
     }
     Ok(revision)
 }
