--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -66,9 +66,9 @@
     if let Ok(PeerReply::Sync { config, digest, connectivity }) = reply {
         platform_health::on_peer_report(&node, others[at].id, connectivity);
         let is_due =
-            node.jobs.learnt.get().is_none_or(|at| clock::since(at) >= MIN_JOB_SYNC_INTERVAL);
+            node.jobs.last_fetch.get().is_none_or(|at| clock::since(at) >= MIN_JOB_SYNC_INTERVAL);
         if digest.jobs != node.state_digest().jobs && is_due {
-            node.jobs.learnt.set(Some(now));
+            node.jobs.last_fetch.set(Some(now));
             let wanted = job_table::open_jobs_filter(&node);
             job_table::fetch_statuses_from(&node, others[at].peer, wanted).await;
         }
--- a/crates/daemon/src/gateway/broadcast.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -57,16 +57,16 @@
 /// Tells all instances.
 pub fn send(node: &Rc<Node>, update: Update) {
     let members = node.others();
-    let places: BTreeSet<&DataCentreId> =
+    let data_centres: BTreeSet<&DataCentreId> =
         members.iter().map(|member| &member.data_centre).collect();
-    for place in places {
-        let is_own = place == node.data_centre();
+    for data_centre in data_centres {
+        let is_own = data_centre == node.data_centre();
         if is_own && !matches!(update, Update::Statuses(_)) {
             // No detour for what is rare.
             send_to_data_centre(node, &update);
             continue;
         }
-        let relays = relays(node, place);
+        let relays = relays(node, data_centre);
         if relays.first().is_some_and(|relay| relay.id == node.id()) {
             forward(node, update.clone());
         } else {
@@ -76,11 +76,11 @@
 }
 
 /// Instances of a data centre by their rank as its relay.
-fn relays(node: &Node, place: &DataCentreId) -> Vec<Member> {
+fn relays(node: &Node, data_centre: &DataCentreId) -> Vec<Member> {
     let now = clock::now();
     let members = node.members.borrow();
     let able = members.workers().filter(|member| {
-        member.data_centre == *place
+        member.data_centre == *data_centre
             && member.state == State::Alive
             && !node.is_shunned(member.peer, now)
     });
@@ -151,7 +151,7 @@
     let is_to_be_told = match &update {
         // Another word may have brought it here meanwhile, for this instance only.
         Update::Config(version) => {
-            let is_known = in_force(node) >= *version;
+            let is_known = current_version(node) >= *version;
             is_known
                 && node.outbox.relayed.replace(node.outbox.relayed.get().max(*version)) < *version
         }
@@ -162,7 +162,7 @@
     }
 }
 
-fn in_force(node: &Node) -> Version {
+fn current_version(node: &Node) -> Version {
     node.config().map_or(0, |config| config.table.version)
 }
 
@@ -194,7 +194,7 @@
     let is_under_way = node.outbox.fetching.get().is_some_and(|(fetched, since)| {
         fetched >= version && now < since + FETCH_TIMEOUTS.iter().sum::<Duration>()
     });
-    if in_force(node) >= version || is_under_way {
+    if current_version(node) >= version || is_under_way {
         return false;
     }
     node.outbox.fetching.set(Some((version, now)));
--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -41,10 +41,10 @@
             continue;
         }
         for service in services(&node) {
-            for place in leases::data_centres(&node, &service) {
-                let key = (place, service.clone());
-                if node.jobs.filling.borrow_mut().insert(key.clone()) {
-                    spawn_local(fill(node.clone(), key.0, key.1, stop.clone()));
+            for data_centre in leases::data_centres(&node, &service) {
+                let key = (data_centre, service.clone());
+                if node.jobs.acquiring.borrow_mut().insert(key.clone()) {
+                    spawn_local(acquire_slots(node.clone(), key.0, key.1, stop.clone()));
                 }
             }
         }
@@ -66,9 +66,9 @@
 
 /// When the next item of a job must go on to be done by the time it is due: for sure,
 /// and at all.
-fn latest(node: &Node, state: &JobState) -> (Millis, Millis) {
+fn latest_starts(node: &Node, state: &JobState) -> (Millis, Millis) {
     let made = state.next_event_count().unwrap_or_default();
-    let span = node.jobs.span.borrow();
+    let span = node.jobs.run_time.borrow();
     let before_due = |time: Duration| state.job().due.saturating_sub(time.as_millis() as Millis);
     let spare = node.settings.policy.spare;
     (before_due(span.upper_bound(made, spare)), before_due(span.remaining(made)))
@@ -76,12 +76,12 @@
 
 /// Place of a job among those whose items wait; the lowest goes first. The accounts
 /// order wishes alike, so a holder's slots go to the job for which it got them.
-type Turn = (Feasibility, bool, Millis);
+type Priority = (Feasibility, bool, Millis);
 
 /// What can't be in time any more comes last: in its turn it would make the others
 /// late as well. What was begun goes before what wasn't.
-fn turn(node: &Node, state: &JobState, now: Millis) -> Turn {
-    let (sure, in_time) = latest(node, state);
+fn priority(node: &Node, state: &JobState, now: Millis) -> Priority {
+    let (sure, in_time) = latest_starts(node, state);
     let is_begun = state.next_event_count().unwrap_or_default() > 0;
     let is_fresh = node.settings.policy.begun_first && !is_begun;
     (Feasibility::at(now, sure, in_time), is_fresh, state.job().due)
@@ -96,16 +96,16 @@
         state.runnable() > 0 && service_of(node, &state).as_deref() == Some(service)
     };
     let mut held: Vec<Rc<HeldJob>> = held_jobs.values().filter(fits).cloned().collect();
-    held.sort_by_cached_key(|held| turn(node, &held.state.borrow(), now));
+    held.sort_by_cached_key(|held| priority(node, &held.state.borrow(), now));
     held
 }
 
-/// Items that wait whose turn is no later than that of the first job's, but for when
-/// they are due: others must wait for a turn of their own.
-fn alike(node: &Node, waiting: &[Rc<HeldJob>]) -> usize {
+/// Items that wait whose priority is no later than that of the first job's, but for when
+/// they are due: others must wait for a priority of their own.
+fn items_of_first_class(node: &Node, waiting: &[Rc<HeldJob>]) -> usize {
     let now = millis();
     let class = |held: &Rc<HeldJob>| {
-        let (chance, is_fresh, _) = turn(node, &held.state.borrow(), now);
+        let (chance, is_fresh, _) = priority(node, &held.state.borrow(), now);
         (chance, is_fresh)
     };
     let first = waiting.first().map(class);
@@ -119,7 +119,7 @@
 }
 
 /// What to ask of an account for the next item of a job.
-fn want<'a>(
+fn slot_query<'a>(
     node: &Node,
     data_centre: &'a str,
     service: &'a str,
@@ -130,14 +130,14 @@
     let state = held.state.borrow();
     let made = state.next_event_count().unwrap_or_default();
     let until = |at: Millis| Duration::from_millis(at.saturating_sub(now));
-    let (sure, in_time) = latest(node, &state);
+    let (sure, in_time) = latest_starts(node, &state);
     leases::BatchQuery {
         data_centre,
         service,
         due: until(state.job().due),
         in_time: until(in_time),
         sure: until(sure),
-        left: node.jobs.span.borrow().remaining(made),
+        left: node.jobs.run_time.borrow().remaining(made),
         is_begun: made > 0,
         most,
         wait: SLOT_TIMEOUT,
@@ -145,25 +145,30 @@
 }
 
 /// Gets slots of one data centre for one service as long as items wait.
-async fn fill(node: Rc<Node>, place: String, service: ServiceId, stop: CancellationToken) {
+async fn acquire_slots(
+    node: Rc<Node>,
+    data_centre: String,
+    service: ServiceId,
+    stop: CancellationToken,
+) {
     while !stop.is_cancelled() && !node.is_stopping() {
         let waiting = waiting(&node, &service);
         let Some(first) = waiting.first() else {
             break;
         };
-        let most = alike(&node, &waiting).clamp(1, MAX_SLOTS_PER_REQUEST);
-        let want = want(&node, &place, &service, first, most);
+        let most = items_of_first_class(&node, &waiting).clamp(1, MAX_SLOTS_PER_REQUEST);
+        let slot_query = slot_query(&node, &data_centre, &service, first, most);
         drop(waiting);
-        match leases::acquire_batch(&node, want).await {
-            Some(leases) => leases.into_iter().for_each(|lease| start(&node, &service, lease)),
+        match leases::acquire_batch(&node, slot_query).await {
+            Some(leases) => leases.into_iter().for_each(|lease| run_next(&node, &service, lease)),
             None => tokio::time::sleep(SLOT_RETRY_DELAY).await,
         }
     }
-    node.jobs.filling.borrow_mut().remove(&(place, service));
+    node.jobs.acquiring.borrow_mut().remove(&(data_centre, service));
 }
 
 /// Runs the most urgent item on a slot; without one, the slot goes back.
-fn start(node: &Rc<Node>, service: &str, lease: Lease) {
+fn run_next(node: &Rc<Node>, service: &str, lease: Lease) {
     if node.is_stopping() {
         return;
     }
@@ -202,16 +207,16 @@
     // While it is cut off there is nobody to pass a job to, and what it accepted
     // meanwhile is known to nobody else. The bound of the stop ends this.
     loop {
-        let mut still = Vec::new();
+        let mut pending = Vec::new();
         for (id, learnt) in left {
             if !takeover::hand_off(node, &id, &learnt).await {
-                still.push((id, learnt));
+                pending.push((id, learnt));
             }
         }
-        if still.is_empty() {
+        if pending.is_empty() {
             return;
         }
-        left = still;
+        left = pending;
         tokio::time::sleep(HANDOFF_RETRY_DELAY).await;
     }
 }
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -31,8 +31,8 @@
 const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// How a run of an item ended.
-enum Ended {
-    Complete,
+enum RunEnd {
+    Completed,
     Failed(Failure),
     /// It goes on later, where it stopped.
     Stopped(LeaseOutcome, String),
@@ -43,9 +43,9 @@
     let mut partial = held.state.borrow().partial(&item.id);
     let before = partial.texts.len();
     let began = clock::now();
-    held.began.borrow_mut().entry(item.id.clone()).or_insert(began);
+    held.first_started.borrow_mut().entry(item.id.clone()).or_insert(began);
     let target = lease.grant.target.clone();
-    let content = content_of(&held, &item);
+    let content = fingerprint_of(&held, &item);
     if let Admission::Held(left) = quarantine::admit(&node, || content).await {
         lease.end(LeaseOutcome::Unused);
         withhold(&node, &held, &item, left).await;
@@ -53,19 +53,19 @@
     }
     let ended = tokio::select! {
         ended = attempt(&node, &held, &item, &lease, &mut partial) => ended,
-        () = lease.stop.cancelled() => Ended::Stopped(LeaseOutcome::Unused, String::from("revoked")),
-        () = held.released.cancelled() => Ended::Stopped(LeaseOutcome::Unused, String::from("released")),
-        () = held.ended.cancelled() => Ended::Stopped(LeaseOutcome::Unused, String::from("job ended")),
+        () = lease.stop.cancelled() => RunEnd::Stopped(LeaseOutcome::Unused, String::from("revoked")),
+        () = held.released.cancelled() => RunEnd::Stopped(LeaseOutcome::Unused, String::from("released")),
+        () = held.ended.cancelled() => RunEnd::Stopped(LeaseOutcome::Unused, String::from("job ended")),
     };
     let mut lease = lease;
-    let made = partial.texts.len() - before.min(partial.texts.len());
-    if made > 1 {
-        lease.report.event_interval = Some(clock::since(began) / made as u32);
+    let new_events = partial.texts.len() - before.min(partial.texts.len());
+    if new_events > 1 {
+        lease.report.event_interval = Some(clock::since(began) / new_events as u32);
     }
     let (how, fault) = match &ended {
-        Ended::Complete => ("complete", String::new()),
-        Ended::Failed(failure) => ("failed", format!("{failure:?}")),
-        Ended::Stopped(_, fault) => ("stopped", fault.clone()),
+        RunEnd::Completed => ("complete", String::new()),
+        RunEnd::Failed(failure) => ("failed", format!("{failure:?}")),
+        RunEnd::Stopped(_, fault) => ("stopped", fault.clone()),
     };
     slog::info!(node.log, "item run"; "item" => &item.id, "content" => hex(content),
         "job" => &held.state.borrow().job().id, "target" => target, "how" => how,
@@ -74,8 +74,9 @@
         "ran_ms" => clock::since(began).as_millis() as u64);
     let mut pause = Duration::ZERO;
     match ended {
-        Ended::Complete => {
-            let took = clock::since(held.began.borrow_mut().remove(&item.id).unwrap_or(began));
+        RunEnd::Completed => {
+            let took =
+                clock::since(held.first_started.borrow_mut().remove(&item.id).unwrap_or(began));
             let events = partial.texts.len() as u32;
             lease.report.completed = lease.report.event_interval.map(|pace| Sample {
                 events,
@@ -83,14 +84,14 @@
                 elapsed: took,
             });
             if let Some(done) = lease.report.completed {
-                node.jobs.span.borrow_mut().record(done);
+                node.jobs.run_time.borrow_mut().record(done);
             }
             lease.end(LeaseOutcome::Completed);
             let text = partial.texts.join("\n");
             let outcome = Outcome { item: item.id.clone(), is_complete: true, text };
             held.state.borrow_mut().on_done(&item.id, outcome);
         }
-        Ended::Failed(failure) => {
+        RunEnd::Failed(failure) => {
             // An item that has failed elsewhere says nothing of this target, and one
             // that can't be done nothing of any.
             let is_first = !held.state.borrow().has_failed(&item.id);
@@ -98,7 +99,7 @@
             lease.end(if is_evidence { LeaseOutcome::Failed } else { LeaseOutcome::Unused });
             held.state.borrow_mut().on_failed(&item.id, failure);
         }
-        Ended::Stopped(end, _) => {
+        RunEnd::Stopped(end, _) => {
             if end == LeaseOutcome::Interrupted {
                 crash::on_break(&node, &lease.grant, Broken { id: item.id.clone(), content });
             }
@@ -109,7 +110,7 @@
             held.state.borrow_mut().on_stopped(&item.id, partial);
         }
     }
-    held.wake();
+    held.mark_dirty();
     tokio::time::sleep(pause).await;
     node.jobs.wake();
 }
@@ -131,7 +132,7 @@
 }
 
 /// What an item asks for, the same as for a request of its own.
-fn content_of(held: &HeldJob, item: &Item) -> ContentId {
+fn fingerprint_of(held: &HeldJob, item: &Item) -> ContentId {
     let state = held.state.borrow();
     // A body that can't be decoded is never sent.
     let body = job::body_of(&item.body).unwrap_or_default();
@@ -144,41 +145,41 @@
     item: &Item,
     lease: &Lease,
     partial: &mut Partial,
-) -> Ended {
+) -> RunEnd {
     let host = held.state.borrow().job().host.clone();
     let request = match request(&host, item, lease, partial) {
         Ok(request) => request,
         Err(fault) => {
             slog::warn!(node.log, "item can't be sent"; "item" => &item.id, "fault" => &fault);
-            return Ended::Failed(Failure::Impossible);
+            return RunEnd::Failed(Failure::Impossible);
         }
     };
     let sent = node.targets.send(lease.grant.address, request);
     let mut exchange = match tokio::time::timeout(IDLE_TIMEOUT, sent).await {
         Ok(Ok(exchange)) => exchange,
         Ok(Err(Unsent::NotSent(fault))) => {
-            return Ended::Stopped(LeaseOutcome::Unresponsive, fault);
+            return RunEnd::Stopped(LeaseOutcome::Unresponsive, fault);
         }
-        Ok(Err(Unsent::Lost(fault))) => return Ended::Stopped(LeaseOutcome::Interrupted, fault),
+        Ok(Err(Unsent::Lost(fault))) => return RunEnd::Stopped(LeaseOutcome::Interrupted, fault),
         Err(_) => {
-            return Ended::Stopped(LeaseOutcome::Unresponsive, String::from("no answer in time"));
+            return RunEnd::Stopped(LeaseOutcome::Unresponsive, String::from("no answer in time"));
         }
     };
     let head = exchange.head();
     if is_not_run(head) {
-        return Ended::Stopped(refusal_of(head), format!("turned away with {}", head.status));
+        return RunEnd::Stopped(refusal_of(head), format!("turned away with {}", head.status));
     }
     if !is_own(&head.headers, &item.id) {
-        return Ended::Stopped(
+        return RunEnd::Stopped(
             LeaseOutcome::Interrupted,
             String::from("an answer to another request"),
         );
     }
     let status = head.status;
     if status.is_success() {
-        let ended = take_events(&mut exchange, partial).await;
-        if matches!(ended, Ended::Complete) && exchange.is_framed() {
-            quarantine::on_success(node, || content_of(held, item));
+        let ended = read_events(&mut exchange, partial).await;
+        if matches!(ended, RunEnd::Completed) && exchange.is_framed() {
+            quarantine::on_success(node, || fingerprint_of(held, item));
         }
         return ended;
     }
@@ -187,21 +188,21 @@
     slog::info!(node.log, "item failed"; "item" => &item.id, "status" => status.as_u16(),
         "target" => &lease.grant.target, "whole" => rest.is_ok());
     match status {
-        StatusCode::UNPROCESSABLE_ENTITY => Ended::Failed(Failure::Impossible),
-        StatusCode::INTERNAL_SERVER_ERROR => Ended::Failed(Failure::Failed),
-        _ => Ended::Stopped(LeaseOutcome::Interrupted, format!("answered with {status}")),
+        StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Failed(Failure::Impossible),
+        StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed(Failure::Failed),
+        _ => RunEnd::Stopped(LeaseOutcome::Interrupted, format!("answered with {status}")),
     }
 }
 
-async fn take_events(exchange: &mut Exchange, partial: &mut Partial) -> Ended {
-    let broken = |fault: &str| Ended::Stopped(LeaseOutcome::Interrupted, fault.to_owned());
+async fn read_events(exchange: &mut Exchange, partial: &mut Partial) -> RunEnd {
+    let broken = |fault: &str| RunEnd::Stopped(LeaseOutcome::Interrupted, fault.to_owned());
     let mut splitter = Splitter::default();
     loop {
         let piece = match tokio::time::timeout(IDLE_TIMEOUT, exchange.next()).await {
-            Err(_) => return Ended::Stopped(LeaseOutcome::Unresponsive, String::from("silent")),
+            Err(_) => return RunEnd::Stopped(LeaseOutcome::Unresponsive, String::from("silent")),
             Ok(Err(fault)) => return broken(&fault),
             Ok(Ok(None)) if !splitter.is_empty() => return broken("ended within an event"),
-            Ok(Ok(None)) => return Ended::Complete,
+            Ok(Ok(None)) => return RunEnd::Completed,
             Ok(Ok(Some(piece))) => piece,
         };
         if !splitter.push(&piece) {
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -91,8 +91,8 @@
             continue;
         }
         let is_warmed_up = now >= schedule.began + MEMBERSHIP_WARM_UP;
-        let is_done = match own_share(&node) {
-            Some(range) => sweep(&node, range, is_warmed_up).await,
+        let is_done = match own_range(&node) {
+            Some(range) => scan(&node, range, is_warmed_up).await,
             None => is_warmed_up,
         };
         schedule.next = Some(clock::now() + if is_done { SCAN_INTERVAL } else { SCAN_RETRY_DELAY });
@@ -100,13 +100,13 @@
     }
 }
 
-fn own_share(node: &Node) -> Option<Range> {
+fn own_range(node: &Node) -> Option<Range> {
     let members = node.members.borrow();
     share(members.me().id, members.workers().map(|member| member.id), INSTANCES_PER_SCANNER)
 }
 
 /// Looks through a range of the jobs; `false` when it has to be repeated.
-async fn sweep(node: &Rc<Node>, range: Range, is_warmed_up: bool) -> bool {
+async fn scan(node: &Rc<Node>, range: Range, is_warmed_up: bool) -> bool {
     let mut after = range.after.map(str::to_owned);
     let mut is_done = true;
     let (mut jobs, mut orphans) = (0, 0);
@@ -121,22 +121,22 @@
         let is_last =
             !page.is_cut || !page.last.as_ref().is_some_and(|last| range.is_before_end(last));
         after.clone_from(&page.last);
-        let mut of_page: Vec<JobStatus> = Vec::new();
+        let mut page_orphans: Vec<JobStatus> = Vec::new();
         for object in page.objects.iter().filter(|object| range.is_before_end(&object.name)) {
             jobs += 1;
-            match look_at(node, object, is_warmed_up) {
-                Look::Orphan(status) => of_page.push(*status),
-                Look::Own => {
+            match classify(node, object, is_warmed_up) {
+                ScanResult::Orphan(status) => page_orphans.push(*status),
+                ScanResult::Own => {
                     is_done &=
                         takeover::take_over(node, &object.name, Handoff::default()).await.is_some();
                 }
                 // Unless it is passed on, it has no holder in a moment.
-                Look::Leaving => is_done = false,
-                Look::Nothing => {}
+                ScanResult::Leaving => is_done = false,
+                ScanResult::Nothing => {}
             }
         }
-        orphans += of_page.len();
-        tell(node, of_page);
+        orphans += page_orphans.len();
+        report_orphans(node, page_orphans);
         if is_last {
             break;
         }
@@ -148,7 +148,7 @@
 }
 
 /// What a job on the platform asks for.
-enum Look {
+enum ScanResult {
     Nothing,
     /// This instance holds it and doesn't know.
     Own,
@@ -158,24 +158,24 @@
     Orphan(Box<JobStatus>),
 }
 
-fn look_at(node: &Node, object: &Object, is_warmed_up: bool) -> Look {
+fn classify(node: &Node, object: &Object, is_warmed_up: bool) -> ScanResult {
     let Ok(JobSummary { holder, is_open, job, tokens }) = job_store::summary(object) else {
         slog::error!(node.log, "job not understood"; "job" => &object.name,
             "revision" => object.revision);
-        return Look::Nothing;
+        return ScanResult::Nothing;
     };
     if !is_open || node.jobs.held_job(&object.name).is_some() {
-        return Look::Nothing;
+        return ScanResult::Nothing;
     }
     if holder.instance == node.id() {
-        return Look::Own;
+        return ScanResult::Own;
     }
     if !takeover::is_gone(node, holder, is_warmed_up) {
         let members = node.members.borrow();
         let is_leaving = members.get(holder.instance).is_some_and(|m| m.state == State::Leaving);
-        return if is_leaving { Look::Leaving } else { Look::Nothing };
+        return if is_leaving { ScanResult::Leaving } else { ScanResult::Nothing };
     }
-    Look::Orphan(Box::new(JobStatus {
+    ScanResult::Orphan(Box::new(JobStatus {
         job: object.name.clone(),
         holder,
         data_centre: String::new(),
@@ -187,7 +187,7 @@
 }
 
 /// Whoever each orphan falls to takes it over, and tries again until it is done.
-fn tell(node: &Rc<Node>, orphans: Vec<JobStatus>) {
+fn report_orphans(node: &Rc<Node>, orphans: Vec<JobStatus>) {
     if orphans.is_empty() {
         return;
     }
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -120,7 +120,7 @@
 }
 
 fn count(overflow: &[OverflowObject]) -> usize {
-    overflow.iter().map(|piece| piece.count).sum()
+    overflow.iter().map(|object| object.count).sum()
 }
 
 fn decode(object: &Object) -> Result<(Spec, Status), serde_json::Error> {
@@ -182,11 +182,11 @@
     overflow: &[OverflowObject],
 ) -> Result<Vec<T>, LoadError> {
     let mut all = Vec::new();
-    for piece in overflow {
+    for object in overflow {
         let found =
-            node.store.get(cause, job::PIECE_KIND, &piece.name).await.map_err(LoadError::Fault)?;
+            node.store.get(cause, job::PIECE_KIND, &object.name).await.map_err(LoadError::Fault)?;
         let Some(object) = found else {
-            return Err(LoadError::Malformed(format!("piece `{}` is missing", piece.name)));
+            return Err(LoadError::Malformed(format!("piece `{}` is missing", object.name)));
         };
         let mut part: Vec<T> = serde_json::from_str(object.spec.get())?;
         all.append(&mut part);
@@ -262,11 +262,11 @@
         slog::info!(node.log, "job not deleted"; "job" => id, "fault" => %fault);
         return;
     }
-    for piece in overflow.items.iter().chain(&overflow.results) {
+    for object in overflow.items.iter().chain(&overflow.results) {
         if let Err(fault) =
-            node.store.delete(Cause::Expiry, job::PIECE_KIND, &piece.name, None).await
+            node.store.delete(Cause::Expiry, job::PIECE_KIND, &object.name, None).await
         {
-            slog::info!(node.log, "piece not deleted"; "piece" => &piece.name, "fault" => %fault);
+            slog::info!(node.log, "piece not deleted"; "piece" => &object.name, "fault" => %fault);
         }
     }
 }
@@ -296,7 +296,7 @@
     runs
 }
 
-/// Puts a run into a piece. Its name tells its contents, so that a repeated write
+/// Puts a run into an object. Its name tells its contents, so that a repeated write
 /// finds it there and two writers never share one by mistake.
 async fn write_overflow<T: Serialize>(
     node: &Node,
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -40,23 +40,23 @@
     /// What of it lies in overflow on the platform.
     pub overflow: RefCell<Overflow>,
     /// When items that aren't done were first run here.
-    pub(super) began: RefCell<HashMap<ItemId, Instant>>,
+    pub(super) first_started: RefCell<HashMap<ItemId, Instant>>,
     /// Woken when results or the end have become durable.
     pub changed: Notify,
     /// Woken when there is something to write.
     pub(super) dirty: Notify,
     /// When the oldest result that isn't durable came.
-    pub(super) oldest: Cell<Option<Instant>>,
+    pub(super) oldest_unwritten: Cell<Option<Instant>>,
     /// When the oldest result came that isn't durable and says that its item failed.
-    pub(super) verdict: Cell<Option<Instant>>,
+    pub(super) oldest_failure: Cell<Option<Instant>>,
     /// When the platform last showed that the job is held here.
-    pub(super) confirmed: Cell<Instant>,
+    pub(super) confirmed_at: Cell<Instant>,
     /// Cancelled when the job's submitter has ended it: its runs stop.
     pub(super) ended: CancellationToken,
     /// Cancelled when this instance no longer holds the job.
     pub released: CancellationToken,
     /// Whether it only serves reads: nothing is left to run.
-    pub is_frozen: bool,
+    pub is_read_only: bool,
 }
 
 impl HeldJob {
@@ -66,18 +66,18 @@
     }
 
     /// Something is to be written.
-    pub fn wake(&self) {
+    pub fn mark_dirty(&self) {
         let now = clock::now();
         let state = self.state.borrow();
         let since = |is_any: bool, known: Option<Instant>| is_any.then(|| known.unwrap_or(now));
-        self.oldest.set(since(state.unwritten() > 0, self.oldest.get()));
-        self.verdict.set(since(state.has_unwritten_failure(), self.verdict.get()));
+        self.oldest_unwritten.set(since(state.unwritten() > 0, self.oldest_unwritten.get()));
+        self.oldest_failure.set(since(state.has_unwritten_failure(), self.oldest_failure.get()));
         self.dirty.notify_one();
     }
 
     /// What is known of the job's holder by the platform was as expected just now.
     pub(super) fn on_confirmed(&self, now: Instant) {
-        self.confirmed.set(now);
+        self.confirmed_at.set(now);
     }
 }
 
@@ -91,16 +91,16 @@
     /// What is to be told to all others.
     outbox: RefCell<HashMap<JobId, JobStatus>>,
     /// Jobs read from the platform for callers, and when.
-    pub(super) recent: RefCell<HashMap<JobId, (Instant, StoredJob)>>,
+    pub(super) cache: RefCell<HashMap<JobId, (Instant, StoredJob)>>,
     /// When another instance's open jobs were last asked for.
-    pub learnt: Cell<Option<Instant>>,
+    pub last_fetch: Cell<Option<Instant>>,
     pub(super) work: Notify,
     /// What was learnt of how long items run.
-    pub(super) span: RefCell<Estimate>,
+    pub(super) run_time: RefCell<Estimate>,
     /// What was learnt elsewhere of jobs that this instance is about to take over, as
     /// others have asked.
     pub(super) pending_takeovers: RefCell<HashMap<JobId, Vec<Handoff>>>,
-    pub(super) filling: RefCell<HashSet<(String, ServiceId)>>,
+    pub(super) acquiring: RefCell<HashSet<(String, ServiceId)>>,
 }
 
 impl JobTable {
@@ -131,7 +131,7 @@
     /// Tokens that wait on a route, over all instances.
     pub fn waiting_tokens(&self, node: &Node, route: &str) -> u64 {
         let held_jobs = self.held.borrow();
-        let held = held_jobs.values().filter(|held| !held.is_frozen);
+        let held = held_jobs.values().filter(|held| !held.is_read_only);
         let here: u64 = held
             .map(|held| held.state.borrow())
             .filter(|state| route_of(node, state.job()).is_some_and(|found| found.name == route))
@@ -148,7 +148,7 @@
 /// A holder's word; if it speaks of a job that is held here, the platform tells
 /// whose it is.
 pub fn on_status(node: &Rc<Node>, status: JobStatus) {
-    let held = node.jobs.held_job(&status.job).filter(|held| !held.is_frozen);
+    let held = node.jobs.held_job(&status.job).filter(|held| !held.is_read_only);
     if let Some(held) = held
         && status.holder.instance != node.id()
         && status.revision > held.revision.get()
@@ -171,24 +171,24 @@
     let id = job.id.clone();
     let attempts = route_of(node, &job).map_or(DEFAULT_MAX_ATTEMPTS, |route| route.attempts);
     let state = JobState::new(job, progress, attempts);
-    let is_frozen = state.is_finished();
+    let is_read_only = state.is_finished();
     let held = Rc::new(HeldJob {
         state: RefCell::new(state),
         revision: Cell::new(revision),
         overflow: RefCell::new(overflow),
-        began: RefCell::default(),
+        first_started: RefCell::default(),
         changed: Notify::new(),
         dirty: Notify::new(),
-        oldest: Cell::new(None),
-        verdict: Cell::new(None),
-        confirmed: Cell::new(clock::now()),
+        oldest_unwritten: Cell::new(None),
+        oldest_failure: Cell::new(None),
+        confirmed_at: Cell::new(clock::now()),
         ended: CancellationToken::new(),
         released: CancellationToken::new(),
-        is_frozen,
+        is_read_only,
     });
     node.jobs.held.borrow_mut().insert(id, held.clone());
-    if !is_frozen {
-        spawn_local(job_writer::write_all(node.clone(), held.clone()));
+    if !is_read_only {
+        spawn_local(job_writer::write_loop(node.clone(), held.clone()));
         announce(node, &held);
         node.jobs.wake();
     }
@@ -267,7 +267,7 @@
 
 /// How the jobs stand that another instance asks for.
 pub fn statuses_for(node: &Node, filter: &JobFilter) -> Vec<JobStatus> {
-    let mut statuses = directory(node);
+    let mut statuses = all_statuses(node);
     if let JobFilter::Open(ids) = filter {
         let ids: HashSet<&JobId> = ids.iter().collect();
         statuses.retain(|status| !status.is_settled || ids.contains(&status.job));
@@ -276,9 +276,9 @@
 }
 
 /// How jobs stand that are known here.
-fn directory(node: &Node) -> Vec<JobStatus> {
+fn all_statuses(node: &Node) -> Vec<JobStatus> {
     let held_jobs = node.jobs.held.borrow();
-    let own = held_jobs.values().filter(|held| !held.is_frozen).map(|held| status(node, held));
+    let own = held_jobs.values().filter(|held| !held.is_read_only).map(|held| status(node, held));
     let directory = node.jobs.directory.borrow();
     let others = directory.values().filter(|status| !held_jobs.contains_key(&status.job));
     own.chain(others.cloned()).collect()
@@ -287,17 +287,17 @@
 /// A number that two instances share if they know the same open jobs and holders.
 pub fn digest(node: &Node) -> u64 {
     let one = |status: &JobStatus| hash::weight(status.job.as_bytes(), status.holder.instance);
-    open(node).iter().map(one).fold(0, u64::wrapping_add)
+    open_statuses(node).iter().map(one).fold(0, u64::wrapping_add)
 }
 
-fn open(node: &Node) -> Vec<JobStatus> {
-    directory(node).into_iter().filter(|status| !status.is_settled).collect()
+fn open_statuses(node: &Node) -> Vec<JobStatus> {
+    all_statuses(node).into_iter().filter(|status| !status.is_settled).collect()
 }
 
 /// What to ask another instance for whose open jobs differ: a job may have been
 /// settled without a word of it here.
 pub fn open_jobs_filter(node: &Node) -> JobFilter {
-    JobFilter::Open(open(node).into_iter().map(|status| status.job).collect())
+    JobFilter::Open(open_statuses(node).into_iter().map(|status| status.job).collect())
 }
 
 /// Learns from another instance how jobs stand, after a start.
@@ -320,7 +320,7 @@
     let Ok(PeerReply::Statuses(statuses)) = reply else {
         return false;
     };
-    slog::info!(node.log, "jobs learnt"; "from" => %address, "jobs" => statuses.len(),
+    slog::info!(node.log, "job statuses fetched"; "from" => %address, "jobs" => statuses.len(),
         "open_only" => is_open_only);
     statuses.into_iter().for_each(|status| on_status(node, status));
     true
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -41,7 +41,7 @@
         Ok(Some(object)) if object.revision > held.revision.get() => {
             let draft = held.state.borrow().to_progress();
             // Not read now, it is met again with the next write.
-            on_found(node, held, &draft, &object).await;
+            on_newer_object(node, held, &draft, &object).await;
         }
         Ok(Some(_)) => held.on_confirmed(clock::now()),
         Ok(None) => job_table::release(node, held),
@@ -50,14 +50,14 @@
 }
 
 /// Writes what happens to a job until nothing is left to write.
-pub async fn write_all(node: Rc<Node>, held: Rc<HeldJob>) {
+pub async fn write_loop(node: Rc<Node>, held: Rc<HeldJob>) {
     let mut tried = clock::now();
     let mut looked = clock::now();
     let mut isolated: Option<Instant> = None;
     loop {
         tokio::select! {
             () = held.dirty.notified() => {}
-            () = tokio::time::sleep(until_write(&node, &held, clock::now()).min(POLL_INTERVAL)) => {}
+            () = tokio::time::sleep(time_to_write(&node, &held, clock::now()).min(POLL_INTERVAL)) => {}
             () = held.released.cancelled() => return,
         }
         if clock::since(looked) >= STALL_THRESHOLD {
@@ -69,14 +69,14 @@
             isolated = Some(looked);
         }
         let may_be_overtaken = isolated.is_some_and(|at| clock::since(at) < ISOLATION_COOLDOWN);
-        let is_due = clock::since(tried.max(held.confirmed.get())) >= VERIFY_INTERVAL;
+        let is_due = clock::since(tried.max(held.confirmed_at.get())) >= VERIFY_INTERVAL;
         if is_due && may_be_overtaken {
             tried = clock::now();
             verify(&node, &held).await;
         }
         // Who has been overtaken writes nothing: the new holder answers from memory,
         // and would show nothing where others had read it on the platform.
-        while !held.released.is_cancelled() && until_write(&node, &held, clock::now()).is_zero() {
+        while !held.released.is_cancelled() && time_to_write(&node, &held, clock::now()).is_zero() {
             if !write(&node, &held).await {
                 let pause = node.store.backoff_remaining(clock::now()).max(WRITE_RETRY_DELAY);
                 tokio::time::sleep(pause).await;
@@ -99,7 +99,7 @@
 }
 
 /// Time until something is to be written; the longest there is if nothing is.
-fn until_write(node: &Node, held: &HeldJob, now: Instant) -> Duration {
+fn time_to_write(node: &Node, held: &HeldJob, now: Instant) -> Duration {
     let state = held.state.borrow();
     if !state.has_unwritten() {
         return Duration::MAX;
@@ -109,8 +109,8 @@
     let due_in = Duration::from_millis(due.saturating_sub(at));
     let is_end = state.is_ended() && !state.is_end_durable();
     let fresh = flush::Unwritten {
-        oldest: held.oldest.get().unwrap_or(now),
-        verdict: held.verdict.get(),
+        oldest: held.oldest_unwritten.get().unwrap_or(now),
+        verdict: held.oldest_failure.get(),
         due: now.checked_sub(overdue).unwrap_or(now) + due_in,
         is_last: is_end || state.is_done(),
     };
@@ -140,7 +140,7 @@
                 None => node.store.get(Cause::Progress, job::KIND, &id).await,
             };
             match found {
-                Ok(Some(object)) => return on_found(node, held, &draft, &object).await,
+                Ok(Some(object)) => return on_newer_object(node, held, &draft, &object).await,
                 Ok(None) => job_table::release(node, held),
                 Err(fault) => {
                     slog::info!(node.log, "job not read"; "job" => &id, "fault" => %fault);
@@ -176,9 +176,9 @@
     held.revision.set(revision);
     held.on_confirmed(clock::now());
     held.state.borrow_mut().on_written(draft);
-    held.oldest.set(None);
-    held.verdict.set(None);
-    held.wake();
+    held.oldest_unwritten.set(None);
+    held.oldest_failure.set(None);
+    held.mark_dirty();
     slog::info!(node.log, "results durable"; "job" => &held.state.borrow().job().id,
         "results" => draft.outcomes.len(), "revision" => revision, "ended" => draft.ended);
     held.changed.notify_waiters();
@@ -187,7 +187,12 @@
 
 /// The object isn't as it was: an earlier write of ours was done after all, or
 /// another instance has written. `false` when it couldn't be read whole.
-async fn on_found(node: &Rc<Node>, held: &Rc<HeldJob>, draft: &Progress, object: &Object) -> bool {
+async fn on_newer_object(
+    node: &Rc<Node>,
+    held: &Rc<HeldJob>,
+    draft: &Progress,
+    object: &Object,
+) -> bool {
     let StoredJob { progress, overflow, .. } =
         match job_store::read(node, Cause::Check, object).await {
             Ok(stored_job) => stored_job,
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -52,22 +52,22 @@
         let left = until.saturating_duration_since(clock::now());
         let ask = |id| PeerRequest::Results(id, from, left.as_millis() as u64);
         match find(node, id, ask, left).await {
-            Found::Here(held) => {
+            Location::Local(held) => {
                 let (total, outcomes) = held_results(&held, from, left).await;
-                return listed(total, from, &outcomes);
+                return results_response(total, from, &outcomes);
             }
-            Found::Reply(PeerReply::Results(total, outcomes)) => {
-                return listed(total, from, &outcomes);
+            Location::Reply(PeerReply::Results(total, outcomes)) => {
+                return results_response(total, from, &outcomes);
             }
-            Found::Stored(job, progress) => {
+            Location::Stored(job, progress) => {
                 let outcomes = progress.outcomes.get(from..).unwrap_or_default();
-                if outcomes.is_empty() && is_held_before(node, id, until).await {
+                if outcomes.is_empty() && wait_for_holder(node, id, until).await {
                     continue;
                 }
-                return listed(job.items.len(), from, outcomes);
+                return results_response(job.items.len(), from, outcomes);
             }
-            Found::Missing => return text(404, "no such job"),
-            Found::Reply(_) | Found::Unknown => return unsure(node, id),
+            Location::NotFound => return text(404, "no such job"),
+            Location::Reply(_) | Location::Unknown => return unavailable(node, id),
         }
     }
 }
@@ -77,7 +77,7 @@
 ///
 /// Gains calls of the platform: a read that finds nothing new is held as long as its
 /// caller asks instead of coming again at once, which made a call each time.
-async fn is_held_before(node: &Rc<Node>, id: &str, until: Instant) -> bool {
+async fn wait_for_holder(node: &Rc<Node>, id: &str, until: Instant) -> bool {
     let holder = |node: &Node| {
         let status = node.jobs.directory.borrow().get(id).map(|status| status.holder.instance);
         status.filter(|holder| node.members.borrow().get(*holder).is_some())
@@ -96,13 +96,13 @@
     }
 }
 
-fn listed(total: usize, from: usize, outcomes: &[Outcome]) -> Response<Body> {
+fn results_response(total: usize, from: usize, outcomes: &[Outcome]) -> Response<Body> {
     let mut response = Response::new(Body::Whole(job::results(total, from, outcomes)));
     set(&mut response, CONTENT_TYPE, "application/json");
     response
 }
 
-fn unsure(node: &Node, id: &str) -> Response<Body> {
+fn unavailable(node: &Node, id: &str) -> Response<Body> {
     slog::info!(node.log, "job in doubt"; "job" => id,
         "platform_away" => node.store.is_backing_off(clock::now()));
     let mut error = Error::new(Kind::PlatformAway, "the job can't be read now");
@@ -135,11 +135,11 @@
 async fn body(node: &Rc<Node>, id: &str, item: &str) -> Response<Body> {
     let ask = |id| PeerRequest::Body(id, item.to_owned());
     let found = match find(node, id, ask, Duration::ZERO).await {
-        Found::Here(held) => body_in(held.state.borrow().job(), item),
-        Found::Reply(PeerReply::Body(body)) => body,
-        Found::Stored(job, _) => body_in(&job, item),
-        Found::Missing => None,
-        Found::Reply(_) | Found::Unknown => return unsure(node, id),
+        Location::Local(held) => body_in(held.state.borrow().job(), item),
+        Location::Reply(PeerReply::Body(body)) => body,
+        Location::Stored(job, _) => body_in(&job, item),
+        Location::NotFound => None,
+        Location::Reply(_) | Location::Unknown => return unavailable(node, id),
     };
     match found.and_then(|text| job::body_of(&text).ok()) {
         Some(bytes) => {
@@ -157,16 +157,18 @@
 
 async fn end(node: &Rc<Node>, id: &str) -> Response<Body> {
     match find(node, id, PeerRequest::End, END_TIMEOUT).await {
-        Found::Here(held) => match end_held(node, &held).await {
+        Location::Local(held) => match end_held(node, &held).await {
             true => text(200, "ended"),
-            false => unsure(node, id),
-        },
-        Found::Reply(PeerReply::Done) => text(200, "ended"),
-        Found::Missing => text(404, "no such job"),
-        Found::Reply(_) | Found::Stored(..) | Found::Unknown => match end_stored(node, id).await {
-            true => text(200, "ended"),
-            false => unsure(node, id),
+            false => unavailable(node, id),
         },
+        Location::Reply(PeerReply::Done) => text(200, "ended"),
+        Location::NotFound => text(404, "no such job"),
+        Location::Reply(_) | Location::Stored(..) | Location::Unknown => {
+            match end_stored(node, id).await {
+                true => text(200, "ended"),
+                false => unavailable(node, id),
+            }
+        }
     }
 }
 
@@ -213,7 +215,7 @@
         slog::info!(node.log, "job ended elsewhere"; "job" => id);
         held.state.borrow_mut().end();
         held.stop_runs();
-        held.wake();
+        held.mark_dirty();
     }
 }
 
@@ -226,7 +228,7 @@
     held.state.borrow_mut().end();
     slog::info!(node.log, "job ended by its submitter"; "job" => &held.state.borrow().job().id);
     held.stop_runs();
-    held.wake();
+    held.mark_dirty();
     loop {
         let changed = held.changed.notified();
         if held.state.borrow().is_end_durable() {
@@ -243,15 +245,15 @@
 }
 
 /// Where a job was found.
-enum Found {
+enum Location {
     /// In memory here.
-    Here(Rc<HeldJob>),
+    Local(Rc<HeldJob>),
     /// Its holder answered.
     Reply(PeerReply),
     /// On the platform, while its holder can't be asked.
     Stored(Box<Job>, Box<Progress>),
     /// There is no such job.
-    Missing,
+    NotFound,
     /// Nobody can say now.
     Unknown,
 }
@@ -262,9 +264,9 @@
     id: &str,
     ask: impl Fn(String) -> PeerRequest,
     wait: Duration,
-) -> Found {
+) -> Location {
     if let Some(held) = node.jobs.held_job(id) {
-        return Found::Here(held);
+        return Location::Local(held);
     }
     let limit = wait + HOLDER_REPLY_TIMEOUT;
     let status = node.jobs.directory.borrow().get(id).cloned();
@@ -273,53 +275,53 @@
         if let Some(reply) =
             ask_holder(node, status.holder.instance, ask(id.to_owned()), limit).await
         {
-            return Found::Reply(reply);
+            return Location::Reply(reply);
         }
         asked = Some(status.holder.instance);
     }
-    let stored_job = match load_recent(node, id).await {
+    let stored_job = match load_cached(node, id).await {
         Ok(Some(stored_job)) => stored_job,
-        Ok(None) => return Found::Missing,
+        Ok(None) => return Location::NotFound,
         Err(error) => {
             slog::info!(node.log, "job not read"; "job" => id, "fault" => %error);
-            return Found::Unknown;
+            return Location::Unknown;
         }
     };
-    let keeper = stored_job.holder();
+    let holder = stored_job.holder();
     if !stored_job.is_open() {
-        return Found::Here(job_table::hold(node, stored_job));
+        return Location::Local(job_table::hold(node, stored_job));
     }
     let stored = |stored_job: StoredJob| {
-        Found::Stored(Box::new(stored_job.job), Box::new(stored_job.progress))
+        Location::Stored(Box::new(stored_job.job), Box::new(stored_job.progress))
     };
-    if keeper.instance == node.id() {
+    if holder.instance == node.id() {
         return match takeover::take_over(node, id, Handoff::default()).await {
-            Some(held) => Found::Here(held),
+            Some(held) => Location::Local(held),
             None => stored(stored_job),
         };
     }
-    if asked != Some(keeper.instance) {
-        let reply = ask_holder(node, keeper.instance, ask(id.to_owned()), limit).await;
+    if asked != Some(holder.instance) {
+        let reply = ask_holder(node, holder.instance, ask(id.to_owned()), limit).await;
         if let Some(reply) = reply {
-            return Found::Reply(reply);
+            return Location::Reply(reply);
         }
     }
     stored(stored_job)
 }
 
 /// A job by its id, as it was a moment ago at most.
-async fn load_recent(node: &Node, id: &str) -> Result<Option<StoredJob>, LoadError> {
+async fn load_cached(node: &Node, id: &str) -> Result<Option<StoredJob>, LoadError> {
     let now = clock::now();
-    let known = node.jobs.recent.borrow().get(id).cloned();
+    let known = node.jobs.cache.borrow().get(id).cloned();
     if let Some((_, stored_job)) = known.filter(|(read, _)| now < *read + JOB_CACHE_TTL) {
         return Ok(Some(stored_job));
     }
     let stored_job = job_store::load(node, Cause::Find, id).await?;
-    let mut recent = node.jobs.recent.borrow_mut();
-    recent.retain(|_, (read, _)| now < *read + JOB_CACHE_TTL);
+    let mut cache = node.jobs.cache.borrow_mut();
+    cache.retain(|_, (read, _)| now < *read + JOB_CACHE_TTL);
     if let Some(stored_job) = &stored_job {
         // As of before the call: the answer may show no more than that.
-        recent.insert(id.to_owned(), (now, stored_job.clone()));
+        cache.insert(id.to_owned(), (now, stored_job.clone()));
     }
     Ok(stored_job)
 }
--- a/crates/daemon/src/gateway/leases/batch.rs
+++ b/crates/daemon/src/gateway/leases/batch.rs
@@ -66,7 +66,7 @@
     let PeerReply::Slots(grants, span) = reply else {
         return None;
     };
-    node.jobs.span.borrow_mut().merge(span);
+    node.jobs.run_time.borrow_mut().merge(span);
     let granted = grants.len();
     let lease = |grant| {
         if is_here {
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -49,7 +49,7 @@
 impl Handler for PeerHandler {
     async fn ping(&self, from: Member, notes: Vec<Note>) -> (Member, Vec<Note>) {
         let id = from.id;
-        hear(&self.node, from, &notes);
+        on_heartbeat(&self.node, from, &notes);
         let members = self.node.members.borrow();
         (members.me().clone(), members.doubt_of(id).into_iter().collect())
     }
@@ -66,7 +66,7 @@
 
     async fn ask(&self, body: Vec<u8>) -> Vec<u8> {
         let reply = match decode::<PeerRequest>(&body) {
-            Some(ask) => answer(&self.node, ask).await,
+            Some(ask) => handle(&self.node, ask).await,
             None => PeerReply::Unavailable,
         };
         encode(&reply)
@@ -78,7 +78,7 @@
     }
 }
 
-async fn answer(node: &Rc<Node>, ask: PeerRequest) -> PeerReply {
+async fn handle(node: &Rc<Node>, ask: PeerRequest) -> PeerReply {
     match ask {
         PeerRequest::Slots(request) => allocator::on_slot_request(node, request).await,
         PeerRequest::CancelSlots(from, id) => {
@@ -104,12 +104,13 @@
         PeerRequest::Sync { from, digest, connectivity } => sync(node, from, digest, connectivity),
         PeerRequest::Update(from, update) => {
             let node = node.clone();
-            to_its_end(async move { broadcast::on_update(&node, from, update).await }).await;
+            run_to_completion(async move { broadcast::on_update(&node, from, update).await }).await;
             PeerReply::Done
         }
         PeerRequest::RelayUpdate(from, update) => {
             let node = node.clone();
-            to_its_end(async move { broadcast::on_relayed(&node, from, update).await }).await;
+            run_to_completion(async move { broadcast::on_relayed(&node, from, update).await })
+                .await;
             PeerReply::Done
         }
         PeerRequest::Targets(digests) => {
@@ -143,7 +144,7 @@
 
 /// Does what an asker started, also if it doesn't wait for the end: its connection may be
 /// gone by then, and what is under way here would be dropped in the middle.
-async fn to_its_end<T: 'static>(duty: impl Future<Output = T> + 'static) {
+async fn run_to_completion<T: 'static>(duty: impl Future<Output = T> + 'static) {
     // A panic has been printed by its own task, and the asker is told no more than that.
     let _ended = spawn_local(duty).await;
 }
@@ -161,7 +162,7 @@
     PeerReply::Sync { digest: mine, config, connectivity: node.connectivity() }
 }
 
-fn hear(node: &Rc<Node>, from: Member, notes: &[Note]) {
+fn on_heartbeat(node: &Rc<Node>, from: Member, notes: &[Note]) {
     let now = clock::now();
     let before = node.members.borrow().version();
     {
@@ -194,12 +195,12 @@
     spawn_local(async move {
         tokio::time::sleep(MEMBER_CHANGE_WINDOW).await;
         node.is_settling.set(false);
-        on_settled(&node);
+        on_members_settled(&node);
     });
 }
 
 /// The members have changed.
-fn on_settled(node: &Rc<Node>) {
+fn on_members_settled(node: &Rc<Node>) {
     let members = node.members.borrow();
     let alive = members.others().filter(|member| member.state == State::Alive).count();
     let doubtful = members.others().filter(|member| member.state != State::Alive);
@@ -213,18 +214,18 @@
 
 /// Sends heartbeats and news until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
-    spawn_local(until(join(node.clone()), stop.clone()));
+    spawn_local(run_until(join(node.clone()), stop.clone()));
     // Independent of the news: were each piece of news to put the heartbeat off,
     // a member that can't be reached would never be found out.
-    let mut beat = tokio::time::interval(node.settings.ping);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut heartbeat = tokio::time::interval(node.settings.ping);
+    heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = beat.tick() => {}
+            _ = heartbeat.tick() => {}
             () = node.membership_changed.notified() => {
                 tokio::time::sleep(UPDATE_BATCH_WINDOW).await;
                 let behind = node.members.borrow().behind();
-                behind.into_iter().for_each(|member| ping(&node, member));
+                behind.into_iter().for_each(|member| send_heartbeats(&node, member));
                 continue;
             }
             () = stop.cancelled() => return,
@@ -232,11 +233,11 @@
         let before = node.members.borrow().version();
         let due = node.members.borrow_mut().tick(clock::now());
         on_members(&node, before);
-        due.into_iter().for_each(|member| ping(&node, member));
+        due.into_iter().for_each(|member| send_heartbeats(&node, member));
     }
 }
 
-async fn until(duty: impl Future<Output = ()>, stop: CancellationToken) {
+async fn run_until(duty: impl Future<Output = ()>, stop: CancellationToken) {
     tokio::select! {
         () = duty => {}
         () = stop.cancelled() => {}
@@ -246,17 +247,17 @@
 /// Sends heartbeats to a member until it has the latest news. One is under way to
 /// each member at a time: news that comes meanwhile goes with the next one, or a
 /// slow fleet would send the same news over and over.
-fn ping(node: &Rc<Node>, to: Member) {
+fn send_heartbeats(node: &Rc<Node>, to: Member) {
     if !node.pinged.borrow_mut().insert(to.id) {
         return;
     }
     let node = node.clone();
     spawn_local(async move {
         loop {
-            let mut is_answered = ping_once(&node, &to).await;
+            let mut is_answered = heartbeat_once(&node, &to).await;
             if !is_answered {
                 tokio::time::sleep(HEARTBEAT_RETRY_DELAY).await;
-                is_answered = ping_once(&node, &to).await;
+                is_answered = heartbeat_once(&node, &to).await;
             }
             if !is_answered || !node.members.borrow().is_behind(to.id) {
                 break;
@@ -268,7 +269,7 @@
 }
 
 /// `true` when the member answered, or another stands in its place.
-async fn ping_once(node: &Rc<Node>, to: &Member) -> bool {
+async fn heartbeat_once(node: &Rc<Node>, to: &Member) -> bool {
     let (me, (mark, notes)) = {
         let members = node.members.borrow();
         (members.me().clone(), members.news(to.id))
@@ -310,13 +311,14 @@
         let own = node.as_holder().address;
         let seeds = seeds.into_iter().filter(|seed| *seed != own);
         // At once: one without power holds up its own answer only.
-        let asked = seeds.map(|seed| tokio::time::timeout(SEED_TIMEOUT, ask_members(&node, seed)));
+        let asked =
+            seeds.map(|seed| tokio::time::timeout(SEED_TIMEOUT, fetch_members(&node, seed)));
         futures_util::future::join_all(asked).await;
         tries += 1;
         if node.members.borrow().others().next().is_none() && tries.is_multiple_of(8) {
             for address in watch::registered_addresses(&node).await {
                 if address != own {
-                    ask_members(&node, address).await;
+                    fetch_members(&node, address).await;
                 }
             }
         }
@@ -328,7 +330,7 @@
     job_table::fetch_statuses(&node).await;
 }
 
-async fn ask_members(node: &Rc<Node>, address: SocketAddr) {
+async fn fetch_members(node: &Rc<Node>, address: SocketAddr) {
     let before = node.members.borrow().version();
     match node.peers.members(address).await {
         Ok(found) => {
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -43,13 +43,13 @@
 /// Asks for signs of life while this instance watches, and tells the others of its
 /// data centre whether it has any, until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
-    let mut told = Told::default();
+    let mut last_report = LastReport::default();
     let mut calls = BTreeMap::new();
-    let mut calls_told = clock::now();
+    let mut calls_logged = clock::now();
     loop {
         tokio::select! {
             () = tokio::time::sleep(POLL_INTERVAL) => {}
-            () = node.store.disconnected(), if !told.is_lost => {}
+            () = node.store.disconnected(), if !last_report.is_lost => {}
             () = stop.cancelled() => return,
         }
         let now = clock::now();
@@ -57,21 +57,21 @@
         if is_needed && node.store.is_probe_due(now) && !node.is_probing.replace(true) {
             spawn_local(probe(node.clone()));
         }
-        if told.is_due(node.store.is_disconnected(), now) {
-            tell(&node);
+        if last_report.is_due(node.store.is_disconnected(), now) {
+            send_report(&node);
         }
-        if now >= calls_told + CALL_LOG_INTERVAL {
-            calls_told = now;
-            tell_calls(&node, &mut calls);
+        if now >= calls_logged + CALL_LOG_INTERVAL {
+            calls_logged = now;
+            log_calls(&node, &mut calls);
         }
     }
 }
 
 /// Logs which calls of the platform were made since it was done last.
-fn tell_calls(node: &Node, told: &mut BTreeMap<Cause, u64>) {
+fn log_calls(node: &Node, last_report: &mut BTreeMap<Cause, u64>) {
     let calls = node.store.calls();
     let new = |(cause, count): (&Cause, &u64)| {
-        let before = told.get(cause).copied().unwrap_or_default();
+        let before = last_report.get(cause).copied().unwrap_or_default();
         (*count > before).then(|| format!("{} {}", cause.name(), count - before))
     };
     let new: Vec<String> = calls.iter().filter_map(new).collect();
@@ -79,24 +79,24 @@
         slog::info!(node.log, "platform calls"; "counts" => new.join(", "),
             "within_s" => CALL_LOG_INTERVAL.as_secs());
     }
-    *told = calls;
+    *last_report = calls;
 }
 
 /// What the others were told last.
 #[derive(Default)]
-struct Told {
+struct LastReport {
     is_lost: bool,
     at: Option<Instant>,
 }
 
-impl Told {
+impl LastReport {
     /// Whether to tell them now; counts as told if so.
     fn is_due(&mut self, is_lost: bool, now: Instant) -> bool {
         let is_old = self.at.is_none_or(|at| now >= at + REPORT_INTERVAL);
         if is_lost == self.is_lost && !(is_lost && is_old) {
             return false;
         }
-        *self = Told { is_lost, at: Some(now) };
+        *self = LastReport { is_lost, at: Some(now) };
         true
     }
 }
@@ -121,7 +121,7 @@
 }
 
 /// Tells the instances of the own data centre whether this one reaches the platform.
-fn tell(node: &Rc<Node>) {
+fn send_report(node: &Rc<Node>) {
     let ask = PeerRequest::Sync {
         from: node.id(),
         digest: node.state_digest(),
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -177,7 +177,7 @@
     }
 
     /// A call is made.
-    pub fn count(&self, cause: Cause) {
+    pub fn count_call(&self, cause: Cause) {
         *self.calls.borrow_mut().entry(cause).or_default() += 1;
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// Tells of objects that can't be read; the others hold.
-    pub fn report(&self, kind: &str, unreadable: &[Unreadable]) {
+    pub fn log_undecodable(&self, kind: &str, unreadable: &[Unreadable]) {
         for found in unreadable.iter().take(MAX_LOGGED_UNDECODABLE) {
             slog::warn!(self.log, "object not understood"; "kind" => kind,
                 "name" => found.name.as_deref(), "fault" => &found.fault,
@@ -199,7 +199,7 @@
         if self.is_backing_off(clock::now()) {
             return Err(Fault::Away(String::from("backing off")));
         }
-        self.count(cause);
+        self.count_call(cause);
         Ok(())
     }
 
@@ -210,7 +210,7 @@
     ///
     /// As [`Store::touch`].
     pub async fn probe(&self, kind: &str, name: &str) -> Result<(), Fault> {
-        self.count(Cause::Life);
+        self.count_call(Cause::Life);
         self.record_result(self.store.touch(kind, name).await)
     }
 
@@ -232,7 +232,7 @@
     pub async fn list_all(&self, cause: Cause, kind: &str) -> Result<Vec<Object>, Fault> {
         self.check_breaker(cause)?;
         let listing = self.record_result(self.store.list_all(kind).await)?;
-        self.report(kind, &listing.unreadable);
+        self.log_undecodable(kind, &listing.unreadable);
         Ok(listing.objects)
     }
 
@@ -244,7 +244,7 @@
     pub async fn list(&self, cause: Cause, kind: &str, after: Option<&str>) -> Result<Page, Fault> {
         self.check_breaker(cause)?;
         let page = self.record_result(self.store.list(kind, after).await)?;
-        self.report(kind, &page.unreadable);
+        self.log_undecodable(kind, &page.unreadable);
         Ok(page)
     }
 
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -22,23 +22,23 @@
 
 /// What is known of a stream's events so far.
 #[derive(Debug, Default)]
-struct Tally {
+struct EventStats {
     began: Option<Instant>,
     first: Option<Duration>,
     last: Option<Instant>,
-    pieces: u32,
+    chunks: u32,
     slowest: Duration,
 }
 
-impl Tally {
-    fn on_piece(&mut self, now: Instant) {
+impl EventStats {
+    fn on_chunk(&mut self, now: Instant) {
         let began = *self.began.get_or_insert(now);
         self.first.get_or_insert(now.saturating_duration_since(began));
         if let Some(last) = self.last {
             self.slowest = self.slowest.max(now.saturating_duration_since(last));
         }
         self.last = Some(now);
-        self.pieces += 1;
+        self.chunks += 1;
     }
 
     /// From `started` to the first event of the last target.
@@ -48,8 +48,8 @@
 
     fn pace(&self) -> Option<Duration> {
         let began = self.began? + self.first?;
-        let spaces = self.pieces.checked_sub(1).filter(|spaces| *spaces > 0)?;
-        Some(self.last?.saturating_duration_since(began) / spaces)
+        let gaps = self.chunks.checked_sub(1).filter(|gaps| *gaps > 0)?;
+        Some(self.last?.saturating_duration_since(began) / gaps)
     }
 }
 
@@ -58,7 +58,7 @@
     let head = head_of(&begun.exchange);
     let (sender, body) = listen::stream();
     tokio::task::spawn_local(async move {
-        let mut stream = Stream { forward, last_event: None, sender, tally: Tally::default() };
+        let mut stream = Stream { forward, last_event: None, sender, stats: EventStats::default() };
         stream.run(begun).await;
         drop(in_hand);
     });
@@ -69,21 +69,21 @@
     forward: Forward,
     last_event: Option<u64>,
     sender: Sender,
-    tally: Tally,
+    stats: EventStats,
 }
 
 /// Why a stream no longer comes from a target.
-enum Stop {
+enum StreamEnd {
     /// It came to its end.
-    Ended,
+    Completed,
     /// The caller has gone.
-    Gone,
+    CallerGone,
     /// The time is over.
-    TimeOver,
+    DeadlineExceeded,
     /// It broke off.
-    Broken(String),
+    Interrupted(String),
     /// Nothing came for too long.
-    Silent,
+    Idle,
 }
 
 impl Stream {
@@ -91,13 +91,13 @@
         let mut begun = begun;
         loop {
             let target = begun.lease.grant.target.clone();
-            let stop = self.pass(begun).await;
+            let stop = self.forward_response(begun).await;
             let fault = match stop {
-                Stop::Ended => return self.log("stream ended", &target, ""),
-                Stop::Gone => return self.log("caller gone", &target, ""),
-                Stop::TimeOver => return self.abort(&target, "time over").await,
-                Stop::Broken(fault) => fault,
-                Stop::Silent => String::from("silent"),
+                StreamEnd::Completed => return self.log("stream ended", &target, ""),
+                StreamEnd::CallerGone => return self.log("caller gone", &target, ""),
+                StreamEnd::DeadlineExceeded => return self.abort(&target, "time over").await,
+                StreamEnd::Interrupted(fault) => fault,
+                StreamEnd::Idle => String::from("silent"),
             };
             self.forward.avoid.push(target.clone());
             if !self.forward.may_send_again() {
@@ -129,53 +129,53 @@
     }
 
     /// Passes on what one target sends.
-    async fn pass(&mut self, begun: Begun) -> Stop {
+    async fn forward_response(&mut self, begun: Begun) -> StreamEnd {
         let Begun { mut exchange, mut lease } = begun;
         let mut splitter = Splitter::default();
-        self.tally = Tally { began: Some(clock::now()), ..Tally::default() };
-        let stop = self.pass_all(&mut exchange, &lease, &mut splitter).await;
+        self.stats = EventStats { began: Some(clock::now()), ..EventStats::default() };
+        let stop = self.forward_events(&mut exchange, &lease, &mut splitter).await;
         // Closes the connection, unless the answer came to its end.
         let is_framed = exchange.is_framed();
         drop(exchange);
         match stop {
-            Stop::Broken(_) => self.forward.on_break(&lease.grant),
-            Stop::Ended => self.forward.on_end(is_framed),
-            Stop::Gone | Stop::TimeOver | Stop::Silent => {}
+            StreamEnd::Interrupted(_) => self.forward.on_break(&lease.grant),
+            StreamEnd::Completed => self.forward.on_end(is_framed),
+            StreamEnd::CallerGone | StreamEnd::DeadlineExceeded | StreamEnd::Idle => {}
         }
-        lease.report.first_event = self.tally.first;
-        lease.report.event_interval = self.tally.pace();
+        lease.report.first_event = self.stats.first;
+        lease.report.event_interval = self.stats.pace();
         lease.end(match stop {
-            Stop::Ended => LeaseOutcome::Completed,
-            Stop::Gone | Stop::TimeOver => LeaseOutcome::Unused,
-            Stop::Broken(_) => LeaseOutcome::Interrupted,
-            Stop::Silent => LeaseOutcome::Unresponsive,
+            StreamEnd::Completed => LeaseOutcome::Completed,
+            StreamEnd::CallerGone | StreamEnd::DeadlineExceeded => LeaseOutcome::Unused,
+            StreamEnd::Interrupted(_) => LeaseOutcome::Interrupted,
+            StreamEnd::Idle => LeaseOutcome::Unresponsive,
         });
         stop
     }
 
-    async fn pass_all(
+    async fn forward_events(
         &mut self,
         exchange: &mut Exchange,
         lease: &Lease,
         splitter: &mut Splitter,
-    ) -> Stop {
+    ) -> StreamEnd {
         let is_resumable = self.forward.route.resumable;
-        let mut is_doubted = false;
+        let mut is_overdue = false;
         loop {
-            let quiet = self.longest_quiet();
+            let quiet = self.max_gap();
             let left = self.call().left(clock::now());
             if left.is_zero() {
-                return Stop::TimeOver;
+                return StreamEnd::DeadlineExceeded;
             }
             let piece = tokio::select! {
                 piece = exchange.next() => piece,
-                () = self.sender.closed() => return Stop::Gone,
-                () = tokio::time::sleep(left) => return Stop::TimeOver,
-                () = tokio::time::sleep(quiet), if !is_doubted => {
+                () = self.sender.closed() => return StreamEnd::CallerGone,
+                () = tokio::time::sleep(left) => return StreamEnd::DeadlineExceeded,
+                () = tokio::time::sleep(quiet), if !is_overdue => {
                     lease.report_overdue();
-                    is_doubted = true;
+                    is_overdue = true;
                     if self.forward.may_send_again() {
-                        return Stop::Silent;
+                        return StreamEnd::Idle;
                     }
                     continue;
                 }
@@ -183,16 +183,16 @@
             let bytes = match piece {
                 Ok(Some(bytes)) => bytes,
                 Ok(None) if is_resumable && !splitter.is_empty() => {
-                    return Stop::Broken(String::from("ended within an event"));
+                    return StreamEnd::Interrupted(String::from("ended within an event"));
                 }
-                Ok(None) => return Stop::Ended,
-                Err(fault) => return Stop::Broken(fault),
+                Ok(None) => return StreamEnd::Completed,
+                Err(fault) => return StreamEnd::Interrupted(fault),
             };
-            is_doubted = false;
+            is_overdue = false;
             let bytes = if is_resumable {
                 match self.whole_events(splitter, &bytes) {
                     Ok(bytes) => bytes,
-                    Err(fault) => return Stop::Broken(fault),
+                    Err(fault) => return StreamEnd::Interrupted(fault),
                 }
             } else {
                 bytes
@@ -200,9 +200,9 @@
             if bytes.is_empty() {
                 continue;
             }
-            self.tally.on_piece(clock::now());
+            self.stats.on_chunk(clock::now());
             if self.sender.send(Ok(bytes)).await.is_err() {
-                return Stop::Gone;
+                return StreamEnd::CallerGone;
             }
         }
     }
@@ -228,9 +228,9 @@
         Ok(whole.freeze())
     }
 
-    fn longest_quiet(&self) -> Duration {
+    fn max_gap(&self) -> Duration {
         let route = &self.forward.route;
-        if self.tally.pieces == 0 { route.objective } else { route.gap * IDLE_GAP_FACTOR }
+        if self.stats.chunks == 0 { route.objective } else { route.gap * IDLE_GAP_FACTOR }
     }
 
     fn call(&self) -> &Rc<Call> {
@@ -255,18 +255,18 @@
         let age = clock::since(call.started);
         node.measure.time("stream.whole", age);
         let route = &self.forward.route;
-        let first = self.tally.first_after(call.started);
+        let first = self.stats.first_after(call.started);
         first.into_iter().for_each(|first| node.measure.time("stream.first", first));
         let is_in_time = first.is_some_and(|first| first <= route.objective);
-        let is_good = fault.is_empty() && is_in_time && self.tally.slowest <= route.gap;
+        let is_good = fault.is_empty() && is_in_time && self.stats.slowest <= route.gap;
         node.measure.note(&route.name, is_good, clock::now());
         slog::info!(node.log, "{}", what; "request" => &call.id, "target" => target,
             "content" => hex(call.content()),
             "route" => &self.forward.route.name, "config" => self.forward.version,
             "registry" => self.forward.registry,
-            "fault" => fault, "pieces" => self.tally.pieces, "sent" => self.forward.sent,
-            "first_ms" => self.tally.first_after(call.started).map(|at| at.as_millis() as u64),
-            "slowest_ms" => self.tally.slowest.as_millis() as u64,
+            "fault" => fault, "pieces" => self.stats.chunks, "sent" => self.forward.sent,
+            "first_ms" => self.stats.first_after(call.started).map(|at| at.as_millis() as u64),
+            "slowest_ms" => self.stats.slowest.as_millis() as u64,
             "slot_ms" => self.forward.slot_wait.get().as_millis() as u64,
             "again" => call.is_again, "age_ms" => age.as_millis() as u64);
     }
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -44,16 +44,16 @@
     if outcome == SubmitOutcome::Refused && !node.is_stopping() || node.store.last_call_failed() {
         let is_open = matches!(outcome, SubmitOutcome::Refused | SubmitOutcome::Unknown);
         if is_open {
-            outcome = relay(node, call, outcome).await;
+            outcome = forward(node, call, outcome).await;
         }
     }
     slog::info!(node.log, "submission"; "job" => &call.id, "route" => &route.name,
         "acceptance" => ?outcome, "bytes" => call.body.len(),
         "age_ms" => clock::since(call.started).as_millis() as u64);
-    answer(node, &call.id, outcome)
+    response(node, &call.id, outcome)
 }
 
-fn answer(node: &Node, id: &str, outcome: SubmitOutcome) -> Response<Body> {
+fn response(node: &Node, id: &str, outcome: SubmitOutcome) -> Response<Body> {
     let refuse = |kind, message| {
         let mut error = Error::new(kind, message);
         error.retry_after = Some(RETRY_AFTER);
@@ -99,7 +99,7 @@
 }
 
 /// Has other instances keep a submission.
-async fn relay(node: &Rc<Node>, call: &Call, outcome: SubmitOutcome) -> SubmitOutcome {
+async fn forward(node: &Rc<Node>, call: &Call, outcome: SubmitOutcome) -> SubmitOutcome {
     let Ok(body) = std::str::from_utf8(&call.body) else {
         return SubmitOutcome::Malformed;
     };
@@ -166,13 +166,13 @@
     if terms.waiting_tokens > 0 && waiting + job.tokens() > terms.waiting_tokens {
         slog::info!(node.log, "submission doesn't fit"; "job" => id, "waiting" => waiting,
             "tokens" => job.tokens(), "most" => terms.waiting_tokens);
-        return is_kept(node, id).await;
+        return is_stored(node, id).await;
     }
     create(node, job, until).await
 }
 
 /// A job that doesn't fit may have been kept before, when it did.
-async fn is_kept(node: &Rc<Node>, id: &str) -> SubmitOutcome {
+async fn is_stored(node: &Rc<Node>, id: &str) -> SubmitOutcome {
     match node.store.get(Cause::Submission, job::KIND, id).await {
         Ok(Some(_)) => SubmitOutcome::Accepted,
         Ok(None) => SubmitOutcome::Full,
@@ -196,7 +196,7 @@
                 return SubmitOutcome::Accepted;
             }
             Err(Fault::Conflict(_)) => {
-                spawn_local(tell_holder(node.clone(), job.id));
+                spawn_local(notify_holder(node.clone(), job.id));
                 return SubmitOutcome::Accepted;
             }
             Err(Fault::Lost(fault)) => {
@@ -223,8 +223,8 @@
 
 /// The job is kept already: its holder, if it lives, must know. Tried until it does:
 /// nobody else may know of the job, and its submitter is answered that it is kept.
-async fn tell_holder(node: Rc<Node>, id: JobId) {
-    while let Err(fault) = try_tell_holder(&node, &id).await {
+async fn notify_holder(node: Rc<Node>, id: JobId) {
+    while let Err(fault) = try_notify_holder(&node, &id).await {
         slog::info!(node.log, "holder not told of its job"; "job" => &id, "fault" => fault,
             "again" => !node.is_stopping());
         if node.is_stopping() {
@@ -239,7 +239,7 @@
 }
 
 /// One try; what failed otherwise.
-async fn try_tell_holder(node: &Rc<Node>, id: &str) -> Result<(), String> {
+async fn try_notify_holder(node: &Rc<Node>, id: &str) -> Result<(), String> {
     let found = node
         .store
         .get(Cause::Submission, job::KIND, id)
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -50,7 +50,7 @@
 /// Looks for jobs without a holder until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     let began = clock::now();
-    let mut noticed: HashMap<JobId, Notice> = HashMap::new();
+    let mut absences: HashMap<JobId, Absence> = HashMap::new();
     loop {
         tokio::select! {
             () = tokio::time::sleep(POLL_INTERVAL) => {}
@@ -61,14 +61,14 @@
             continue;
         }
         let is_warmed_up = now >= began + MEMBERSHIP_WARM_UP;
-        for id in due(&node, &mut noticed, is_warmed_up, now) {
+        for id in due_jobs(&node, &mut absences, is_warmed_up, now) {
             take_over(&node, &id, Handoff::default()).await;
         }
     }
 }
 
 /// Whether this instance is the one to act on a key.
-fn is_chosen(node: &Node, key: &[u8]) -> bool {
+fn is_successor(node: &Node, key: &[u8]) -> bool {
     let members = node.members.borrow();
     hash::owner(key, members.workers().map(|member| member.id)) == Some(members.me().id)
 }
@@ -93,17 +93,17 @@
 
 /// A job whose holder is gone.
 #[derive(Clone, Copy, Debug)]
-struct Notice {
+struct Absence {
     since: Instant,
     /// Whether the holder's whole data centre was out of sight at some time
     /// since: when it comes back, so will the holder in a moment.
-    was_dark: bool,
+    was_unreachable: bool,
 }
 
 /// Jobs that fall to this instance because their holder is gone.
-fn due(
+fn due_jobs(
     node: &Node,
-    noticed: &mut HashMap<JobId, Notice>,
+    absences: &mut HashMap<JobId, Absence>,
     is_warmed_up: bool,
     now: Instant,
 ) -> Vec<JobId> {
@@ -115,18 +115,18 @@
             && is_gone(node, status.holder, is_warmed_up)
     });
     let orphaned: Vec<&JobStatus> = orphaned.collect();
-    noticed.retain(|id, _| orphaned.iter().any(|status| status.job == *id));
+    absences.retain(|id, _| orphaned.iter().any(|status| status.job == *id));
     let mut due = Vec::new();
     for status in orphaned {
-        let first = Notice { since: now, was_dark: false };
-        let notice = noticed.entry(status.job.clone()).or_insert(first);
-        notice.was_dark |= is_dark(node, &status.data_centre);
-        let patience = match notice.was_dark {
+        let first = Absence { since: now, was_unreachable: false };
+        let absence = absences.entry(status.job.clone()).or_insert(first);
+        absence.was_unreachable |= is_unreachable(node, &status.data_centre);
+        let patience = match absence.was_unreachable {
             _ if is_replaced(&node.members.borrow(), status.holder) => Duration::ZERO,
             true => PARTITION_TAKEOVER_DELAY,
             false => TAKEOVER_DELAY,
         };
-        if now >= notice.since + patience && is_chosen(node, status.job.as_bytes()) {
+        if now >= absence.since + patience && is_successor(node, status.job.as_bytes()) {
             due.push(status.job.clone());
         }
     }
@@ -134,7 +134,7 @@
 }
 
 /// Whether nobody of a data centre is in sight; one that isn't known isn't dark.
-fn is_dark(node: &Node, data_centre: &str) -> bool {
+fn is_unreachable(node: &Node, data_centre: &str) -> bool {
     if data_centre.is_empty() {
         return false;
     }
@@ -220,7 +220,7 @@
 /// Brings what was learnt of a job to its holder, be it this instance.
 async fn forward_handoff(node: &Rc<Node>, id: &str, learnt: Handoff) {
     if let Some(held) = node.jobs.held_job(id) {
-        learn(node, &held, learnt);
+        merge_handoff(node, &held, learnt);
         return;
     }
     let holder = node.jobs.directory.borrow().get(id).map(|status| status.holder);
@@ -230,9 +230,9 @@
 }
 
 /// Takes in what another holder has learnt.
-fn learn(node: &Node, held: &HeldJob, learnt: Handoff) {
+fn merge_handoff(node: &Node, held: &HeldJob, learnt: Handoff) {
     held.state.borrow_mut().merge_handoff(learnt);
-    held.wake();
+    held.mark_dirty();
     node.jobs.wake();
 }
 
@@ -268,7 +268,7 @@
     let mut conflict = None;
     for _ in 0..MAX_ATTEMPTS {
         if let Some(held) = node.jobs.held_job(id) {
-            learn(node, &held, learnt.clone());
+            merge_handoff(node, &held, learnt.clone());
             return Ok(Some(held));
         }
         let Some(object) = node.store.get(Cause::Takeover, job::KIND, id).await? else {
@@ -276,7 +276,7 @@
         };
         match claim(node, &object).await {
             Ok(Some(held)) => {
-                learn(node, &held, learnt.clone());
+                merge_handoff(node, &held, learnt.clone());
                 return Ok(Some(held));
             }
             Ok(None) => return Ok(None),
@@ -302,7 +302,7 @@
     if !stored_job.is_open() || former.instance == node.id() {
         return Ok(Some(job_table::hold(node, stored_job)));
     }
-    if let Some(holder) = alive(node, former) {
+    if let Some(holder) = live_holder(node, former) {
         // Others were faster: whoever holds it now is told, in case it doesn't
         // know, and asked from now on.
         slog::info!(node.log, "job is held"; "job" => &object.name, "holder" => %holder.peer);
@@ -343,7 +343,7 @@
 }
 
 /// The member that holds a job, if it lives and isn't about to stop.
-fn alive(node: &Node, holder: Holder) -> Option<Member> {
+fn live_holder(node: &Node, holder: Holder) -> Option<Member> {
     let members = node.members.borrow();
     let mut found = members.workers().filter(|member| member.id == holder.instance);
     found.next().cloned()
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -99,7 +99,7 @@
 }
 
 /// Time after a start in which others are met before anybody watches.
-fn meeting_time(topic: Topic) -> Duration {
+fn join_delay(topic: Topic) -> Duration {
     if topic.is_global() { GLOBAL_JOIN_DELAY } else { JOIN_DELAY }
 }
 
@@ -123,19 +123,19 @@
     let mut revision: Option<Revision> = None;
     let mut failures = 0_u32;
     tokio::select! {
-        () = tokio::time::sleep(meeting_time(topic)) => {}
+        () = tokio::time::sleep(join_delay(topic)) => {}
         () = stop.cancelled() => return,
     }
     while !stop.is_cancelled() {
         // Without a sign of life the platform is left alone until there is one.
-        if !role.look() || node.store.is_disconnected() {
+        if !role.refresh() || node.store.is_disconnected() {
             revision = None;
             tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         }
         let opened = clock::now();
         let result = tokio::select! {
-            result = step(&node, topic, revision) => result,
+            result = list_or_watch(&node, topic, revision) => result,
             () = node.store.disconnected() => Err(Fault::Lost(String::from("no sign of life"))),
             () = role.lost() => continue,
             () = node.woken.notified() => {
@@ -163,15 +163,15 @@
                 slog::info!(node.log, "watch broken"; "kind" => topic.kind(),
                     "fault" => %fault, "failures" => failures,
                     "since" => revision, "open_ms" => open.as_millis() as u64,
-                    "silence_ms" => silence_ms(&node));
-                on_broken(&node, revision.take(), &fault, open, failures).await;
+                    "silence_ms" => ms_since_response(&node));
+                on_watch_error(&node, revision.take(), &fault, open, failures).await;
             }
         }
     }
 }
 
 /// A watch that was `open` for so long, or the list before it, has failed.
-async fn on_broken(
+async fn on_watch_error(
     node: &Node,
     revision: Option<Revision>,
     fault: &Fault,
@@ -217,12 +217,12 @@
     }
 
     /// Looks whether it is held now.
-    fn look(&mut self) -> bool {
+    fn refresh(&mut self) -> bool {
         let node = &self.node;
         let is_held = !node.is_stopping() && is_watcher(node, self.topic);
         if is_held != self.is_held {
             slog::info!(node.log, "{}", if is_held { "watch started" } else { "watch stopped" };
-                "kind" => self.topic.kind(), "lost" => ?lost_contact(node, clock::now()));
+                "kind" => self.topic.kind(), "lost" => ?disconnected_members(node, clock::now()));
             let watched = node.watched.get();
             node.watched.set(if is_held { watched + 1 } else { watched.saturating_sub(1) });
         }
@@ -232,41 +232,41 @@
 }
 
 /// Members that lately lost contact with the platform.
-fn lost_contact(node: &Node, now: Instant) -> Vec<String> {
+fn disconnected_members(node: &Node, now: Instant) -> Vec<String> {
     let lost = node.lost_contact.borrow();
     let lately = lost.iter().filter(|(_, until)| now < **until);
     lately.map(|(id, _)| format!("{id:x}")).collect()
 }
 
 /// Milliseconds since the platform last answered this instance.
-fn silence_ms(node: &Node) -> Option<u64> {
+fn ms_since_response(node: &Node) -> Option<u64> {
     node.store.silence(clock::now()).map(|time| time.as_millis() as u64)
 }
 
 /// One list or one watch; gives the revision to go on from.
-async fn step(
+async fn list_or_watch(
     node: &Rc<Node>,
     topic: Topic,
     revision: Option<Revision>,
 ) -> Result<Revision, Fault> {
     let store = node.store.without_breaker();
     let Some(revision) = revision else {
-        node.store.count(Cause::Watch);
+        node.store.count_call(Cause::Watch);
         let listing = store.list_all(topic.kind()).await?;
         node.store.on_response(clock::now());
-        node.store.report(topic.kind(), &listing.unreadable);
+        node.store.log_undecodable(topic.kind(), &listing.unreadable);
         let revision = listing.revision;
         on_list(node, topic, listing).await?;
         return Ok(revision);
     };
     let wait = topic.longest_wait();
-    node.store.count(Cause::Watch);
+    node.store.count_call(Cause::Watch);
     let watch = store.watch(topic.kind(), revision, wait);
     let changes = tokio::time::timeout(wait + PROBE_TIMEOUT, watch)
         .await
         .unwrap_or_else(|_| Err(Fault::Lost(String::from("the watch is overdue"))))?;
     node.store.on_response(clock::now());
-    node.store.report(topic.kind(), &changes.unreadable);
+    node.store.log_undecodable(topic.kind(), &changes.unreadable);
     let is_quiet = changes.changes.is_empty() && changes.unreadable.is_empty();
     let revision = changes.revision;
     match topic {
