--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -15,7 +15,7 @@
 use hyper::{Request, StatusCode};
 use platform::{header, job};
 use protocol::ContentId;
-use state::progress::{Failure, Item, Outcome, Partial};
+use state::progress::{Failure, Item, Outcome, PartialOutput};
 use std::rc::Rc;
 use std::time::Duration;
 use transport::event::Splitter;
@@ -41,7 +41,7 @@
 /// Runs an item on a slot, unless it is held because it crashes its targets.
 pub(super) async fn run_item(node: Rc<Node>, held: Rc<HeldJob>, item: Item, lease: Lease) {
     let mut partial = held.state.borrow().partial(&item.id);
-    let before = partial.texts.len();
+    let before = partial.events.len();
     let began = clock::now();
     held.first_started.borrow_mut().entry(item.id.clone()).or_insert(began);
     let target = lease.grant.target.clone();
@@ -58,7 +58,7 @@
         () = held.ended.cancelled() => RunEnd::Stopped(LeaseOutcome::Unused, String::from("job ended")),
     };
     let mut lease = lease;
-    let new_events = partial.texts.len() - before.min(partial.texts.len());
+    let new_events = partial.events.len() - before.min(partial.events.len());
     if new_events > 1 {
         lease.report.event_interval = Some(clock::since(began) / new_events as u32);
     }
@@ -69,7 +69,7 @@
     };
     slog::info!(node.log, "item run"; "item" => &item.id, "content" => hex(content),
         "job" => &held.state.borrow().job().id, "target" => target, "how" => how,
-        "fault" => &fault, "events" => partial.texts.len(), "resumed_at" => before,
+        "fault" => &fault, "events" => partial.events.len(), "resumed_at" => before,
         "registry" => lease.registry,
         "ran_ms" => clock::since(began).as_millis() as u64);
     let mut pause = Duration::ZERO;
@@ -77,7 +77,7 @@
         RunEnd::Completed => {
             let took =
                 clock::since(held.first_started.borrow_mut().remove(&item.id).unwrap_or(began));
-            let events = partial.texts.len() as u32;
+            let events = partial.events.len() as u32;
             lease.report.completed = lease.report.event_interval.map(|pace| Sample {
                 events,
                 event_interval: pace,
@@ -87,7 +87,7 @@
                 node.jobs.run_time.borrow_mut().record(done);
             }
             lease.end(LeaseOutcome::Completed);
-            let text = partial.texts.join("\n");
+            let text = partial.events.join("\n");
             let outcome = Outcome { item: item.id.clone(), is_complete: true, text };
             held.state.borrow_mut().on_done(&item.id, outcome);
         }
@@ -95,7 +95,7 @@
             // An item that has failed elsewhere says nothing of this target, and one
             // that can't be done nothing of any.
             let is_first = !held.state.borrow().has_failed(&item.id);
-            let is_evidence = is_first && failure == Failure::Failed;
+            let is_evidence = is_first && failure == Failure::Retryable;
             lease.end(if is_evidence { LeaseOutcome::Failed } else { LeaseOutcome::Unused });
             held.state.borrow_mut().on_failed(&item.id, failure);
         }
@@ -119,7 +119,7 @@
 async fn withhold(node: &Rc<Node>, held: &HeldJob, item: &Item, left: Duration) {
     slog::info!(node.log, "item withheld"; "item" => &item.id,
         "job" => &held.state.borrow().job().id, "for_ms" => left.as_millis() as u64);
-    let give_up = held.state.borrow().job().give_up;
+    let give_up = held.state.borrow().job().expires;
     held.state.borrow_mut().withhold(&item.id);
     let left = left.min(Duration::from_millis(give_up.saturating_sub(millis())));
     tokio::select! {
@@ -144,14 +144,14 @@
     held: &HeldJob,
     item: &Item,
     lease: &Lease,
-    partial: &mut Partial,
+    partial: &mut PartialOutput,
 ) -> RunEnd {
     let host = held.state.borrow().job().host.clone();
     let request = match request(&host, item, lease, partial) {
         Ok(request) => request,
         Err(fault) => {
             slog::warn!(node.log, "item can't be sent"; "item" => &item.id, "fault" => &fault);
-            return RunEnd::Failed(Failure::Impossible);
+            return RunEnd::Failed(Failure::Permanent);
         }
     };
     let sent = node.targets.send(lease.grant.address, request);
@@ -188,13 +188,13 @@
     slog::info!(node.log, "item failed"; "item" => &item.id, "status" => status.as_u16(),
         "target" => &lease.grant.target, "whole" => rest.is_ok());
     match status {
-        StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Failed(Failure::Impossible),
-        StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed(Failure::Failed),
+        StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Failed(Failure::Permanent),
+        StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed(Failure::Retryable),
         _ => RunEnd::Stopped(LeaseOutcome::Interrupted, format!("answered with {status}")),
     }
 }
 
-async fn read_events(exchange: &mut Exchange, partial: &mut Partial) -> RunEnd {
+async fn read_events(exchange: &mut Exchange, partial: &mut PartialOutput) -> RunEnd {
     let broken = |fault: &str| RunEnd::Stopped(LeaseOutcome::Interrupted, fault.to_owned());
     let mut splitter = Splitter::default();
     loop {
@@ -209,15 +209,15 @@
             return broken("an event is too long");
         }
         while let Some(event) = splitter.next_event() {
-            let is_known = match (event.id, partial.last_event) {
+            let is_known = match (event.id, partial.last_event_id) {
                 (Some(id), Some(last)) => id <= last,
                 _ => false,
             };
             if is_known {
                 continue;
             }
-            partial.last_event = event.id.or(partial.last_event);
-            partial.texts.extend(event.data());
+            partial.last_event_id = event.id.or(partial.last_event_id);
+            partial.events.extend(event.data());
         }
     }
 }
@@ -226,7 +226,7 @@
     host: &str,
     item: &Item,
     lease: &Lease,
-    partial: &Partial,
+    partial: &PartialOutput,
 ) -> Result<Request<Full<Bytes>>, String> {
     let body = job::body_of(&item.body)?;
     let mut builder = Request::post(&item.path);
@@ -236,7 +236,7 @@
     builder = builder.header("host", host);
     builder = builder.header(header::REQUEST_ID, &item.id);
     builder = builder.header(header::TARGET, &lease.grant.target);
-    if let Some(last) = partial.last_event {
+    if let Some(last) = partial.last_event_id {
         builder = builder.header(header::LAST_EVENT, last.to_string());
     }
     builder.body(Full::new(body)).map_err(|error| error.to_string())
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -55,7 +55,7 @@
 
     /// Who holds it by what is durable.
     pub fn holder(&self) -> Holder {
-        self.progress.holder.unwrap_or(self.job.acceptor)
+        self.progress.holder.unwrap_or(self.job.accepted_by)
     }
 }
 
@@ -139,7 +139,7 @@
     let items = spec.job.items.len() + count(&spec.overflow);
     let results = status.progress.outcomes.len() + count(&status.overflow);
     Ok(JobSummary {
-        holder: status.progress.holder.unwrap_or(spec.job.acceptor),
+        holder: status.progress.holder.unwrap_or(spec.job.accepted_by),
         is_open: !status.progress.ended && results < items,
         tokens: spec.job.tokens() + spec.overflow_tokens,
         job: spec.job,
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -158,8 +158,8 @@
         path: call.target.split('?').next().unwrap_or_default().to_owned(),
         accepted: now,
         due: now + terms.due.as_millis() as u64,
-        give_up: now + terms.give_up.as_millis() as u64,
-        acceptor: node.as_holder(),
+        expires: now + terms.give_up.as_millis() as u64,
+        accepted_by: node.as_holder(),
         items,
     };
     let waiting = node.jobs.waiting_tokens(node, &route.name);
--- a/crates/state/src/progress.rs
+++ b/crates/state/src/progress.rs
@@ -25,8 +25,8 @@
 mod handoff;
 mod job;
 
-pub use handoff::{Failure, Handoff, Partial};
-pub use job::{Failures, Holder, Item, ItemId, Job, JobId, Millis, Outcome, Progress};
+pub use handoff::{Failure, Handoff, PartialOutput};
+pub use job::{FailureCount, Holder, Item, ItemId, Job, JobId, Millis, Outcome, Progress};
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -39,12 +39,12 @@
     durable: Progress,
     /// Results that are not durable yet.
     unwritten: Vec<Outcome>,
-    failures: BTreeMap<ItemId, Failures>,
+    failures: BTreeMap<ItemId, FailureCount>,
     ended: bool,
     running: HashSet<ItemId>,
     /// Items that may not run now, though nothing else stands against it.
     withheld: HashSet<ItemId>,
-    partials: HashMap<ItemId, Partial>,
+    partials: HashMap<ItemId, PartialOutput>,
     done: HashSet<ItemId>,
     attempts: u32,
 }
@@ -154,7 +154,7 @@
 
     /// Events that earlier runs of an item have made.
     fn event_count(&self, item: &str) -> usize {
-        self.partials.get(item).map_or(0, |partial| partial.texts.len())
+        self.partials.get(item).map_or(0, |partial| partial.events.len())
     }
 
     /// Events that the next item to run has made already; `None` if none is left.
@@ -170,7 +170,7 @@
     }
 
     /// What an earlier run of the item has made.
-    pub fn partial(&self, item: &str) -> Partial {
+    pub fn partial(&self, item: &str) -> PartialOutput {
         self.partials.get(item).cloned().unwrap_or_default()
     }
 
@@ -186,9 +186,9 @@
     }
 
     /// A run was stopped or broke off before its end.
-    pub fn on_stopped(&mut self, item: &str, partial: Partial) {
+    pub fn on_stopped(&mut self, item: &str, partial: PartialOutput) {
         self.running.remove(item);
-        if !partial.texts.is_empty() && !self.done.contains(item) {
+        if !partial.events.is_empty() && !self.done.contains(item) {
             self.partials.insert(item.to_owned(), partial);
         }
     }
@@ -221,15 +221,15 @@
         self.partials.remove(item);
         let count = self.failures.entry(item.to_owned()).or_default();
         match failure {
-            Failure::Failed => count.runs += 1,
-            Failure::Impossible => count.is_impossible = true,
+            Failure::Retryable => count.runs += 1,
+            Failure::Permanent => count.is_permanent = true,
         }
         self.give_up_if_spent(item);
     }
 
     fn give_up_if_spent(&mut self, item: &str) {
         let count = self.failures.get(item).copied().unwrap_or_default();
-        if count.is_impossible || count.runs >= self.attempts {
+        if count.is_permanent || count.runs >= self.attempts {
             self.give_up(item);
         }
     }
@@ -241,7 +241,7 @@
 
     /// Gives up what isn't done when its time has passed.
     pub fn on_time(&mut self, now: Millis) {
-        if now < self.job.give_up || self.ended {
+        if now < self.job.expires || self.ended {
             return;
         }
         let late: Vec<ItemId> = self.idle_items().map(|item| item.id.clone()).collect();
@@ -319,6 +319,6 @@
 
     /// Who holds the job by what is durable.
     pub fn holder(&self) -> Holder {
-        self.durable.holder.unwrap_or(self.job.acceptor)
+        self.durable.holder.unwrap_or(self.job.accepted_by)
     }
 }
--- a/crates/state/src/progress/handoff.rs
+++ b/crates/state/src/progress/handoff.rs
@@ -1,25 +1,27 @@
 //! What a holder has learnt of its items beyond what is durable, and how another takes it in.
 
-use super::{Failures, ItemId, JobState, Outcome};
+use super::{FailureCount, ItemId, JobState, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
 /// What is known of an item that was stopped before its end.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Partial {
+pub struct PartialOutput {
     /// Id of its last event; `None` before the first.
-    pub last_event: Option<u64>,
+    #[serde(rename = "last_event")]
+    pub last_event_id: Option<u64>,
     /// The data of its events so far, in order.
-    pub texts: Vec<String>,
+    #[serde(rename = "texts")]
+    pub events: Vec<String>,
 }
 
 /// How a run of an item failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The target ran it and failed.
-    Failed,
+    Retryable,
     /// The target says that it can never be done.
-    Impossible,
+    Permanent,
 }
 
 /// What a holder has learnt of a job's items that isn't durable, for the holder that
@@ -31,9 +33,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handoff {
     /// What stopped runs have made.
-    pub partials: HashMap<ItemId, Partial>,
+    pub partials: HashMap<ItemId, PartialOutput>,
     /// How often items failed.
-    pub failures: BTreeMap<ItemId, Failures>,
+    pub failures: BTreeMap<ItemId, FailureCount>,
     /// Results that aren't listed yet.
     pub outcomes: Vec<Outcome>,
 }
@@ -64,26 +66,26 @@
         self.merge_partials(learnt.partials);
     }
 
-    pub(super) fn merge_failures(&mut self, failures: &BTreeMap<ItemId, Failures>) {
+    pub(super) fn merge_failures(&mut self, failures: &BTreeMap<ItemId, FailureCount>) {
         for (item, count) in failures {
             if self.done.contains(item) {
                 continue;
             }
             let known = self.failures.entry(item.clone()).or_default();
             known.runs = known.runs.max(count.runs);
-            known.is_impossible |= count.is_impossible;
+            known.is_permanent |= count.is_permanent;
             self.give_up_if_spent(item);
         }
     }
 
     /// Takes in what runs at another holder have made.
-    pub fn merge_partials(&mut self, partials: HashMap<ItemId, Partial>) {
+    pub fn merge_partials(&mut self, partials: HashMap<ItemId, PartialOutput>) {
         for (item, partial) in partials {
             if self.done.contains(&item) {
                 continue;
             }
             let known = self.partials.entry(item).or_default();
-            if partial.last_event > known.last_event {
+            if partial.last_event_id > known.last_event_id {
                 *known = partial;
             }
         }
--- a/crates/state/src/progress/job.rs
+++ b/crates/state/src/progress/job.rs
@@ -60,9 +60,11 @@
     /// When its results are due.
     pub due: Millis,
     /// When what isn't done may be given up.
-    pub give_up: Millis,
+    #[serde(rename = "give_up")]
+    pub expires: Millis,
     /// The instance that accepted it, and runs it until another takes it over.
-    pub acceptor: Holder,
+    #[serde(rename = "acceptor")]
+    pub accepted_by: Holder,
     /// Its items.
     pub items: Vec<Item>,
 }
@@ -83,8 +85,8 @@
             path: String::from("/batch/job"),
             accepted: 0,
             due: 18_000,
-            give_up: 60_000,
-            acceptor: Holder { instance: 1, address: SocketAddr::from(([127, 0, 0, 1], 1)) },
+            expires: 60_000,
+            accepted_by: Holder { instance: 1, address: SocketAddr::from(([127, 0, 0, 1], 1)) },
             items: items.iter().map(item).collect(),
         }
     }
@@ -97,11 +99,12 @@
 
 /// How often an item failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Failures {
+pub struct FailureCount {
     /// Runs that ended in a failure of the target.
     pub runs: u32,
     /// Whether a target said that the item can never be done.
-    pub is_impossible: bool,
+    #[serde(rename = "is_impossible")]
+    pub is_permanent: bool,
 }
 
 /// What has happened to a job.
@@ -112,7 +115,7 @@
     /// Results in the order in which they are listed; it only grows.
     pub outcomes: Vec<Outcome>,
     /// Items that failed and may be tried again.
-    pub failures: BTreeMap<ItemId, Failures>,
+    pub failures: BTreeMap<ItemId, FailureCount>,
     /// Whether its submitter ended it.
     pub ended: bool,
 }
--- a/crates/state/tests/progress.rs
+++ b/crates/state/tests/progress.rs
@@ -2,7 +2,7 @@
 //! answers, runs that fail, ends at any moment.
 
 use proptest::prelude::*;
-use state::progress::{Failure, Job, JobState, Outcome, Partial, Progress};
+use state::progress::{Failure, Job, JobState, Outcome, PartialOutput, Progress};
 use std::collections::BTreeSet;
 
 const ITEMS: [&str; 5] = ["a", "b", "c", "d", "e"];
@@ -16,12 +16,12 @@
     let mut first = JobState::new(Job::example("j", &["a"]), Progress::default(), 3);
     for _ in 0..2 {
         first.start_next().expect("an item");
-        first.on_failed("a", Failure::Failed);
+        first.on_failed("a", Failure::Retryable);
     }
     assert!(first.has_unwritten_failures());
     let mut second = JobState::new(Job::example("j", &["a"]), first.to_progress(), 3);
     second.start_next().expect("an item");
-    second.on_failed("a", Failure::Failed);
+    second.on_failed("a", Failure::Retryable);
     let draft = second.next_write().expect("a result");
     assert!(!draft.outcomes[0].is_complete);
     assert!(second.start_next().is_none());
@@ -31,7 +31,7 @@
 fn an_impossible_item_runs_once() {
     let mut state = JobState::new(Job::example("j", &["a"]), Progress::default(), 3);
     state.start_next().expect("an item");
-    state.on_failed("a", Failure::Impossible);
+    state.on_failed("a", Failure::Permanent);
     assert!(state.is_done());
 }
 
@@ -40,9 +40,9 @@
 #[test]
 fn the_item_with_the_least_left_goes_on_first() {
     let mut state = JobState::new(Job::example("j", &["a", "b", "c"]), Progress::default(), 3);
-    let partial = |made: usize| Partial {
-        last_event: Some(made as u64),
-        texts: vec![String::from("x"); made],
+    let partial = |made: usize| PartialOutput {
+        last_event_id: Some(made as u64),
+        events: vec![String::from("x"); made],
     };
     state.merge_partials([("a".to_owned(), partial(3)), ("b".to_owned(), partial(9))].into());
     assert_eq!(state.next_event_count(), Some(9));
@@ -53,13 +53,13 @@
 fn a_stopped_item_goes_on_where_it_stood() {
     let mut state = JobState::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
     let item = state.start_next().expect("an item").id;
-    let made = Partial { last_event: Some(3), texts: vec!["x".into(); 3] };
+    let made = PartialOutput { last_event_id: Some(3), events: vec!["x".into(); 3] };
     state.on_stopped(&item, made.clone());
     assert_eq!(state.start_next().expect("it again").id, item);
     assert_eq!(state.partial(&item), made);
     // What a failed run had made is worth nothing.
-    state.on_failed(&item, Failure::Failed);
-    assert_eq!(state.partial(&item), Partial::default());
+    state.on_failed(&item, Failure::Retryable);
+    assert_eq!(state.partial(&item), PartialOutput::default());
 }
 
 #[test]
@@ -90,7 +90,7 @@
     assert!(state.next_write().is_none(), "made before it knew of the end");
     state.on_done("b", outcome("b", "holder"));
     assert!(state.next_write().is_none(), "made after it knew");
-    state.on_failed("c", Failure::Impossible);
+    state.on_failed("c", Failure::Permanent);
     assert!(state.is_finished());
     assert!(state.durable_results().is_empty());
 }
@@ -182,7 +182,7 @@
                     let outcome = outcome(ITEMS[item], worker.name);
                     worker.state.on_done(ITEMS[item], outcome);
                 }
-                Step::Fail(w, item) => workers[w].state.on_failed(ITEMS[item], Failure::Failed),
+                Step::Fail(w, item) => workers[w].state.on_failed(ITEMS[item], Failure::Retryable),
                 Step::Write(w, lost) => write(&mut workers[w], &mut store, lost),
                 Step::End(w) => workers[w].state.end(),
             }
@@ -216,17 +216,17 @@
     let job = || Job::example("j", &["never", "done", "begun", "failed"]);
     let mut first = JobState::new(job(), Progress::default(), 3);
     while first.start_next().is_some() {}
-    first.on_failed("never", Failure::Impossible);
+    first.on_failed("never", Failure::Permanent);
     first.on_done("done", outcome("done", "first"));
-    let made = Partial { last_event: Some(3), texts: vec!["x".into(); 3] };
+    let made = PartialOutput { last_event_id: Some(3), events: vec!["x".into(); 3] };
     first.on_stopped("begun", made.clone());
-    first.on_failed("failed", Failure::Failed);
-    first.on_failed("failed", Failure::Failed);
+    first.on_failed("failed", Failure::Retryable);
+    first.on_failed("failed", Failure::Retryable);
     let mut second = JobState::new(job(), Progress::default(), 3);
     second.merge_handoff(first.handoff());
     assert_eq!(second.runnable(), 2, "neither what is done nor what can't be");
     assert_eq!(second.partial("begun"), made);
-    second.on_failed("failed", Failure::Failed);
+    second.on_failed("failed", Failure::Retryable);
     assert_eq!(second.runnable(), 1, "the third failure is the last");
     let listed = second.next_write().expect("results").outcomes;
     let complete: Vec<&str> =
@@ -239,12 +239,12 @@
     let job = || Job::example("j", &["a", "b"]);
     let mut first = JobState::new(job(), Progress::default(), 3);
     while first.start_next().is_some() {}
-    first.on_failed("a", Failure::Failed);
-    first.on_failed("a", Failure::Failed);
+    first.on_failed("a", Failure::Retryable);
+    first.on_failed("a", Failure::Retryable);
     first.on_done("b", outcome("b", "first"));
     let mut second = JobState::new(job(), Progress::default(), 3);
     while second.start_next().is_some() {}
-    second.on_failed("a", Failure::Failed);
+    second.on_failed("a", Failure::Retryable);
     second.merge_handoff(first.handoff());
     second.merge_handoff(first.handoff());
     assert!(!second.is_done(), "two failures are known for sure, not three or five");
