--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -124,7 +124,7 @@
                 part,
                 done: 256,
                 failed: 0,
-                after: Disposition::Done,
+                disposition: Disposition::Done,
             };
             shard.apply(Entry { token: "t".into(), at: 0, records: vec![record] }, 1_000);
             reports += 1;
--- a/crates/daemon/src/batch/report.rs
+++ b/crates/daemon/src/batch/report.rs
@@ -40,7 +40,7 @@
         part: place,
         done: report.done,
         failed: report.failed,
-        after: report.after,
+        disposition: report.after,
     };
     match shared.shards.submit(shared, command).await {
         Ok(Reply::Continue) => Sent::Recorded,
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -259,15 +259,15 @@
     let most = number(head, "limit")?.unwrap_or(PAGE).clamp(1, PAGE);
     let command = Command::Results { job: job.into(), from, most };
     let reply = shared.shards.submit(shared, command).await?;
-    let Reply::Results { status, mut places, archived } = reply else {
+    let Reply::Results { status, mut chunks, archived } = reply else {
         return Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit"));
     };
     if archived {
         let index: Vec<ChunkResults> = read(shared, &object::index(&status.job)).await?;
-        places = index.into_iter().filter(|p| p.start < from + most && p.end > from).collect();
+        chunks = index.into_iter().filter(|p| p.start < from + most && p.end > from).collect();
     }
     let mut lines = Vec::new();
-    for place in &places {
+    for place in &chunks {
         lines.extend(lines_of(shared, &status, place).await?);
     }
     let until = from.saturating_add(most);
--- a/crates/daemon/src/front/keyed.rs
+++ b/crates/daemon/src/front/keyed.rs
@@ -52,7 +52,9 @@
     };
     match shared.shards.submit(shared, command).await {
         Ok(Reply::Proceed) => Ok(Begun::Run),
-        Ok(Reply::Kept { position }) => kept(shared, key, position).await.map(Begun::Kept),
+        Ok(Reply::AlreadyFinished { position }) => {
+            kept(shared, key, position).await.map(Begun::Kept)
+        }
         Ok(_) => Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit")),
         Err(error) if is_passing(error.kind) && terms.repeatable => Ok(Begun::Run),
         Err(error) if error.kind == Kind::Undetermined => {
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -335,7 +335,8 @@
 
 /// Whether a record leaves a chunk for somebody to run.
 fn brings_work(record: &Record) -> bool {
-    let is_given_back = matches!(record, Record::Progressed { after: Disposition::Release, .. });
+    let is_given_back =
+        matches!(record, Record::Progressed { disposition: Disposition::Release, .. });
     is_given_back || matches!(record, Record::Accepted(_))
 }
 
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -68,7 +68,8 @@
         /// Of those, failed.
         failed: u32,
         /// What becomes of the chunk.
-        after: Disposition,
+        #[serde(rename = "after")]
+        disposition: Disposition,
     },
     /// Stop a job.
     Cancel {
@@ -136,7 +137,8 @@
     #[serde(rename = "go")]
     Proceed,
     /// The request has an outcome, kept in this entry.
-    Kept {
+    #[serde(rename = "kept")]
+    AlreadyFinished {
         /// Position of the entry.
         position: u64,
     },
@@ -163,7 +165,8 @@
         /// Where the job stands.
         status: job::Status,
         /// Chunks of the items asked for; empty when `archived`.
-        places: Vec<ChunkResults>,
+        #[serde(rename = "places")]
+        chunks: Vec<ChunkResults>,
         /// Whether the index object has the places.
         archived: bool,
     },
--- a/crates/state/src/record.rs
+++ b/crates/state/src/record.rs
@@ -138,7 +138,8 @@
         /// Of those, failed.
         failed: u32,
         /// What becomes of the chunk.
-        after: Disposition,
+        #[serde(rename = "after")]
+        disposition: Disposition,
     },
     /// A job is cancelled.
     Cancelled {
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -150,7 +150,7 @@
         }
         if let Some(finished) = self.keys.finished(key) {
             let same = finished.digest == digest;
-            let kept = Reply::Kept { position: finished.position };
+            let kept = Reply::AlreadyFinished { position: finished.position };
             return Some(if same { Ok(kept) } else { conflict() });
         }
         if let Some(claim) = self.keys.claim(key)
@@ -239,7 +239,8 @@
     }
 
     fn progress(&self, batch: &mut Batch, command: &Command) -> Decision {
-        let Command::Progress { job, chunk, attempt, part, done, failed, after } = command else {
+        let Command::Progress { job, chunk, attempt, part, done, failed, disposition } = command
+        else {
             return Decision::Defer;
         };
         let id = (job.clone(), *chunk);
@@ -251,7 +252,7 @@
             return Decision::Answer(Ok(Reply::Stop));
         };
         let known = found.chunks[*chunk as usize].parts.iter().any(|known| Some(*known) == *part);
-        if known || (part.is_none() && *after == Disposition::Continue) {
+        if known || (part.is_none() && *disposition == Disposition::Continue) {
             return Decision::Answer(Ok(Reply::Continue));
         }
         batch.chunks.insert(id);
@@ -262,7 +263,7 @@
             part: *part,
             done: *done,
             failed: *failed,
-            after: *after,
+            disposition: *disposition,
         };
         Decision::Commit(vec![record], Reply::Continue)
     }
@@ -303,7 +304,7 @@
             return unknown_job(job);
         };
         let (status, archived) = (found.status(), found.archived);
-        Ok(Reply::Results { status, places: found.chunk_results(from, most), archived })
+        Ok(Reply::Results { status, chunks: found.chunk_results(from, most), archived })
     }
 
     fn archive(&self, job: &str) -> Decision {
@@ -341,7 +342,7 @@
             Record::Assigned { job, chunk, attempt, holder } => {
                 self.jobs.on_assigned(&job, chunk, attempt, holder, now);
             }
-            Record::Progressed { job, chunk, part, done, failed, after, .. } => {
+            Record::Progressed { job, chunk, part, done, failed, disposition: after, .. } => {
                 self.jobs.on_progressed(&(job, chunk), part, (done, failed), after, now);
             }
             Record::Cancelled { job } => self.jobs.on_cancelled(&job),
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -261,7 +261,7 @@
             part: place,
             done: done.len() as u32,
             failed: 0,
-            after,
+            disposition: after,
         };
         match self.submit(owner, fate, &command) {
             Some(Ok(Reply::Continue)) => self.on_recorded(index, &done, after),
