--- a/crates/daemon/src/batch/report.rs
+++ b/crates/daemon/src/batch/report.rs
@@ -6,7 +6,7 @@
 use platform::keyed::Condition;
 use protocol::{Error, Kind, ShardId};
 use state::command::{ChunkAssignment, Command, Reply};
-use state::object;
+use state::object_key;
 use state::part::{ChunkItems as Items, ChunkProgress, ResultPart};
 use std::time::Instant;
 
@@ -25,7 +25,7 @@
 pub async fn send(shared: &Shared, work: &ChunkAssignment, report: Report) -> Sent {
     let mut place = None;
     if let Some((part, contents)) = report.part {
-        let key = object::part(&work.job, work.chunk, part.attempt, part.part);
+        let key = object_key::part(&work.job, work.chunk, part.attempt, part.part);
         let bytes = Bytes::from(serde_json::to_vec(&contents).unwrap_or_default());
         // Only this hand-out writes this object, and always the same.
         if shared.store.put(&key, bytes, Condition::Any).await.is_err() {
@@ -63,11 +63,11 @@
     let Reply::Work(work) = shared.shards.submit_to(shared, shard, command).await? else {
         return Ok(None);
     };
-    let key = object::chunk(&work.job, &work.upload, work.chunk);
+    let key = object_key::chunk(&work.job, &work.upload, work.chunk);
     let items: Items = read(shared, &key).await?;
     let mut progress = ChunkProgress::default();
     for part in &work.parts {
-        let key = object::part(&work.job, work.chunk, part.attempt, part.part);
+        let key = object_key::part(&work.job, work.chunk, part.attempt, part.part);
         progress.apply(read::<ResultPart>(shared, &key).await?);
     }
     let most = shared.settings.attempts;
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -13,7 +13,7 @@
 use platform::store::Fault;
 use protocol::config::{Change, Document, Entry};
 use protocol::{Error, Generation, Kind};
-use state::object;
+use state::object_key;
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -54,7 +54,7 @@
     }
     loop {
         let next = lock(&shared.chain).generation() + 1;
-        let Some(found) = shared.store.get(&object::config(next)).await? else {
+        let Some(found) = shared.store.get(&object_key::config(next)).await? else {
             return Ok(());
         };
         let entry: Entry =
@@ -70,7 +70,7 @@
 
 /// Test only: what a reader without the generation rule would do.
 async fn read_unguarded(shared: &Shared) -> Result<(), Fault> {
-    let keys = shared.store.keys(object::CONFIG).await?;
+    let keys = shared.store.keys(object_key::CONFIG).await?;
     let mut entries = Vec::new();
     for key in keys {
         if let Some(found) = shared.store.get(&key).await?
@@ -88,13 +88,17 @@
 /// whoever has a generation in force knows the entry that brought it.
 async fn heal(shared: &Shared) -> Result<(), Fault> {
     let generation = lock(&shared.chain).generation();
-    if generation == 0 || shared.store.get(&object::config(generation)).await?.is_some() {
+    if generation == 0 || shared.store.get(&object_key::config(generation)).await?.is_some() {
         return Ok(());
     }
     let entries: Vec<Entry> = lock(&shared.chain).history().cloned().collect();
     for entry in entries {
         let bytes = serde_json::to_vec(&entry).unwrap_or_default().into();
-        match shared.store.put(&object::config(entry.generation), bytes, Condition::Absent).await {
+        match shared
+            .store
+            .put(&object_key::config(entry.generation), bytes, Condition::Absent)
+            .await
+        {
             Ok(_) => slog::warn!(shared.log, "configuration entry put back";
                 "generation" => entry.generation),
             Err(Fault::Conflict(_)) => {}
@@ -133,7 +137,7 @@
 
 async fn settle(shared: &Shared, entry: Entry) -> Result<Generation, Error> {
     let append = Append::new(entry.generation, entry.token.clone());
-    let key = object::config(entry.generation);
+    let key = object_key::config(entry.generation);
     let value = bytes::Bytes::from(serde_json::to_vec(&entry).unwrap_or_default());
     let token = |bytes: &[u8]| {
         serde_json::from_slice::<Entry>(bytes).map(|entry| entry.token).unwrap_or_default()
@@ -178,11 +182,11 @@
 /// has run. Whoever comes first writes the number down.
 async fn check_shards(shared: &Shared) -> Result<bool, Fault> {
     let own = shared.settings.shards.to_string();
-    let known = match shared.store.get(object::SHARDS).await? {
+    let known = match shared.store.get(object_key::SHARDS).await? {
         Some(found) => found.bytes,
         None => {
             let value = bytes::Bytes::from(own.clone());
-            match shared.store.put(object::SHARDS, value.clone(), Condition::Absent).await {
+            match shared.store.put(object_key::SHARDS, value.clone(), Condition::Absent).await {
                 Ok(_) => value,
                 Err(fault) => return Err(fault),
             }
@@ -264,7 +268,7 @@
         }
         let wait = WATCH.min(poll);
         tokio::select! {
-            changes = shared.store.watch(object::CONFIG, revision, wait) => match changes {
+            changes = shared.store.watch(object_key::CONFIG, revision, wait) => match changes {
                 Ok(changes) => {
                     revision = Some(changes.revision);
                     if !changes.keys.is_empty() {
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -11,7 +11,7 @@
 use protocol::job::{Header, Item, Line, Outcome, Page, Phase, Status};
 use protocol::{Error, JobId, Kind, header};
 use state::command::{ChunkResults, Command, Reply};
-use state::object;
+use state::object_key;
 use state::part::{ChunkItems, ChunkProgress, ResultPart};
 use state::record::JobSpec;
 use std::sync::Arc;
@@ -152,7 +152,7 @@
         }
         self.digest.update(b"\n");
         self.digest.update(line);
-        let over = self.bytes + line.len() > object::MAX_BYTES / 2;
+        let over = self.bytes + line.len() > object_key::MAX_VALUE_BYTES / 2;
         if over || self.chunk.items.len() >= self.shared.settings.chunk_items {
             self.flush().await?;
         }
@@ -172,7 +172,7 @@
             return Ok(());
         }
         let number = self.starts.len() as u32 - 1;
-        let key = object::chunk(&self.job, &self.name, number);
+        let key = object_key::chunk(&self.job, &self.name, number);
         let bytes = Bytes::from(serde_json::to_vec(&chunk).unwrap_or_default());
         let mut last = None;
         for _ in 0..WRITE_TRIES {
@@ -197,7 +197,7 @@
         let chunks = self.starts.len() as u32;
         tokio::spawn(async move {
             for number in 0..chunks {
-                drop(shared.store.delete(&object::chunk(&job, &name, number)).await);
+                drop(shared.store.delete(&object_key::chunk(&job, &name, number)).await);
             }
         });
     }
@@ -263,7 +263,7 @@
         return Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit"));
     };
     if archived {
-        let index: Vec<ChunkResults> = read(shared, &object::index(&status.job)).await?;
+        let index: Vec<ChunkResults> = read(shared, &object_key::index(&status.job)).await?;
         chunks = index.into_iter().filter(|p| p.start < from + most && p.end > from).collect();
     }
     let mut lines = Vec::new();
@@ -283,7 +283,7 @@
 ) -> Result<Vec<Line>, Error> {
     let mut progress = ChunkProgress::default();
     for part in &place.parts {
-        let key = object::part(&status.job, place.chunk, part.attempt, part.part);
+        let key = object_key::part(&status.job, place.chunk, part.attempt, part.part);
         progress.apply(read::<ResultPart>(shared, &key).await?);
     }
     let items = place.start..place.end;
--- a/crates/daemon/src/front/keyed.rs
+++ b/crates/daemon/src/front/keyed.rs
@@ -6,7 +6,7 @@
 use crate::shared::Shared;
 use protocol::{Error, Kind, Millis};
 use state::command::{Command, Reply};
-use state::object;
+use state::object_key;
 use state::record::{Entry, Record, StoredOutcome};
 use std::time::Instant;
 
@@ -120,7 +120,7 @@
 
 /// Reads a kept outcome from the entry that holds it.
 async fn kept(shared: &Shared, key: &Key, position: u64) -> Result<StoredOutcome, Error> {
-    let name = object::entry(shared.shards.shard_of(&key.scoped), position);
+    let name = object_key::entry(shared.shards.shard_of(&key.scoped), position);
     let away = |text: String| Error::new(Kind::PlatformAway, text);
     let found = shared.store.get(&name).await.map_err(|fault| away(fault.to_string()))?;
     let found = found.ok_or_else(|| away(format!("`{name}` is missing")))?;
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -14,7 +14,7 @@
 use platform::store::Revision;
 use protocol::InstanceId;
 use protocol::config::Protocol;
-use state::object;
+use state::object_key;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -118,7 +118,7 @@
         if shared.settings.is_unguarded("lease") {
             return true;
         }
-        let key = object::lease(&node.target.name);
+        let key = object_key::lease(&node.target.name);
         if !self.lease.hold(shared, &key).await {
             return false;
         }
@@ -136,7 +136,7 @@
     }
 
     async fn hold_slot(&mut self, shared: &Shared, node: &Node, number: u32) -> bool {
-        let key = object::load_slot(&node.target.service, number);
+        let key = object_key::load_slot(&node.target.service, number);
         let holder = self.slot_holder;
         let slot = self.slots.entry(number).or_insert_with(|| Known::new(holder));
         slot.hold(shared, &key).await
@@ -178,10 +178,10 @@
         if let Some(number) = self.slot.take()
             && let Some(mut slot) = self.slots.remove(&number)
         {
-            slot.release(shared, &object::load_slot(&node.target.service, number)).await;
+            slot.release(shared, &object_key::load_slot(&node.target.service, number)).await;
         }
         if self.lease.held.is_some() {
-            self.lease.release(shared, &object::lease(&node.target.name)).await;
+            self.lease.release(shared, &object_key::lease(&node.target.name)).await;
         }
     }
 }
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -12,7 +12,7 @@
 use platform::store::Fault;
 use protocol::{Error, Kind, Millis, ShardId};
 use state::command::{Answer, Command, Reply};
-use state::object;
+use state::object_key;
 use state::record::{Disposition, Entry, Record};
 use state::shard::{Batch, Decision, Policy, Shard};
 use std::collections::VecDeque;
@@ -222,7 +222,7 @@
                 continue;
             }
             let ungrouped = self.shared.settings.is_unguarded("group") && !waiting.is_empty();
-            if bytes > object::MAX_BYTES / 2 || ungrouped {
+            if bytes > object_key::MAX_VALUE_BYTES / 2 || ungrouped {
                 deferred.push_back(item);
                 continue;
             }
@@ -295,7 +295,7 @@
 
     /// Takes an append as far as it goes now.
     async fn drive(&self, append: &Append, entry: &Entry) -> End {
-        let key = object::entry(self.id, append.position());
+        let key = object_key::entry(self.id, append.position());
         let value = Bytes::from(entry.encode());
         let token = |bytes: &[u8]| Entry::decode(bytes).map(|e| e.token).unwrap_or_default();
         append::drive(&self.store, append, &key, value, SETTLE_TRIES, token).await
--- a/crates/daemon/src/shards/commit/housekeeping.rs
+++ b/crates/daemon/src/shards/commit/housekeeping.rs
@@ -10,8 +10,8 @@
 use platform::store::Fault;
 use protocol::Millis;
 use state::command::Command;
-use state::object;
-use state::snapshot::{Body, Head, Segment, live_segments};
+use state::object_key;
+use state::snapshot::{Body, Head, Segment, retained_segments};
 use std::time::{Duration, Instant};
 
 /// Time between rounds of deletion.
@@ -50,10 +50,10 @@
         };
         let places = job.chunk_results(0, u64::MAX);
         let bytes = serde_json::to_vec(&places).unwrap_or_default();
-        if bytes.len() > object::MAX_BYTES {
+        if bytes.len() > object_key::MAX_VALUE_BYTES {
             return;
         }
-        let key = object::index(&job.spec.job);
+        let key = object_key::index(&job.spec.job);
         if self.store.put(&key, Bytes::from(bytes), Condition::Any).await.is_ok() {
             let (answer, ignored) = tokio::sync::oneshot::channel();
             let command = Command::Archive { job: job.spec.job };
@@ -88,25 +88,26 @@
     async fn write_snapshot(&self, loaded: &Loaded) -> Result<(Head, u64), Fault> {
         let shard = &loaded.shard;
         let name = format!("{:012}-{:016x}", shard.next(), self.shared.id);
-        let mut segments = live_segments(&loaded.head.segments, self.oldest());
+        let mut segments = retained_segments(&loaded.head.segments, self.oldest());
         let fresh = shard.keys().finished_since(loaded.head.next);
         if !fresh.is_empty() {
             let newest = fresh.iter().map(|(_, f)| f.issued).max().unwrap_or(0);
             let bytes = Bytes::from(serde_json::to_vec(&fresh).unwrap_or_default());
-            self.store.put(&object::segment(self.id, &name), bytes, Condition::Any).await?;
+            self.store.put(&object_key::segment(self.id, &name), bytes, Condition::Any).await?;
             segments.push(Segment { name: name.clone(), newest });
         }
         let body = serde_json::to_vec(&Body::of(shard)).unwrap_or_default();
-        let parts: Vec<&[u8]> = body.chunks(object::MAX_BYTES).collect();
+        let parts: Vec<&[u8]> = body.chunks(object_key::MAX_VALUE_BYTES).collect();
         for (index, part) in parts.iter().enumerate() {
-            let key = object::snapshot_part(self.id, &name, index);
+            let key = object_key::snapshot_part(self.id, &name, index);
             self.store.put(&key, Bytes::copy_from_slice(part), Condition::Any).await?;
         }
-        let swept = loaded.head.swept;
-        let head = Head { next: shard.next(), name, parts: parts.len(), segments, swept };
+        let swept = loaded.head.deleted_before;
+        let head =
+            Head { next: shard.next(), name, parts: parts.len(), segments, deleted_before: swept };
         let bytes = Bytes::from(serde_json::to_vec(&head).unwrap_or_default());
         let condition = loaded.version.map_or(Condition::Absent, Condition::Revision);
-        let version = self.store.put(&object::snapshot_head(self.id), bytes, condition).await?;
+        let version = self.store.put(&object_key::snapshot_head(self.id), bytes, condition).await?;
         Ok((head, version))
     }
 
@@ -126,10 +127,15 @@
         let Some(loaded) = &mut self.loaded else {
             return;
         };
-        for job in loaded.shard.forget(clock::millis()) {
+        for job in loaded.shard.expire(clock::millis()) {
             tokio::spawn(sweep::job(self.store.clone(), job));
         }
-        loaded.head.swept =
-            sweep::entries(&self.store, self.id, loaded.head.swept..loaded.head.next, oldest).await;
+        loaded.head.deleted_before = sweep::entries(
+            &self.store,
+            self.id,
+            loaded.head.deleted_before..loaded.head.next,
+            oldest,
+        )
+        .await;
     }
 }
--- a/crates/daemon/src/shards/load.rs
+++ b/crates/daemon/src/shards/load.rs
@@ -3,10 +3,10 @@
 use crate::store::Handle;
 use platform::store::{Fault, Revision};
 use protocol::{Millis, ShardId};
-use state::object;
+use state::object_key;
 use state::record::Entry;
 use state::shard::{Policy, Shard};
-use state::snapshot::{Body, Head, Keyed};
+use state::snapshot::{Body, FinishedKeys, Head};
 
 /// Entries read at once while catching up.
 const WINDOW: u64 = 16;
@@ -32,7 +32,7 @@
     policy: Policy,
     now: Millis,
 ) -> Result<Loaded, Fault> {
-    let mut loaded = match store.get(&object::snapshot_head(id)).await? {
+    let mut loaded = match store.get(&object_key::snapshot_head(id)).await? {
         None => Loaded { shard: Shard::new(id, policy), head: Head::default(), version: None },
         Some(found) => {
             let head: Head = decode(&found.bytes)?;
@@ -53,12 +53,15 @@
 ) -> Result<Loaded, Fault> {
     let mut bytes = Vec::new();
     for part in 0..head.parts {
-        bytes.extend_from_slice(&need(store, &object::snapshot_part(id, &head.name, part)).await?);
+        bytes.extend_from_slice(
+            &need(store, &object_key::snapshot_part(id, &head.name, part)).await?,
+        );
     }
     let body: Body = decode(&bytes)?;
-    let mut finished: Keyed = Vec::new();
+    let mut finished: FinishedKeys = Vec::new();
     for segment in &head.segments {
-        let keys: Keyed = decode(&need(store, &object::segment(id, &segment.name)).await?)?;
+        let keys: FinishedKeys =
+            decode(&need(store, &object_key::segment(id, &segment.name)).await?)?;
         finished.extend(keys);
     }
     let shard = body.restore(id, policy, head.next, finished, now);
@@ -76,7 +79,7 @@
         let first = shard.next();
         let window = if first == start { 1 } else { WINDOW };
         let keys: Vec<String> =
-            (first..first + window).map(|n| object::entry(shard.id(), n)).collect();
+            (first..first + window).map(|n| object_key::entry(shard.id(), n)).collect();
         let reads = keys.iter().map(|key| store.get(key));
         let found = futures_util::future::join_all(reads).await;
         for object in found {
--- a/crates/daemon/src/shards/sweep.rs
+++ b/crates/daemon/src/shards/sweep.rs
@@ -6,7 +6,7 @@
 use protocol::{Millis, ShardId};
 use state::command::ChunkResults;
 use state::jobs::Job;
-use state::object;
+use state::object_key;
 use state::record::Entry;
 use state::snapshot::{Head, Segment};
 use std::ops::Range;
@@ -19,7 +19,7 @@
 pub async fn entries(store: &Handle, shard: ShardId, range: Range<u64>, oldest: Millis) -> u64 {
     let end = range.end.min(range.start + MOST);
     for position in range.start..end {
-        let key = object::entry(shard, position);
+        let key = object_key::entry(shard, position);
         match store.get(&key).await {
             Ok(None) => continue,
             Ok(Some(found)) => {
@@ -37,18 +37,18 @@
 /// Deletes the objects of a job that is forgotten.
 pub async fn job(store: Handle, job: Job) {
     let id = &job.spec.job;
-    let index = object::index(id);
+    let index = object_key::index(id);
     let found = store.get(&index).await.ok().flatten();
     let places: Vec<ChunkResults> =
         found.and_then(|found| serde_json::from_slice(&found.bytes).ok()).unwrap_or_default();
     for place in &places {
         for part in &place.parts {
-            let key = object::part(id, place.chunk, part.attempt, part.part);
+            let key = object_key::part(id, place.chunk, part.attempt, part.part);
             drop(store.delete(&key).await);
         }
     }
     for chunk in 0..job.spec.starts.len() as u32 {
-        drop(store.delete(&object::chunk(id, &job.spec.upload, chunk)).await);
+        drop(store.delete(&object_key::chunk(id, &job.spec.upload, chunk)).await);
     }
     drop(store.delete(&index).await);
 }
@@ -56,9 +56,9 @@
 /// Deletes a former snapshot's parts, and its segments that the new one dropped.
 pub async fn snapshot(store: Handle, shard: ShardId, former: Head, kept: Vec<Segment>) {
     for part in 0..former.parts {
-        drop(store.delete(&object::snapshot_part(shard, &former.name, part)).await);
+        drop(store.delete(&object_key::snapshot_part(shard, &former.name, part)).await);
     }
     for segment in former.segments.iter().filter(|segment| !kept.contains(segment)) {
-        drop(store.delete(&object::segment(shard, &segment.name)).await);
+        drop(store.delete(&object_key::segment(shard, &segment.name)).await);
     }
 }
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -298,7 +298,7 @@
 
     /// Forgets jobs accepted before `before` that have ended, and gives them back
     /// so that their objects can be deleted.
-    pub fn forget(&mut self, before: Millis) -> Vec<Job> {
+    pub fn expire(&mut self, before: Millis) -> Vec<Job> {
         let is_old = |job: &Job| job.archived && job.spec.at < before;
         let old: Vec<JobId> =
             self.jobs.values().filter(|job| is_old(job)).map(|job| job.spec.job.clone()).collect();
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -85,7 +85,7 @@
     }
 
     /// Forgets keys issued before `before`.
-    pub fn forget(&mut self, before: Millis) {
+    pub fn expire(&mut self, before: Millis) {
         self.finished.retain(|_, finished| finished.issued >= before);
         self.claims.retain(|_, claim| claim.issued >= before);
         self.released.retain(|_, issued| *issued >= before);
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod config;
 pub mod jobs;
 pub mod keys;
-pub mod object;
+pub mod object_key;
 pub mod part;
 pub mod progress;
 pub mod record;
--- a/crates/state/src/object.rs
+++ b/crates/state/src/object_key.rs
@@ -4,7 +4,7 @@
 
 /// Most bytes of one value: in base64, which adds a third, it stays below the
 /// platform's limit of a megabyte with room for the object's head.
-pub const MAX_BYTES: usize = 750_000;
+pub const MAX_VALUE_BYTES: usize = 750_000;
 
 /// Prefix of a shard's entries.
 pub fn entries(shard: ShardId) -> String {
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -374,10 +374,10 @@
     }
 
     /// Forgets what is older than the retention window; returns the jobs among it.
-    pub fn forget(&mut self, now: Millis) -> Vec<Job> {
+    pub fn expire(&mut self, now: Millis) -> Vec<Job> {
         let before = now.saturating_sub(self.policy.retention.as_millis() as Millis);
-        self.keys.forget(before);
-        self.jobs.forget(before)
+        self.keys.expire(before);
+        self.jobs.expire(before)
     }
 }
 
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -34,7 +34,8 @@
     pub segments: Vec<Segment>,
     /// Entries before this one are deleted.
     #[serde(default)]
-    pub swept: u64,
+    #[serde(rename = "swept")]
+    pub deleted_before: u64,
 }
 
 /// Contents of the parts, once joined.
@@ -49,7 +50,7 @@
 }
 
 /// Finished keys as a segment keeps them.
-pub type Keyed = Vec<(u64, Finished)>;
+pub type FinishedKeys = Vec<(u64, Finished)>;
 
 impl Body {
     /// What a snapshot of `shard` holds besides finished keys.
@@ -67,7 +68,7 @@
         id: ShardId,
         policy: Policy,
         next: u64,
-        finished: Keyed,
+        finished: FinishedKeys,
         now: Millis,
     ) -> Shard {
         let keys = Keys::restore(self.claims, self.released, finished);
@@ -76,6 +77,6 @@
 }
 
 /// Segments that still hold keys issued at or after `before`.
-pub fn live_segments(segments: &[Segment], before: Millis) -> Vec<Segment> {
+pub fn retained_segments(segments: &[Segment], before: Millis) -> Vec<Segment> {
     segments.iter().filter(|segment| segment.newest >= before).cloned().collect()
 }
