--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -43,7 +43,7 @@
 /// serves nothing.
 fn pause(node: &Node) -> Duration {
     let is_new = clock::since(node.started) < STARTUP_PERIOD;
-    if node.is_informed() || !is_new { SYNC_INTERVAL } else { STARTUP_SYNC_INTERVAL }
+    if node.is_initialized() || !is_new { SYNC_INTERVAL } else { STARTUP_SYNC_INTERVAL }
 }
 
 /// Compares with one other instance, drawn by lot.
@@ -54,7 +54,7 @@
     }
     let now = clock::now();
     let at = rand::random_range(0..others.len());
-    if node.is_shunned(others[at].peer, now) {
+    if node.is_unresponsive(others[at].peer, now) {
         return;
     }
     let ask = PeerRequest::Sync {
--- a/crates/daemon/src/gateway/broadcast.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -82,7 +82,7 @@
     let able = members.workers().filter(|member| {
         member.data_centre == *data_centre
             && member.state == State::Alive
-            && !node.is_shunned(member.peer, now)
+            && !node.is_unresponsive(member.peer, now)
     });
     let mut able: Vec<Member> = able.cloned().collect();
     able.sort_by_key(|member| {
--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -103,7 +103,7 @@
 
 /// Targets may start again under their ids: no connection to the earlier start is used.
 fn note_births(node: &Node, news: &[Change]) {
-    let mut births = node.births.borrow_mut();
+    let mut births = node.start_times.borrow_mut();
     for change in news {
         match change {
             Change::Present(target) => {
--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -41,7 +41,7 @@
     /// Body.
     pub body: Bytes,
     /// Whether the caller seems to come again: it waits less long than others.
-    pub is_again: bool,
+    pub is_retry: bool,
     /// When its head was read.
     pub started: Instant,
     /// Until when the caller waits, or the route lets it be held.
@@ -132,16 +132,16 @@
     };
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
     let headers = header::passed_on(&parts.headers);
-    let is_again = wait.is_some_and(|wait| node.is_again(&route.name, wait));
+    let is_retry = wait.is_some_and(|wait| node.is_retry(&route.name, wait));
     let method = parts.method;
-    let call = Call { id, method, target, host, headers, body, is_again, started, until };
+    let call = Call { id, method, target, host, headers, body, is_retry, started, until };
     serve(node, &config, route, call).await
 }
 
 /// The configuration in force; an instance that has just started is about to have one,
 /// and to know targets.
 async fn config(node: &Node) -> Option<Rc<Config>> {
-    while !node.is_informed() && clock::since(node.started) < STARTING {
+    while !node.is_initialized() && clock::since(node.started) < STARTING {
         tokio::time::sleep(CONFIG_LOOK).await;
     }
     node.config()
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -241,7 +241,7 @@
 pub async fn notify_witnesses(node: &Rc<Node>, held: &HeldJob) {
     let now = clock::now();
     let mut members = node.others();
-    members.retain(|member| !node.is_shunned(member.peer, now));
+    members.retain(|member| !node.is_unresponsive(member.peer, now));
     // One far and one near, where there are such.
     let near = |member: &Member| member.data_centre == *node.data_centre();
     let id = held.state.borrow().job().id.clone();
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -140,8 +140,8 @@
     let names: BTreeSet<&DataCentreId> = of_service.map(|target| &target.data_centre).collect();
     let mut names: Vec<DataCentreId> = names.into_iter().cloned().collect();
     let now = clock::now();
-    if names.iter().any(|name| !node.is_newly_dark(name, now)) {
-        names.retain(|name| !node.is_newly_dark(name, now));
+    if names.iter().any(|name| !node.is_recently_unreachable(name, now)) {
+        names.retain(|name| !node.is_recently_unreachable(name, now));
     }
     let id = node.id();
     let own = node.data_centre();
@@ -290,7 +290,7 @@
             allocator::AcquireOutcome::NotOwner => AllocatorReply::Unresponsive,
         };
     }
-    if node.is_shunned(owner.peer, now) {
+    if node.is_unresponsive(owner.peer, now) {
         return AllocatorReply::Unresponsive;
     }
     let request = call.request(now);
--- a/crates/daemon/src/gateway/leases/batch.rs
+++ b/crates/daemon/src/gateway/leases/batch.rs
@@ -58,7 +58,7 @@
     let is_here = owner.id == node.id();
     let reply = if is_here {
         allocator::on_slot_request(node, request).await
-    } else if node.is_shunned(at, now) {
+    } else if node.is_unresponsive(at, now) {
         return None;
     } else {
         node.request(at, &PeerRequest::Slots(request), wait + REPLY_TIMEOUT * 4).await.ok()?
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -31,16 +31,16 @@
 /// Longest wait for the reply to a message that is only told.
 const NOTIFY_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long a member that didn't reply is passed over where another will do.
-const SHUN: Duration = Duration::from_millis(400);
+const UNRESPONSIVE_PERIOD: Duration = Duration::from_millis(400);
 
 /// How long the targets of a data centre out of sight are left alone: longer than
 /// the cuts of some seconds that data centres are known to have.
-const NEWLY_DARK: Duration = Duration::from_secs(10);
+const UNREACHABLE_PERIOD: Duration = Duration::from_secs(10);
 /// Share of the longest time left below which a caller is taken for one that
 /// comes again.
-const FIRST_SHARE: f64 = 0.98;
+const RETRY_TIMEOUT_RATIO: f64 = 0.98;
 /// Routes whose callers' times are remembered.
-const MOST_ROUTES: usize = 4_096;
+const MAX_ROUTES: usize = 4_096;
 
 /// The configuration in force, decoded and as it came.
 #[derive(Debug)]
@@ -70,15 +70,15 @@
     /// Instances to ask first for members, by the settings as last read.
     pub seeds: RefCell<Vec<SocketAddr>>,
     /// Members to which a heartbeat is under way.
-    pub pinged: RefCell<HashSet<InstanceId>>,
+    pub pending_heartbeats: RefCell<HashSet<InstanceId>>,
     /// Whether a change of members is about to be acted on.
-    pub is_settling: Cell<bool>,
+    pub is_change_pending: Cell<bool>,
     /// Configuration in force.
     pub config: RefCell<Option<Rc<Config>>>,
     /// Targets.
     pub registry: RefCell<Registry>,
     /// Starts of the targets, as far as they tell them.
-    pub births: RefCell<HashMap<TargetId, Millis>>,
+    pub start_times: RefCell<HashMap<TargetId, Millis>>,
     /// The platform's store.
     pub store: PlatformStore,
     /// Topics that this instance watches on the platform for others.
@@ -108,13 +108,13 @@
     /// The machine was suspended and has woken.
     pub woken: Notify,
     /// Members that lately lost contact with the platform, and until when that counts.
-    pub lost_contact: RefCell<HashMap<InstanceId, Instant>>,
+    pub disconnected: RefCell<HashMap<InstanceId, Instant>>,
     /// Members that lately didn't reply.
-    shunned: RefCell<HashMap<SocketAddr, Instant>>,
+    unresponsive: RefCell<HashMap<SocketAddr, Instant>>,
     /// Longest time left that callers on each route came with.
-    waits: RefCell<HashMap<String, Duration>>,
+    longest_timeouts: RefCell<HashMap<String, Duration>>,
     /// Data centres that had a member in sight, and since when they have none.
-    dark: RefCell<HashMap<DataCentreId, Option<Instant>>>,
+    unreachable_since: RefCell<HashMap<DataCentreId, Option<Instant>>>,
     /// Online requests in hand.
     pub running: Cell<usize>,
     /// Set once a stop was ordered.
@@ -137,11 +137,11 @@
             members: RefCell::new(Table::new(me, policy)),
             membership_changed: Notify::new(),
             seeds: RefCell::new(settings.seeds.clone()),
-            pinged: RefCell::default(),
-            is_settling: Cell::new(false),
+            pending_heartbeats: RefCell::default(),
+            is_change_pending: Cell::new(false),
             config: RefCell::default(),
             registry: RefCell::default(),
-            births: RefCell::default(),
+            start_times: RefCell::default(),
             jobs: JobTable::default(),
             outbox: Outbox::default(),
             quarantine: RefCell::new(quarantine::Table::new(
@@ -153,10 +153,10 @@
             inquiries: Inquiries::default(),
             slept: Cell::default(),
             woken: Notify::new(),
-            lost_contact: RefCell::default(),
-            shunned: RefCell::default(),
-            waits: RefCell::default(),
-            dark: RefCell::default(),
+            disconnected: RefCell::default(),
+            unresponsive: RefCell::default(),
+            longest_timeouts: RefCell::default(),
+            unreachable_since: RefCell::default(),
             measure: Measure::default(),
             started: now,
             running: Cell::new(0),
@@ -190,7 +190,7 @@
 
     /// Whether a configuration, targets and held requests are known, as they are soon after
     /// a start.
-    pub fn is_informed(&self) -> bool {
+    pub fn is_initialized(&self) -> bool {
         let knows_targets = self.registry.borrow().revision() > 0;
         self.config.borrow().is_some() && knows_targets && self.knows_strikes.get()
     }
@@ -229,16 +229,16 @@
     /// It may be cut off, and then its targets can't be reached either; if it
     /// stays out of sight, its targets are worth a try. One that was never in sight
     /// is no loss: this instance has just started.
-    pub fn is_newly_dark(&self, data_centre: &str, now: Instant) -> bool {
+    pub fn is_recently_unreachable(&self, data_centre: &str, now: Instant) -> bool {
         let is_seen = self.members.borrow().workers().any(|m| m.data_centre == data_centre);
-        let mut dark = self.dark.borrow_mut();
+        let mut unreachable_since = self.unreachable_since.borrow_mut();
         if is_seen {
-            dark.insert(data_centre.to_owned(), None);
+            unreachable_since.insert(data_centre.to_owned(), None);
             return false;
         }
-        match dark.get_mut(data_centre) {
+        match unreachable_since.get_mut(data_centre) {
             None => false,
-            Some(since) => now < *since.get_or_insert(now) + NEWLY_DARK,
+            Some(since) => now < *since.get_or_insert(now) + UNREACHABLE_PERIOD,
         }
     }
 
@@ -252,19 +252,19 @@
 
     /// Whether a caller on this route seems to come again: callers wait alike,
     /// and one that comes again has less time left than it had at first.
-    pub fn is_again(&self, route: &str, wait: Duration) -> bool {
-        let mut waits = self.waits.borrow_mut();
-        if waits.len() >= MOST_ROUTES {
-            waits.clear();
+    pub fn is_retry(&self, route: &str, wait: Duration) -> bool {
+        let mut longest_timeouts = self.longest_timeouts.borrow_mut();
+        if longest_timeouts.len() >= MAX_ROUTES {
+            longest_timeouts.clear();
         }
-        let longest = waits.entry(route.to_owned()).or_insert(wait);
+        let longest = longest_timeouts.entry(route.to_owned()).or_insert(wait);
         *longest = wait.max(*longest);
-        wait < longest.mul_f64(FIRST_SHARE)
+        wait < longest.mul_f64(RETRY_TIMEOUT_RATIO)
     }
 
     /// Whether `address` lately didn't reply.
-    pub fn is_shunned(&self, address: SocketAddr, now: Instant) -> bool {
-        self.shunned.borrow().get(&address).is_some_and(|until| now < *until)
+    pub fn is_unresponsive(&self, address: SocketAddr, now: Instant) -> bool {
+        self.unresponsive.borrow().get(&address).is_some_and(|until| now < *until)
     }
 
     /// Sends a message and waits for its reply; whoever doesn't reply is passed over for a
@@ -281,7 +281,7 @@
     ) -> Result<PeerReply, Fault> {
         let result = self.try_request(to, request, limit).await;
         if result.is_err() {
-            self.shunned.borrow_mut().insert(to, clock::now() + SHUN);
+            self.unresponsive.borrow_mut().insert(to, clock::now() + UNRESPONSIVE_PERIOD);
         }
         result
     }
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -276,7 +276,7 @@
             // A reader waits in the middle of the stream.
             return (now + route.gap, leaves(now));
         }
-        if self.call.is_again {
+        if self.call.is_retry {
             // Its objective is counted from the first time it came: it is late.
             return (start, leaves(start));
         }
@@ -330,7 +330,7 @@
             "status" => status, "route" => &self.route.name, "service" => &self.service,
             "config" => self.version, "registry" => self.registry, "sent" => self.sent,
             "avoided" => ?self.avoid,
-            "slot_ms" => self.slot_wait.get().as_millis() as u64, "again" => call.is_again,
+            "slot_ms" => self.slot_wait.get().as_millis() as u64, "again" => call.is_retry,
             "age_ms" => age.as_millis() as u64, "repeatable" => is_repeatable);
         match failed {
             Failed::NotRun(refused) => {
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -188,13 +188,13 @@
         return;
     }
     node.membership_changed.notify_one();
-    if node.is_settling.replace(true) {
+    if node.is_change_pending.replace(true) {
         return;
     }
     let node = node.clone();
     spawn_local(async move {
         tokio::time::sleep(MEMBER_CHANGE_WINDOW).await;
-        node.is_settling.set(false);
+        node.is_change_pending.set(false);
         on_members_settled(&node);
     });
 }
@@ -248,7 +248,7 @@
 /// each member at a time: news that comes meanwhile goes with the next one, or a
 /// slow fleet would send the same news over and over.
 fn send_heartbeats(node: &Rc<Node>, to: Member) {
-    if !node.pinged.borrow_mut().insert(to.id) {
+    if !node.pending_heartbeats.borrow_mut().insert(to.id) {
         return;
     }
     let node = node.clone();
@@ -264,7 +264,7 @@
             }
             tokio::time::sleep(UPDATE_BATCH_WINDOW).await;
         }
-        node.pinged.borrow_mut().remove(&to.id);
+        node.pending_heartbeats.borrow_mut().remove(&to.id);
     });
 }
 
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -141,7 +141,7 @@
         Some(Uptime { since: ago(answers.since_ms)?, last: ago(answers.last_ms)? })
     });
     node.store.on_peer_report(series, connectivity.is_disconnected);
-    let mut lost = node.lost_contact.borrow_mut();
+    let mut lost = node.disconnected.borrow_mut();
     if connectivity.is_disconnected {
         lost.insert(member, now + DISCONNECTED_TTL);
     } else {
@@ -154,5 +154,5 @@
     if member == node.id() {
         return node.store.is_disconnected();
     }
-    node.lost_contact.borrow().get(&member).is_some_and(|until| now < *until)
+    node.disconnected.borrow().get(&member).is_some_and(|until| now < *until)
 }
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -268,6 +268,6 @@
             "first_ms" => self.stats.first_after(call.started).map(|at| at.as_millis() as u64),
             "slowest_ms" => self.stats.slowest.as_millis() as u64,
             "slot_ms" => self.forward.slot_wait.get().as_millis() as u64,
-            "again" => call.is_again, "age_ms" => age.as_millis() as u64);
+            "again" => call.is_retry, "age_ms" => age.as_millis() as u64);
     }
 }
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -91,7 +91,7 @@
         host: host.to_owned(),
         headers: HeaderMap::new(),
         body: Bytes::copy_from_slice(body),
-        is_again: false,
+        is_retry: false,
         started: now,
         until: now + FORWARD_TIMEOUT,
     };
@@ -112,7 +112,7 @@
     };
     let now = clock::now();
     let mut members = node.others();
-    members.retain(|member| !node.is_shunned(member.peer, now));
+    members.retain(|member| !node.is_unresponsive(member.peer, now));
     let has_lost = |member: &Member| platform_health::is_disconnected(node, member.id, now);
     // Cached: a key that is drawn anew at each comparison is no order.
     members.sort_by_cached_key(|member| (has_lost(member), rand::random::<u32>()));
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -233,7 +233,7 @@
 
 /// Members that lately lost contact with the platform.
 fn disconnected_members(node: &Node, now: Instant) -> Vec<String> {
-    let lost = node.lost_contact.borrow();
+    let lost = node.disconnected.borrow();
     let lately = lost.iter().filter(|(_, until)| now < **until);
     lately.map(|(id, _)| format!("{id:x}")).collect()
 }
