--- a/crates/daemon/src/gateway/allocator.rs
+++ b/crates/daemon/src/gateway/allocator.rs
@@ -6,7 +6,7 @@
 use super::leases::allocator_owner;
 use super::message::{PeerReply, PeerRequest, SlotRequest, SlotRequestId};
 use super::node::Node;
-use super::wake;
+use super::suspension;
 use crate::clock;
 use coordination::slots::{
     self, Decision, Grant, HeldLease, LeaseId, LeaseOutcome, LeaseReport, Purpose, Revocation,
@@ -138,7 +138,7 @@
 
 /// Sets the accounts for the members and targets known now.
 pub fn refresh(node: &Rc<Node>) {
-    wake::look(node);
+    suspension::check(node);
     let versions = (node.members.borrow().version(), node.registry.borrow().version());
     let leases = &node.leases;
     let before = leases.seen_versions.replace(versions);
@@ -240,7 +240,7 @@
     spawn_local(async move {
         while !node.leases.waiters.borrow().is_empty() {
             tokio::time::sleep(WAITER_CHECK_INTERVAL).await;
-            wake::look(&node);
+            suspension::check(&node);
             let refused = node.leases.allocator.borrow_mut().take_unserviceable(clock::now());
             for (waiter, after) in refused {
                 if let Some(sender) = node.leases.waiters.borrow_mut().remove(&waiter) {
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -16,7 +16,7 @@
 //! | [`job_table`], [`job_writer`], [`items`] | jobs known here; results made durable; runs of items |
 //! | [`takeover`], [`job_scan`] | jobs whose holder is gone; looks through all jobs |
 //! | [`watch`], [`platform_health`] | the platform, watched by a few for all; whether it answers them |
-//! | [`wake`] | what follows a suspension of the machine |
+//! | [`suspension`] | what follows a suspension of the machine |
 //! | [`discovery`] | configuration and targets as they are learnt |
 //! | [`peers`], [`message`] | membership, and what instances say to each other |
 //! | [`broadcast`], [`anti_entropy`] | news for all instances, over one relay in each data centre; what was lost is made up for |
@@ -48,8 +48,8 @@
 pub mod store;
 pub mod streaming;
 pub mod submit;
+pub mod suspension;
 pub mod takeover;
-pub mod wake;
 pub mod watch;
 
 pub use run::run;
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -104,9 +104,9 @@
     /// Targets whose answers broke off, and are looked into.
     pub inquiries: Inquiries,
     /// How long the machine was suspended, as far as that was noticed.
-    pub slept: Cell<Duration>,
+    pub suspended_for: Cell<Duration>,
     /// The machine was suspended and has woken.
-    pub woken: Notify,
+    pub resumed: Notify,
     /// Members that lately lost contact with the platform, and until when that counts.
     pub disconnected: RefCell<HashMap<InstanceId, Instant>>,
     /// Members that lately didn't reply.
@@ -151,8 +151,8 @@
             strikes_changed: Notify::new(),
             knows_strikes: Cell::new(false),
             inquiries: Inquiries::default(),
-            slept: Cell::default(),
-            woken: Notify::new(),
+            suspended_for: Cell::default(),
+            resumed: Notify::new(),
             disconnected: RefCell::default(),
             unresponsive: RefCell::default(),
             longest_timeouts: RefCell::default(),
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -5,8 +5,8 @@
 use super::node::Node;
 use super::peers::{HEARTBEAT_TIMEOUT, PeerHandler};
 use super::{
-    anti_entropy, discovery, items, job_scan, leases, peers, platform_health, quarantine, takeover,
-    wake, watch,
+    anti_entropy, discovery, items, job_scan, leases, peers, platform_health, quarantine,
+    suspension, takeover, watch,
 };
 use crate::clock;
 use crate::start;
@@ -70,7 +70,7 @@
     spawn_local(peers::run(node.clone(), stop.clone()));
     watch::start(&node, &stop);
     spawn_local(platform_health::run(node.clone(), stop.clone()));
-    spawn_local(wake::run(node.clone(), stop.clone()));
+    spawn_local(suspension::run(node.clone(), stop.clone()));
     spawn_local(discovery::run(node.clone(), stop.clone()));
     spawn_local(anti_entropy::run(node.clone(), stop.clone()));
     spawn_local(leases::report(node.clone(), stop.clone()));
--- a/crates/daemon/src/gateway/wake.rs
+++ b/crates/daemon/src/gateway/suspension.rs
@@ -13,34 +13,34 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time between looks.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Shortest suspension that anything is done about: watches and members bear as much.
-const SHORTEST: Duration = Duration::from_millis(200);
+const MIN_SUSPENSION: Duration = Duration::from_millis(200);
 
 /// Looks for suspensions until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
-        look(&node);
+        check(&node);
     }
 }
 
 /// Whoever decides by how long others have been silent looks first: the machine may have
 /// woken in this moment, and have heard nobody because it slept.
-pub fn look(node: &Rc<Node>) {
-    let asleep = clock::asleep();
-    let last = asleep.saturating_sub(node.slept.get());
-    if last < SHORTEST {
+pub fn check(node: &Rc<Node>) {
+    let total = clock::asleep();
+    let last = total.saturating_sub(node.suspended_for.get());
+    if last < MIN_SUSPENSION {
         return;
     }
-    node.slept.set(asleep);
+    node.suspended_for.set(total);
     slog::warn!(node.log, "was suspended"; "for_ms" => last.as_millis() as u64,
         "running" => node.running.get(), "jobs" => node.jobs.held_count());
     node.measure.count("suspended");
     node.leases.allocator.borrow_mut().on_resume(clock::now());
-    node.woken.notify_waiters();
+    node.resumed.notify_waiters();
     spawn_local(anti_entropy::compare(node.clone()));
 }
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -138,7 +138,7 @@
             result = list_or_watch(&node, topic, revision) => result,
             () = node.store.disconnected() => Err(Fault::Lost(String::from("no sign of life"))),
             () = role.lost() => continue,
-            () = node.woken.notified() => {
+            () = node.resumed.notified() => {
                 revision = None;
                 continue;
             }
