--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -78,7 +78,7 @@
         if node.is_stopping() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        node.measure.time("front.head", clock::since(started));
+        node.metrics.time("front.head", clock::since(started));
         Ok(response)
     }
 
@@ -167,7 +167,7 @@
 /// The answer that the table of errors gives, for the request `id`.
 pub fn refusal(node: &Node, id: &str, error: &Error) -> Response<Body> {
     let status = error.kind.row().status;
-    node.measure.count(&format!("refused.{status}"));
+    node.metrics.count(&format!("refused.{status}"));
     let mut response = text(status, &error.message);
     if let Some(after) = error.retry_after {
         let seconds = format!("{:.3}", after.as_secs_f64());
--- a/crates/daemon/src/gateway/measure.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -21,22 +21,22 @@
 use transport::listen::{Body, Broken, Handler};
 
 /// Longest time that a histogram tells apart, in milliseconds.
-const LONGEST_MS: u64 = 120_000;
+const MAX_HISTOGRAM_MS: u64 = 120_000;
 /// Significant digits of a histogram.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 /// Quantiles that are told.
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 /// Most names that are summed up; more would be a fault of the program.
-const MOST_NAMES: usize = 512;
+const MAX_NAMES: usize = 512;
 
 #[derive(Default)]
-struct Sums {
+struct Totals {
     counters: BTreeMap<String, u64>,
     times: BTreeMap<String, Histogram<u64>>,
 }
 
 #[derive(Clone, Default)]
-struct Sink(Arc<Mutex<Sums>>);
+struct Sink(Arc<Mutex<Totals>>);
 
 impl MetricSink for Sink {
     fn emit(&self, metric: &str) -> std::io::Result<usize> {
@@ -47,18 +47,20 @@
             return Ok(0);
         };
         let value: u64 = value.parse().unwrap_or(0);
-        let mut sums = crate::fleet::lock(&self.0);
-        if sums.counters.len() + sums.times.len() >= MOST_NAMES {
+        let mut totals = crate::fleet::lock(&self.0);
+        if totals.counters.len() + totals.times.len() >= MAX_NAMES {
             return Ok(0);
         }
         match kind {
             "ms" => {
-                if let Ok(empty) = Histogram::new_with_bounds(1, LONGEST_MS, DIGITS) {
-                    let times = sums.times.entry(name.to_owned()).or_insert(empty);
+                if let Ok(empty) =
+                    Histogram::new_with_bounds(1, MAX_HISTOGRAM_MS, SIGNIFICANT_DIGITS)
+                {
+                    let times = totals.times.entry(name.to_owned()).or_insert(empty);
                     times.saturating_record(value.max(1));
                 }
             }
-            _ => *sums.counters.entry(name.to_owned()).or_default() += value,
+            _ => *totals.counters.entry(name.to_owned()).or_default() += value,
         }
         Ok(metric.len())
     }
@@ -66,69 +68,69 @@
 
 /// Share of requests that must be within their objective, by which the burn of a
 /// route's error budget is told. A project default: routes don't tell theirs.
-const GOOD_SHARE: f64 = 0.99;
+const GOOD_RATIO: f64 = 0.99;
 /// Routes whose burn is told.
-const MOST_ROUTES: usize = 256;
+const MAX_ROUTES: usize = 256;
 
 /// The counters and histograms of one instance.
-pub struct Measure {
+pub struct Metrics {
     client: StatsdClient,
     sink: Sink,
-    burn: RefCell<BTreeMap<String, History>>,
+    burn_rates: RefCell<BTreeMap<String, History>>,
 }
 
-impl Default for Measure {
-    fn default() -> Measure {
+impl Default for Metrics {
+    fn default() -> Metrics {
         let sink = Sink::default();
         let client = StatsdClient::from_sink("gatespool", sink.clone());
-        Measure { client, sink, burn: RefCell::default() }
+        Metrics { client, sink, burn_rates: RefCell::default() }
     }
 }
 
-impl Measure {
+impl Metrics {
     /// Counts one event.
     pub fn count(&self, name: &str) {
         // The sink sums in memory: it has no fault to tell.
-        let _summed = self.client.count(name, 1_u64);
+        let _recorded = self.client.count(name, 1_u64);
     }
 
     /// Records a time.
     pub fn time(&self, name: &str, time: Duration) {
-        let _summed = self.client.time(name, time);
+        let _recorded = self.client.time(name, time);
     }
 
     /// Notes a request of a route against its objective.
-    pub fn note(&self, route: &str, is_good: bool, now: Instant) {
-        let mut burn = self.burn.borrow_mut();
-        if burn.len() >= MOST_ROUTES && !burn.contains_key(route) {
+    pub fn record_request(&self, route: &str, is_good: bool, now: Instant) {
+        let mut burn = self.burn_rates.borrow_mut();
+        if burn.len() >= MAX_ROUTES && !burn.contains_key(route) {
             burn.clear(); // Routes come and go; those in use are back at once.
         }
         burn.entry(route.to_owned()).or_default().note(is_good, now);
     }
 
-    fn burn_text(&self, now: Instant) -> String {
+    fn burn_rate_text(&self, now: Instant) -> String {
         let mut text = String::new();
-        for (route, series) in self.burn.borrow().iter() {
+        for (route, series) in self.burn_rates.borrow().iter() {
             for window in WINDOWS {
                 let count = series.count_within(window, now);
                 let labels = format!("{{route=\"{route}\",window_s=\"{}\"}}", window.as_secs());
                 // Writing to a string can't fail.
                 let _written = writeln!(text, "gatespool_good{labels} {}", count.good);
                 let _written = writeln!(text, "gatespool_all{labels} {}", count.all);
-                let burn = count.burn(GOOD_SHARE);
+                let burn = count.burn(GOOD_RATIO);
                 let _written = writeln!(text, "gatespool_burn{labels} {burn:.3}");
             }
         }
         text
     }
 
-    fn text(&self) -> String {
-        let sums = crate::fleet::lock(&self.sink.0);
+    fn totals_text(&self) -> String {
+        let totals = crate::fleet::lock(&self.sink.0);
         let mut text = String::new();
-        for (name, value) in &sums.counters {
+        for (name, value) in &totals.counters {
             line(&mut text, name, "", *value);
         }
-        for (name, times) in &sums.times {
+        for (name, times) in &totals.times {
             line(&mut text, name, "_count", times.len());
             for quantile in QUANTILES {
                 let suffix = format!("_ms{{quantile=\"{quantile}\"}}");
@@ -146,12 +148,12 @@
 }
 
 /// Serves readiness and metrics.
-pub struct Probe {
+pub struct StatusHandler {
     /// The instance.
     pub node: Rc<Node>,
 }
 
-impl Handler for Probe {
+impl Handler for StatusHandler {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Result<Response<Body>, Broken> {
         let node = &self.node;
         let (status, text) = match request.uri().path() {
@@ -173,8 +175,8 @@
 }
 
 fn metrics(node: &Node) -> String {
-    let mut text = node.measure.text();
-    text.push_str(&node.measure.burn_text(clock::now()));
+    let mut text = node.metrics.totals_text();
+    text.push_str(&node.metrics.burn_rate_text(clock::now()));
     let counts = node.store.without_breaker().counts();
     let [online, batch] = node.leases.in_use();
     // Never answered counts as silent for as long as a gauge can say.
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -21,7 +21,7 @@
 //! | [`peers`], [`message`] | membership, and what instances say to each other |
 //! | [`broadcast`], [`anti_entropy`] | news for all instances, over one relay in each data centre; what was lost is made up for |
 //! | [`store`], [`job_store`] | the platform's store with a breaker in front; how jobs lie there |
-//! | [`measure`] | counters and histograms as text |
+//! | [`metrics`] | counters and histograms as text |
 
 pub mod allocator;
 pub mod anti_entropy;
@@ -37,8 +37,8 @@
 pub mod job_writer;
 pub mod jobs;
 pub mod leases;
-pub mod measure;
 pub mod message;
+pub mod metrics;
 pub mod node;
 pub mod online;
 pub mod peers;
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -4,8 +4,8 @@
 use super::crash::Inquiries;
 use super::job_table::JobTable;
 use super::leases::Leases;
-use super::measure::Measure;
 use super::message::{Connectivity, PeerReply, PeerRequest, StateDigest, Uptime, decode, encode};
+use super::metrics::Metrics;
 use super::store::PlatformStore;
 use crate::clock;
 use coordination::membership::{Member, Policy, Table};
@@ -62,7 +62,7 @@
     /// When it started.
     pub started: Instant,
     /// Counters and histograms.
-    pub measure: Measure,
+    pub metrics: Metrics,
     /// Members.
     pub members: RefCell<Table>,
     /// News for members is waiting.
@@ -157,7 +157,7 @@
             unresponsive: RefCell::default(),
             longest_timeouts: RefCell::default(),
             unreachable_since: RefCell::default(),
-            measure: Measure::default(),
+            metrics: Metrics::default(),
             started: now,
             running: Cell::new(0),
             stopping: CancellationToken::new(),
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -152,7 +152,7 @@
                 begun.lease.end(end_of(head.status()));
                 forward.on_end(begun.exchange.is_framed());
                 let is_good = clock::since(forward.call.started) <= forward.route.objective;
-                forward.node.measure.note(&forward.route.name, is_good, clock::now());
+                forward.node.metrics.record_request(&forward.route.name, is_good, clock::now());
                 return Ok(respond(head, Body::Whole(body)));
             }
             Ok(Err(fault)) => fault,
@@ -324,7 +324,7 @@
             Failed::TimeOver => (504, "time over"),
         };
         let is_repeatable = self.route.is_repeatable();
-        self.node.measure.note(&self.route.name, false, clock::now());
+        self.node.metrics.record_request(&self.route.name, false, clock::now());
         slog::info!(self.node.log, "request failed"; "request" => &call.id, "cause" => cause,
             "content" => hex(call.content()),
             "status" => status, "route" => &self.route.name, "service" => &self.service,
@@ -348,7 +348,7 @@
                 refusal(&self.node, &call.id, &error)
             }
             Failed::MayHaveRun(_) | Failed::TimeOver => {
-                self.node.measure.count(&format!("failed.{status}"));
+                self.node.metrics.count(&format!("failed.{status}"));
                 text(status, cause)
             }
         }
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -1,7 +1,7 @@
 //! Brings a gateway up, and takes it down again.
 
 use super::front::Front;
-use super::measure::Probe;
+use super::metrics::StatusHandler;
 use super::node::Node;
 use super::peers::{HEARTBEAT_TIMEOUT, PeerHandler};
 use super::{
@@ -78,9 +78,9 @@
     spawn_local(takeover::run(node.clone(), stop.clone()));
     spawn_local(quarantine::keep(node.clone(), stop.clone()));
     spawn_local(job_scan::run(node.clone(), stop.clone()));
-    for probe in ready.into_iter().chain(metrics) {
-        let handler = Rc::new(Probe { node: node.clone() });
-        spawn_local(listen::serve(probe, handler, stop.clone()));
+    for listener in ready.into_iter().chain(metrics) {
+        let handler = Rc::new(StatusHandler { node: node.clone() });
+        spawn_local(listen::serve(listener, handler, stop.clone()));
     }
     let handler = Rc::new(Front { node: node.clone() });
     spawn_local(listen::serve(front, handler, front_stop.clone()));
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -243,7 +243,7 @@
 
     /// Breaks the answer off: it must not look complete.
     async fn abort(&self, target: &str, fault: &str) {
-        self.node().measure.count("stream.broken");
+        self.node().metrics.count("stream.broken");
         self.log("stream broken", target, fault);
         // The caller may have gone.
         let _gone = self.sender.send(Err(Broken)).await;
@@ -253,13 +253,13 @@
         let call = self.call();
         let node = self.node();
         let age = clock::since(call.started);
-        node.measure.time("stream.whole", age);
+        node.metrics.time("stream.whole", age);
         let route = &self.forward.route;
         let first = self.stats.first_after(call.started);
-        first.into_iter().for_each(|first| node.measure.time("stream.first", first));
+        first.into_iter().for_each(|first| node.metrics.time("stream.first", first));
         let is_in_time = first.is_some_and(|first| first <= route.objective);
         let is_good = fault.is_empty() && is_in_time && self.stats.slowest <= route.gap;
-        node.measure.note(&route.name, is_good, clock::now());
+        node.metrics.record_request(&route.name, is_good, clock::now());
         slog::info!(node.log, "{}", what; "request" => &call.id, "target" => target,
             "content" => hex(call.content()),
             "route" => &self.forward.route.name, "config" => self.forward.version,
--- a/crates/daemon/src/gateway/suspension.rs
+++ b/crates/daemon/src/gateway/suspension.rs
@@ -39,7 +39,7 @@
     node.suspended_for.set(total);
     slog::warn!(node.log, "was suspended"; "for_ms" => last.as_millis() as u64,
         "running" => node.running.get(), "jobs" => node.jobs.held_count());
-    node.measure.count("suspended");
+    node.metrics.count("suspended");
     node.leases.allocator.borrow_mut().on_resume(clock::now());
     node.resumed.notify_waiters();
     spawn_local(anti_entropy::compare(node.clone()));
