--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -116,7 +116,7 @@
     /// Data centres that had a member in sight, and since when they have none.
     unreachable_since: RefCell<HashMap<DataCentreId, Option<Instant>>>,
     /// Online requests in hand.
-    pub running: Cell<usize>,
+    pub in_flight: Cell<usize>,
     /// Set once a stop was ordered.
     pub stopping: CancellationToken,
 }
@@ -159,7 +159,7 @@
             unreachable_since: RefCell::default(),
             metrics: Metrics::default(),
             started: now,
-            running: Cell::new(0),
+            in_flight: Cell::new(0),
             stopping: CancellationToken::new(),
             peers,
             settings,
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -11,7 +11,7 @@
 use super::quarantine::{self, Admission};
 use super::streaming;
 use crate::clock;
-use attempt::{Again, end_of};
+use attempt::{RetryReason, end_of};
 use coordination::hash;
 use coordination::slots::{Grant, LeaseOutcome};
 use hyper::Response;
@@ -34,7 +34,7 @@
 const COME_BACK: Duration = Duration::from_millis(300);
 
 /// One request on its way.
-pub struct Forward {
+pub struct ProxiedRequest {
     /// The instance.
     pub node: Rc<Node>,
     /// The request.
@@ -58,7 +58,7 @@
 }
 
 /// An answer that has begun.
-pub struct Begun {
+pub struct TargetResponse {
     /// The answer.
     pub exchange: Exchange,
     /// The slot that it takes.
@@ -66,29 +66,29 @@
 }
 
 /// How a try without an answer ended.
-pub enum Failed {
+pub enum ForwardError {
     /// No target ran the request: refuse it.
     NotRun(AcquireError),
     /// A target may have run it.
     MayHaveRun(String),
     /// The time is over, and a target may have run it.
-    TimeOver,
+    DeadlineExceeded,
 }
 
 /// Counts a request as in hand.
-pub struct InHand(Rc<Node>);
+pub struct InFlightGuard(Rc<Node>);
 
-impl InHand {
+impl InFlightGuard {
     /// One more.
-    pub fn new(node: &Rc<Node>) -> InHand {
-        node.running.set(node.running.get() + 1);
-        InHand(node.clone())
+    pub fn new(node: &Rc<Node>) -> InFlightGuard {
+        node.in_flight.set(node.in_flight.get() + 1);
+        InFlightGuard(node.clone())
     }
 }
 
-impl Drop for InHand {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.running.set(self.0.running.get().saturating_sub(1));
+        self.0.in_flight.set(self.0.in_flight.get().saturating_sub(1));
     }
 }
 
@@ -103,14 +103,14 @@
     route: Rc<Route>,
     call: Rc<Call>,
 ) -> Result<Response<Body>, listen::Broken> {
-    let in_hand = InHand::new(node);
+    let in_flight = InFlightGuard::new(node);
     let draw = hash::of(call.id.as_bytes());
     let Some(service) = route.service(draw).cloned() else {
         let error = Error::new(Kind::NoTarget, "the route has no service");
         return Ok(refusal(node, &call.id, &error));
     };
     let version = config.table.version;
-    let mut forward = Forward {
+    let mut forward = ProxiedRequest {
         node: node.clone(),
         call,
         route,
@@ -123,25 +123,28 @@
         avoid: Vec::new(),
     };
     match forward.begin(None).await {
-        Ok(begun) => answer(forward, begun, in_hand).await,
+        Ok(begun) => answer(forward, begun, in_flight).await,
         Err(failed) => Ok(forward.fail(&failed)),
     }
 }
 
 async fn answer(
-    forward: Forward,
-    begun: Begun,
-    in_hand: InHand,
+    forward: ProxiedRequest,
+    begun: TargetResponse,
+    in_flight: InFlightGuard,
 ) -> Result<Response<Body>, listen::Broken> {
     if forward.route.class == Class::Stream && begun.exchange.head().status.is_success() {
-        return Ok(streaming::stream(forward, begun, in_hand));
+        return Ok(streaming::stream(forward, begun, in_flight));
     }
     whole(forward, begun).await
 }
 
 /// Reads an answer whole before passing it on, so that one that breaks off can
 /// be had again or be told from a whole one.
-async fn whole(mut forward: Forward, begun: Begun) -> Result<Response<Body>, listen::Broken> {
+async fn whole(
+    mut forward: ProxiedRequest,
+    begun: TargetResponse,
+) -> Result<Response<Body>, listen::Broken> {
     let mut begun = begun;
     loop {
         let head = copy(begun.exchange.head());
@@ -156,14 +159,14 @@
                 return Ok(respond(head, Body::Whole(body)));
             }
             Ok(Err(fault)) => fault,
-            Err(_) => return Ok(forward.fail(&Failed::TimeOver)),
+            Err(_) => return Ok(forward.fail(&ForwardError::DeadlineExceeded)),
         };
         forward.avoid.push(begun.lease.grant.target.clone());
         forward.may_have_run = true;
         forward.on_break(&begun.lease.grant);
         begun.lease.end(LeaseOutcome::Interrupted);
         if !forward.may_send_again() {
-            return Ok(forward.fail(&Failed::MayHaveRun(fault)));
+            return Ok(forward.fail(&ForwardError::MayHaveRun(fault)));
         }
         begun = match forward.begin(None).await {
             Ok(begun) => begun,
@@ -189,7 +192,7 @@
     copy(exchange.head())
 }
 
-impl Forward {
+impl ProxiedRequest {
     /// An answer has come to its end; one that ends with its connection may have been cut
     /// short by a crash.
     pub fn on_end(&self, is_framed: bool) {
@@ -215,7 +218,7 @@
     /// # Errors
     ///
     /// How the tries ended.
-    pub async fn begin(&mut self, after: Option<u64>) -> Result<Begun, Failed> {
+    pub async fn begin(&mut self, after: Option<u64>) -> Result<TargetResponse, ForwardError> {
         let mut unreached = 0;
         loop {
             let lease = self.admitted(after).await.map_err(|refusal| self.refused(refusal))?;
@@ -234,35 +237,35 @@
                 "age_ms" => clock::since(self.call.started).as_millis() as u64);
             self.avoid.push(target);
             match again {
-                Again::Unreached(_) => {
+                RetryReason::NotSent(_) => {
                     unreached += 1;
                     if unreached >= MOST_UNREACHED {
                         return Err(self.refused(AcquireError::Full(COME_BACK)));
                     }
                 }
-                Again::NotRun => {
+                RetryReason::NotRun => {
                     if self.sent >= self.route.attempts {
                         return Err(self.refused(AcquireError::Full(COME_BACK)));
                     }
                 }
-                Again::MayHaveRun(text) => {
+                RetryReason::MayHaveRun(text) => {
                     self.may_have_run = true;
                     if !self.may_send_again() {
-                        return Err(Failed::MayHaveRun(text));
+                        return Err(ForwardError::MayHaveRun(text));
                     }
                 }
-                Again::TimeOver => return Err(Failed::TimeOver),
+                RetryReason::DeadlineExceeded => return Err(ForwardError::DeadlineExceeded),
             }
         }
     }
 
     /// A refusal says that the request has not run, so it is one only if that is
     /// true.
-    fn refused(&self, refusal: AcquireError) -> Failed {
+    fn refused(&self, refusal: AcquireError) -> ForwardError {
         if self.may_have_run {
-            return Failed::MayHaveRun(String::from("no slot for another try"));
+            return ForwardError::MayHaveRun(String::from("no slot for another try"));
         }
-        Failed::NotRun(refusal)
+        ForwardError::NotRun(refusal)
     }
 
     /// Until when a slot brings the answer in time, and until when the caller waits.
@@ -313,15 +316,15 @@
     }
 
     /// The answer to a request that got none.
-    pub fn fail(&self, failed: &Failed) -> Response<Body> {
+    pub fn fail(&self, failed: &ForwardError) -> Response<Body> {
         let call = &self.call;
         let age = clock::since(call.started);
         let (status, cause) = match failed {
-            Failed::NotRun(AcquireError::Full(_)) => (503, "no slot"),
-            Failed::NotRun(AcquireError::NoTarget) => (503, "no target"),
-            Failed::NotRun(AcquireError::Quarantined(_)) => (503, "crashes its targets"),
-            Failed::MayHaveRun(_) => (502, "no whole answer"),
-            Failed::TimeOver => (504, "time over"),
+            ForwardError::NotRun(AcquireError::Full(_)) => (503, "no slot"),
+            ForwardError::NotRun(AcquireError::NoTarget) => (503, "no target"),
+            ForwardError::NotRun(AcquireError::Quarantined(_)) => (503, "crashes its targets"),
+            ForwardError::MayHaveRun(_) => (502, "no whole answer"),
+            ForwardError::DeadlineExceeded => (504, "time over"),
         };
         let is_repeatable = self.route.is_repeatable();
         self.node.metrics.record_request(&self.route.name, false, clock::now());
@@ -333,7 +336,7 @@
             "slot_ms" => self.slot_wait.get().as_millis() as u64, "again" => call.is_retry,
             "age_ms" => age.as_millis() as u64, "repeatable" => is_repeatable);
         match failed {
-            Failed::NotRun(refused) => {
+            ForwardError::NotRun(refused) => {
                 let after = match refused {
                     AcquireError::Full(after) | AcquireError::Quarantined(after) => *after,
                     AcquireError::NoTarget => COME_BACK,
@@ -347,7 +350,7 @@
                 error.retry_after = Some(after);
                 refusal(&self.node, &call.id, &error)
             }
-            Failed::MayHaveRun(_) | Failed::TimeOver => {
+            ForwardError::MayHaveRun(_) | ForwardError::DeadlineExceeded => {
                 self.node.metrics.count(&format!("failed.{status}"));
                 text(status, cause)
             }
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -1,6 +1,6 @@
 //! One send of a request to one target, and what its answer says.
 
-use super::{Begun, Forward};
+use super::{ProxiedRequest, TargetResponse};
 use crate::clock;
 use crate::gateway::leases::Lease;
 use bytes::Bytes;
@@ -12,14 +12,18 @@
 use std::time::Duration;
 use transport::upstream::{Exchange, Failure};
 
-impl Forward {
-    pub(super) async fn send(&mut self, lease: Lease, after: Option<u64>) -> Result<Begun, Again> {
+impl ProxiedRequest {
+    pub(super) async fn send(
+        &mut self,
+        lease: Lease,
+        after: Option<u64>,
+    ) -> Result<TargetResponse, RetryReason> {
         let now = clock::now();
         let left = self.call.left(now);
         if left.is_zero() {
-            return Err(Again::TimeOver);
+            return Err(RetryReason::DeadlineExceeded);
         }
-        let request = self.request(&lease, left, after).map_err(Again::Unreached)?;
+        let request = self.request(&lease, left, after).map_err(RetryReason::NotSent)?;
         let policy = &self.node.settings.policy;
         let overdue = self.route.objective.mul_f64(policy.overdue);
         let give_up = self.route.objective.mul_f64(policy.give_up);
@@ -43,9 +47,9 @@
                         let is_over = self.call.left(clock::now()).is_zero();
                         let text = String::from("no answer in time");
                         return Err(if is_over {
-                            Again::TimeOver
+                            RetryReason::DeadlineExceeded
                         } else {
-                            Again::MayHaveRun(text)
+                            RetryReason::MayHaveRun(text)
                         });
                     }
                 }
@@ -54,13 +58,13 @@
         match result {
             Err(Failure::NotSent(text)) => {
                 lease.end(LeaseOutcome::Unresponsive);
-                Err(Again::Unreached(text))
+                Err(RetryReason::NotSent(text))
             }
             Err(Failure::Lost(text)) => {
                 self.sent += 1;
                 self.on_break(&lease.grant);
                 lease.end(LeaseOutcome::Interrupted);
-                Err(Again::MayHaveRun(text))
+                Err(RetryReason::MayHaveRun(text))
             }
             Ok(exchange) => {
                 self.sent += 1;
@@ -96,22 +100,22 @@
     }
 
     /// Whether an answer is the one asked for, and can be passed on.
-    fn check(&self, exchange: Exchange, lease: Lease) -> Result<Begun, Again> {
+    fn check(&self, exchange: Exchange, lease: Lease) -> Result<TargetResponse, RetryReason> {
         let head = exchange.head();
         if is_not_run(head) {
             lease.end(refusal_of(head));
-            return Err(Again::NotRun);
+            return Err(RetryReason::NotRun);
         }
         if !is_own(&head.headers, &self.call.id) {
             lease.end(LeaseOutcome::Interrupted);
-            return Err(Again::MayHaveRun(String::from("an answer to another request")));
+            return Err(RetryReason::MayHaveRun(String::from("an answer to another request")));
         }
         if head.status.is_server_error() && self.may_send_again() {
             let status = head.status;
             lease.end(end_of(status));
-            return Err(Again::MayHaveRun(format!("the target answers {status}")));
+            return Err(RetryReason::MayHaveRun(format!("the target answers {status}")));
         }
-        Ok(Begun { exchange, lease })
+        Ok(TargetResponse { exchange, lease })
     }
 }
 
@@ -138,27 +142,27 @@
 }
 
 /// How a try ended that may be followed by another.
-pub(super) enum Again {
-    Unreached(String),
+pub(super) enum RetryReason {
+    NotSent(String),
     NotRun,
     MayHaveRun(String),
-    TimeOver,
+    DeadlineExceeded,
 }
 
-impl Again {
+impl RetryReason {
     pub(super) fn name(&self) -> &'static str {
         match self {
-            Again::Unreached(_) => "not sent",
-            Again::NotRun => "not run",
-            Again::MayHaveRun(_) => "may have run",
-            Again::TimeOver => "time over",
+            RetryReason::NotSent(_) => "not sent",
+            RetryReason::NotRun => "not run",
+            RetryReason::MayHaveRun(_) => "may have run",
+            RetryReason::DeadlineExceeded => "time over",
         }
     }
 
     pub(super) fn text(&self) -> &str {
         match self {
-            Again::Unreached(text) | Again::MayHaveRun(text) => text,
-            Again::NotRun | Again::TimeOver => "",
+            RetryReason::NotSent(text) | RetryReason::MayHaveRun(text) => text,
+            RetryReason::NotRun | RetryReason::DeadlineExceeded => "",
         }
     }
 }
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -91,7 +91,7 @@
         }
     }
     drain(&node, &front_stop).await;
-    slog::info!(node.log, "stopped"; "running" => node.running.get());
+    slog::info!(node.log, "stopped"; "running" => node.in_flight.get());
     stop.cancel();
     Ok(())
 }
@@ -116,7 +116,7 @@
 /// their end.
 async fn drain(node: &Rc<Node>, front: &CancellationToken) {
     let since = clock::now();
-    slog::info!(node.log, "stop ordered"; "running" => node.running.get(),
+    slog::info!(node.log, "stop ordered"; "running" => node.in_flight.get(),
         "jobs" => node.jobs.held_count());
     node.stopping.cancel();
     node.members.borrow_mut().leave();
@@ -129,7 +129,7 @@
     });
     loop {
         tokio::time::sleep(STOP_LOOK).await;
-        let left = node.running.get() + usize::from(!over.is_finished());
+        let left = node.in_flight.get() + usize::from(!over.is_finished());
         let is_closed = front.is_cancelled();
         match drain::phase(plan, since, left, is_closed, clock::now()) {
             Phase::Exit => break,
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -5,7 +5,9 @@
 use super::front::Call;
 use super::leases::{AcquireError, Lease};
 use super::node::Node;
-use super::online::{Begun, Failed, Forward, InHand, head_of, respond};
+use super::online::{
+    ForwardError, InFlightGuard, ProxiedRequest, TargetResponse, head_of, respond,
+};
 use crate::clock;
 use bytes::{Bytes, BytesMut};
 use coordination::slots::LeaseOutcome;
@@ -54,19 +56,23 @@
 }
 
 /// The answer to a stream's request; its events follow from a task of their own.
-pub fn stream(forward: Forward, begun: Begun, in_hand: InHand) -> Response<Body> {
+pub fn stream(
+    forward: ProxiedRequest,
+    begun: TargetResponse,
+    in_flight: InFlightGuard,
+) -> Response<Body> {
     let head = head_of(&begun.exchange);
     let (sender, body) = listen::stream();
     tokio::task::spawn_local(async move {
         let mut stream = Stream { forward, last_event: None, sender, stats: EventStats::default() };
         stream.run(begun).await;
-        drop(in_hand);
+        drop(in_flight);
     });
     respond(head, body)
 }
 
 struct Stream {
-    forward: Forward,
+    forward: ProxiedRequest,
     last_event: Option<u64>,
     sender: Sender,
     stats: EventStats,
@@ -87,7 +93,7 @@
 }
 
 impl Stream {
-    async fn run(&mut self, begun: Begun) {
+    async fn run(&mut self, begun: TargetResponse) {
         let mut begun = begun;
         loop {
             let target = begun.lease.grant.target.clone();
@@ -118,19 +124,23 @@
                     begun.lease.end(LeaseOutcome::Completed);
                     return self.abort(&target, &format!("the next target answers {status}")).await;
                 }
-                Err(Failed::NotRun(AcquireError::Quarantined(_))) => {
+                Err(ForwardError::NotRun(AcquireError::Quarantined(_))) => {
                     return self.abort(&target, "crashes its targets").await;
                 }
-                Err(Failed::NotRun(_)) => return self.abort(&target, "no slot to go on").await,
-                Err(Failed::MayHaveRun(fault)) => return self.abort(&target, &fault).await,
-                Err(Failed::TimeOver) => return self.abort(&target, "time over").await,
+                Err(ForwardError::NotRun(_)) => {
+                    return self.abort(&target, "no slot to go on").await;
+                }
+                Err(ForwardError::MayHaveRun(fault)) => return self.abort(&target, &fault).await,
+                Err(ForwardError::DeadlineExceeded) => {
+                    return self.abort(&target, "time over").await;
+                }
             };
         }
     }
 
     /// Passes on what one target sends.
-    async fn forward_response(&mut self, begun: Begun) -> StreamEnd {
-        let Begun { mut exchange, mut lease } = begun;
+    async fn forward_response(&mut self, begun: TargetResponse) -> StreamEnd {
+        let TargetResponse { mut exchange, mut lease } = begun;
         let mut splitter = Splitter::default();
         self.stats = EventStats { began: Some(clock::now()), ..EventStats::default() };
         let stop = self.forward_events(&mut exchange, &lease, &mut splitter).await;
--- a/crates/daemon/src/gateway/suspension.rs
+++ b/crates/daemon/src/gateway/suspension.rs
@@ -38,7 +38,7 @@
     }
     node.suspended_for.set(total);
     slog::warn!(node.log, "was suspended"; "for_ms" => last.as_millis() as u64,
-        "running" => node.running.get(), "jobs" => node.jobs.held_count());
+        "running" => node.in_flight.get(), "jobs" => node.jobs.held_count());
     node.metrics.count("suspended");
     node.leases.allocator.borrow_mut().on_resume(clock::now());
     node.resumed.notify_waiters();
