--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -16,18 +16,18 @@
 use transport::listen::{self, Body, Broken, Handler};
 
 /// Head limit before a configuration tells one.
-const HEAD_LIMIT: usize = 64 << 10;
+const DEFAULT_MAX_HEAD_BYTES: usize = 64 << 10;
 /// Time after a start in which requests are held until there are a configuration and
 /// targets. They come from the platform or from another instance, within some 0.3 s; of
 /// the requests that came meanwhile, 786 were refused after a fleet had lost all power.
-const STARTING: Duration = Duration::from_secs(1);
+const STARTUP_WAIT: Duration = Duration::from_secs(1);
 /// Time between looks whether there is one.
-const CONFIG_LOOK: Duration = Duration::from_millis(10);
+const CONFIG_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Longest time in which a body must be in, when the caller tells none.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const MAX_BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One call as it was read.
-pub struct Call {
+pub struct CallerRequest {
     /// Its id; the caller chose it.
     pub id: String,
     /// Method.
@@ -48,7 +48,7 @@
     pub until: Instant,
 }
 
-impl Call {
+impl CallerRequest {
     /// What it asks for, the same each time that it comes.
     pub fn content(&self) -> ContentId {
         hash::content(self.method.as_str(), &self.host, &self.target, &self.body)
@@ -61,12 +61,12 @@
 }
 
 /// Serves callers.
-pub struct Front {
+pub struct HttpHandler {
     /// The instance.
     pub node: Rc<Node>,
 }
 
-impl Handler for Front {
+impl Handler for HttpHandler {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Result<Response<Body>, Broken> {
         let started = clock::now();
         let node = &self.node;
@@ -84,7 +84,7 @@
 
     fn head_limit(&self) -> usize {
         let config = self.node.config();
-        config.map_or(HEAD_LIMIT, |config| config.table.limits.head_bytes)
+        config.map_or(DEFAULT_MAX_HEAD_BYTES, |config| config.table.limits.head_bytes)
     }
 }
 
@@ -119,8 +119,8 @@
     let wait = header::millis(&parts.headers, header::TIME_LEFT);
     let until = started + wait.unwrap_or(route.timeout).min(route.timeout);
     let limit = config.table.limits.body_bytes;
-    let body_time = wait.unwrap_or(BODY_TIME).min(BODY_TIME);
-    let body = match tokio::time::timeout(body_time, listen::read(&mut body, limit)).await {
+    let body_timeout = wait.unwrap_or(MAX_BODY_TIMEOUT).min(MAX_BODY_TIMEOUT);
+    let body = match tokio::time::timeout(body_timeout, listen::read(&mut body, limit)).await {
         Ok(read) => read?,
         Err(_) => {
             return Ok(refusal(node, &id, &Error::new(Kind::SlowCaller, "the body is late")));
@@ -134,15 +134,15 @@
     let headers = header::passed_on(&parts.headers);
     let is_retry = wait.is_some_and(|wait| node.is_retry(&route.name, wait));
     let method = parts.method;
-    let call = Call { id, method, target, host, headers, body, is_retry, started, until };
+    let call = CallerRequest { id, method, target, host, headers, body, is_retry, started, until };
     serve(node, &config, route, call).await
 }
 
 /// The configuration in force; an instance that has just started is about to have one,
 /// and to know targets.
 async fn config(node: &Node) -> Option<Rc<Config>> {
-    while !node.is_initialized() && clock::since(node.started) < STARTING {
-        tokio::time::sleep(CONFIG_LOOK).await;
+    while !node.is_initialized() && clock::since(node.started) < STARTUP_WAIT {
+        tokio::time::sleep(CONFIG_POLL_INTERVAL).await;
     }
     node.config()
 }
@@ -151,7 +151,7 @@
     node: &Rc<Node>,
     config: &Config,
     route: Route,
-    call: Call,
+    call: CallerRequest,
 ) -> Result<Response<Body>, Broken> {
     if route.class == Class::Batch {
         return Ok(submit::submit(node, &route, &call).await);
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -5,7 +5,7 @@
 pub use attempt::{is_not_run, is_own, refusal_of};
 
 use super::crash::{self, Broken, hex};
-use super::front::{Call, refusal, text};
+use super::front::{CallerRequest, refusal, text};
 use super::leases::{self, AcquireError, Lease, SlotQuery};
 use super::node::{Config, Node};
 use super::quarantine::{self, Admission};
@@ -38,7 +38,7 @@
     /// The instance.
     pub node: Rc<Node>,
     /// The request.
-    pub call: Rc<Call>,
+    pub call: Rc<CallerRequest>,
     /// Its route.
     pub route: Rc<Route>,
     /// Service that runs it.
@@ -101,7 +101,7 @@
     node: &Rc<Node>,
     config: &Config,
     route: Rc<Route>,
-    call: Rc<Call>,
+    call: Rc<CallerRequest>,
 ) -> Result<Response<Body>, listen::Broken> {
     let in_flight = InFlightGuard::new(node);
     let draw = hash::of(call.id.as_bytes());
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -1,6 +1,6 @@
 //! Brings a gateway up, and takes it down again.
 
-use super::front::Front;
+use super::front::HttpHandler;
 use super::metrics::StatusHandler;
 use super::node::Node;
 use super::peers::{HEARTBEAT_TIMEOUT, PeerHandler};
@@ -28,7 +28,7 @@
 use transport::{http, listen};
 
 /// Time between looks whether a stop is done.
-const STOP_LOOK: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How much earlier than its bound the process ends, so that it isn't killed
 /// in the middle of its last words.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
@@ -82,7 +82,7 @@
         let handler = Rc::new(StatusHandler { node: node.clone() });
         spawn_local(listen::serve(listener, handler, stop.clone()));
     }
-    let handler = Rc::new(Front { node: node.clone() });
+    let handler = Rc::new(HttpHandler { node: node.clone() });
     spawn_local(listen::serve(front, handler, front_stop.clone()));
     loop {
         tokio::select! {
@@ -128,7 +128,7 @@
         async move { items::hand_off_jobs(&node).await }
     });
     loop {
-        tokio::time::sleep(STOP_LOOK).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
         let left = node.in_flight.get() + usize::from(!over.is_finished());
         let is_closed = front.is_cancelled();
         match drain::phase(plan, since, left, is_closed, clock::now()) {
@@ -138,5 +138,5 @@
         }
     }
     front.cancel();
-    tokio::time::sleep(STOP_LOOK).await;
+    tokio::time::sleep(STOP_POLL_INTERVAL).await;
 }
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -2,7 +2,7 @@
 //! goes on at another target where it broke.
 
 use super::crash::hex;
-use super::front::Call;
+use super::front::CallerRequest;
 use super::leases::{AcquireError, Lease};
 use super::node::Node;
 use super::online::{
@@ -243,7 +243,7 @@
         if self.stats.chunks == 0 { route.objective } else { route.gap * IDLE_GAP_FACTOR }
     }
 
-    fn call(&self) -> &Rc<Call> {
+    fn call(&self) -> &Rc<CallerRequest> {
         &self.forward.call
     }
 
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -1,7 +1,7 @@
 //! Submissions of batch jobs: kept on the platform before they are acknowledged.
 
 use super::cause::Cause;
-use super::front::{Call, refusal, text};
+use super::front::{CallerRequest, refusal, text};
 use super::job_store::{self, StoredJob};
 use super::message::{PeerReply, PeerRequest, SubmitOutcome};
 use super::node::{Node, millis};
@@ -38,7 +38,7 @@
 pub const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Answers a submission.
-pub async fn submit(node: &Rc<Node>, route: &Route, call: &Call) -> Response<Body> {
+pub async fn submit(node: &Rc<Node>, route: &Route, call: &CallerRequest) -> Response<Body> {
     let until = call.started + call.left(call.started).mul_f64(CONFIRM_TIME_RATIO);
     let mut outcome = accept(node, route, call, until).await;
     if outcome == SubmitOutcome::Refused && !node.is_stopping() || node.store.last_call_failed() {
@@ -84,7 +84,7 @@
         return SubmitOutcome::Refused;
     };
     let now = clock::now();
-    let call = Call {
+    let call = CallerRequest {
         id: id.to_owned(),
         method: hyper::Method::POST,
         target: path.to_owned(),
@@ -99,7 +99,7 @@
 }
 
 /// Has other instances keep a submission.
-async fn forward(node: &Rc<Node>, call: &Call, outcome: SubmitOutcome) -> SubmitOutcome {
+async fn forward(node: &Rc<Node>, call: &CallerRequest, outcome: SubmitOutcome) -> SubmitOutcome {
     let Ok(body) = std::str::from_utf8(&call.body) else {
         return SubmitOutcome::Malformed;
     };
@@ -135,7 +135,12 @@
 }
 
 /// Keeps a job on the platform, or finds it kept already.
-async fn accept(node: &Rc<Node>, route: &Route, call: &Call, until: Instant) -> SubmitOutcome {
+async fn accept(
+    node: &Rc<Node>,
+    route: &Route,
+    call: &CallerRequest,
+    until: Instant,
+) -> SubmitOutcome {
     let id = &call.id;
     if node.jobs.held_job(id).is_some() || node.jobs.directory.borrow().contains_key(id) {
         return SubmitOutcome::Accepted;
