--- a/crates/daemon/src/gateway/crash.rs
+++ b/crates/daemon/src/gateway/crash.rs
@@ -20,11 +20,11 @@
 /// All connections to a process that is gone break together; those of one target within this
 /// time are looked into with one attempt to connect. In a replay of 42 crashes they broke
 /// within 4 ms.
-const GATHER: Duration = Duration::from_millis(5);
+const BATCH_WINDOW: Duration = Duration::from_millis(5);
 
 /// A request or item whose answer broke off.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct BrokenRequest {
     /// Its id.
     pub id: String,
     /// What it asks for.
@@ -33,25 +33,25 @@
 
 /// Targets that are being looked into, with what broke off there.
 #[derive(Default)]
-pub struct Inquiries(RefCell<HashMap<TargetId, Vec<Broken>>>);
+pub struct CrashChecks(RefCell<HashMap<TargetId, Vec<BrokenRequest>>>);
 
 /// The answer of a target broke off.
-pub fn on_break(node: &Rc<Node>, grant: &Grant, broken: Broken) {
+pub fn on_interrupted(node: &Rc<Node>, grant: &Grant, broken: BrokenRequest) {
     let is_first = {
-        let mut open = node.inquiries.0.borrow_mut();
-        let broken_there = open.entry(grant.target.clone()).or_default();
+        let mut pending = node.crash_checks.0.borrow_mut();
+        let broken_there = pending.entry(grant.target.clone()).or_default();
         broken_there.push(broken);
         broken_there.len() == 1
     };
     if is_first {
-        spawn_local(inquire(node.clone(), grant.target.clone(), grant.address));
+        spawn_local(check_target(node.clone(), grant.target.clone(), grant.address));
     }
 }
 
-async fn inquire(node: Rc<Node>, target: TargetId, address: SocketAddr) {
-    tokio::time::sleep(GATHER).await;
+async fn check_target(node: Rc<Node>, target: TargetId, address: SocketAddr) {
+    tokio::time::sleep(BATCH_WINDOW).await;
     let presence = node.targets.presence(address).await;
-    let broken = node.inquiries.0.borrow_mut().remove(&target).unwrap_or_default();
+    let broken = node.crash_checks.0.borrow_mut().remove(&target).unwrap_or_default();
     // What a target that leaves cuts off at its end is no crash.
     let has_left = node.registry.borrow().has_left(&target);
     let ids: Vec<&String> = broken.iter().map(|broken| &broken.id).collect();
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -1,7 +1,7 @@
 //! One run of one item on a slot: sends it, takes its events, and says how it ended.
 
 use crate::clock;
-use crate::gateway::crash::{self, Broken, hex};
+use crate::gateway::crash::{self, BrokenRequest, hex};
 use crate::gateway::job_table::HeldJob;
 use crate::gateway::leases::Lease;
 use crate::gateway::node::{Node, millis};
@@ -101,7 +101,11 @@
         }
         RunEnd::Stopped(end, _) => {
             if end == LeaseOutcome::Interrupted {
-                crash::on_break(&node, &lease.grant, Broken { id: item.id.clone(), content });
+                crash::on_interrupted(
+                    &node,
+                    &lease.grant,
+                    BrokenRequest { id: item.id.clone(), content },
+                );
             }
             lease.end(end);
             if end != LeaseOutcome::Unused {
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -1,7 +1,7 @@
 //! What one instance of the gateway knows.
 
 use super::broadcast::Outbox;
-use super::crash::Inquiries;
+use super::crash::CrashChecks;
 use super::job_table::JobTable;
 use super::leases::Leases;
 use super::message::{Connectivity, PeerReply, PeerRequest, StateDigest, Uptime, decode, encode};
@@ -102,7 +102,7 @@
     /// Whether this instance has learnt since its start which requests are held.
     pub knows_strikes: Cell<bool>,
     /// Targets whose answers broke off, and are looked into.
-    pub inquiries: Inquiries,
+    pub crash_checks: CrashChecks,
     /// How long the machine was suspended, as far as that was noticed.
     pub suspended_for: Cell<Duration>,
     /// The machine was suspended and has woken.
@@ -150,7 +150,7 @@
             )),
             strikes_changed: Notify::new(),
             knows_strikes: Cell::new(false),
-            inquiries: Inquiries::default(),
+            crash_checks: CrashChecks::default(),
             suspended_for: Cell::default(),
             resumed: Notify::new(),
             disconnected: RefCell::default(),
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -4,7 +4,7 @@
 
 pub use attempt::{is_not_run, is_own, refusal_of};
 
-use super::crash::{self, Broken, hex};
+use super::crash::{self, BrokenRequest, hex};
 use super::front::{CallerRequest, refusal, text};
 use super::leases::{self, AcquireError, Lease, SlotQuery};
 use super::node::{Config, Node};
@@ -163,7 +163,7 @@
         };
         forward.avoid.push(begun.lease.grant.target.clone());
         forward.may_have_run = true;
-        forward.on_break(&begun.lease.grant);
+        forward.on_interrupted(&begun.lease.grant);
         begun.lease.end(LeaseOutcome::Interrupted);
         if !forward.may_send_again() {
             return Ok(forward.fail(&ForwardError::MayHaveRun(fault)));
@@ -202,9 +202,9 @@
     }
 
     /// The connection broke before the target's answer was whole.
-    pub fn on_break(&self, grant: &Grant) {
-        let broken = Broken { id: self.call.id.clone(), content: self.call.content() };
-        crash::on_break(&self.node, grant, broken);
+    pub fn on_interrupted(&self, grant: &Grant) {
+        let broken = BrokenRequest { id: self.call.id.clone(), content: self.call.content() };
+        crash::on_interrupted(&self.node, grant, broken);
     }
 
     /// Whether the request may be sent to another target.
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -62,7 +62,7 @@
             }
             Err(Failure::Lost(text)) => {
                 self.sent += 1;
-                self.on_break(&lease.grant);
+                self.on_interrupted(&lease.grant);
                 lease.end(LeaseOutcome::Interrupted);
                 Err(RetryReason::MayHaveRun(text))
             }
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -148,7 +148,7 @@
         let is_framed = exchange.is_framed();
         drop(exchange);
         match stop {
-            StreamEnd::Interrupted(_) => self.forward.on_break(&lease.grant),
+            StreamEnd::Interrupted(_) => self.forward.on_interrupted(&lease.grant),
             StreamEnd::Completed => self.forward.on_end(is_framed),
             StreamEnd::CallerGone | StreamEnd::DeadlineExceeded | StreamEnd::Idle => {}
         }
