--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -19,9 +19,9 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
+use transport::channel::RequestReceiver;
 use transport::cut::Cut;
 use transport::peer::{Entries, Handler, Pool};
-use transport::ring::Drain;
 
 const CAPACITY: usize = 4096;
 /// Longest wait for a heartbeat's answer.
@@ -319,7 +319,7 @@
         lock(&self.shared.table).get(*chosen).map(|member| member.peer)
     }
 
-    async fn serve_calls(self, mut calls: Drain<Call>, stop: CancellationToken) {
+    async fn serve_calls(self, mut calls: RequestReceiver<Call>, stop: CancellationToken) {
         loop {
             let call = tokio::select! {
                 call = calls.recv() => call,
@@ -347,7 +347,7 @@
 pub async fn run(
     shared: Arc<Shared>,
     listener: TcpListener,
-    calls: Drain<Call>,
+    calls: RequestReceiver<Call>,
     cut: Cut,
     stop: CancellationToken,
 ) {
--- a/crates/daemon/src/peers/calls.rs
+++ b/crates/daemon/src/peers/calls.rs
@@ -3,8 +3,8 @@
 use super::{CAPACITY, GATHER, PING_TIMEOUT};
 use std::net::SocketAddr;
 use std::time::Duration;
+use transport::channel::{self, ReplySender, RequestReceiver, RequestSender};
 use transport::peer::{Entries, Fault};
-use transport::ring::{self, Answer, Drain, Ring};
 
 /// A call of another duty.
 pub enum Call {
@@ -19,7 +19,7 @@
         /// Longest wait.
         limit: Duration,
         /// Where the answer goes.
-        answer: Answer<Result<Vec<u8>, Fault>>,
+        answer: ReplySender<Result<Vec<u8>, Fault>>,
     },
     /// Configuration entries of a member.
     Entries {
@@ -28,18 +28,18 @@
         /// The generation in force here.
         after: u64,
         /// Where the answer goes.
-        answer: Answer<Result<Entries, Fault>>,
+        answer: ReplySender<Result<Entries, Fault>>,
     },
 }
 
 /// The peers as other duties see them.
 #[derive(Clone)]
-pub struct Handle(Ring<Call>);
+pub struct Handle(RequestSender<Call>);
 
 /// A handle and the duty's own end.
-pub fn duty() -> (Handle, Drain<Call>) {
-    let (ring, drain) = ring::ring("peers", CAPACITY);
-    (Handle(ring), drain)
+pub fn duty() -> (Handle, RequestReceiver<Call>) {
+    let (sender, receiver) = channel::channel("peers", CAPACITY);
+    (Handle(sender), receiver)
 }
 
 impl Handle {
--- a/crates/daemon/src/shards.rs
+++ b/crates/daemon/src/shards.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
+use transport::channel::{self, RequestReceiver, RequestSender};
 use transport::peer::Fault;
-use transport::ring::{self, Drain, Ring};
 
 mod commit;
 mod load;
@@ -31,23 +31,23 @@
     /// Command.
     pub command: Command,
     /// Where the answer goes.
-    pub answer: ring::Answer<Answer>,
+    pub answer: channel::ReplySender<Answer>,
 }
 
 /// The log as other duties see it.
 #[derive(Clone)]
 pub struct Handle {
-    ring: Ring<Item>,
+    sender: RequestSender<Item>,
     shards: u32,
     limit: Duration,
 }
 
 /// A handle and the duty's own end.
-pub fn duty(settings: &Settings) -> (Handle, Drain<Item>) {
-    let (ring, drain) = ring::ring("log", CAPACITY);
+pub fn duty(settings: &Settings) -> (Handle, RequestReceiver<Item>) {
+    let (sender, receiver) = channel::channel("log", CAPACITY);
     // Two platform calls and a read-back fit into this.
     let limit = settings.platform_timeout * 3 + settings.commit;
-    (Handle { ring, shards: settings.shards, limit }, drain)
+    (Handle { sender, shards: settings.shards, limit }, receiver)
 }
 
 impl Handle {
@@ -96,13 +96,13 @@
     /// What it answered, or `Undetermined` when it took too long.
     pub async fn local(&self, shard: ShardId, command: Command) -> Answer {
         let make = |answer| Item { shard, command, answer };
-        self.ring.call(self.limit, make).await.unwrap_or_else(Err)
+        self.sender.call(self.limit, make).await.unwrap_or_else(Err)
     }
 }
 
 /// Runs committers until `stop`, then lets those with work finish it.
-pub async fn run(shared: Arc<Shared>, mut items: Drain<Item>, stop: CancellationToken) {
-    let mut committers: HashMap<ShardId, Ring<Item>> = HashMap::new();
+pub async fn run(shared: Arc<Shared>, mut items: RequestReceiver<Item>, stop: CancellationToken) {
+    let mut committers: HashMap<ShardId, RequestSender<Item>> = HashMap::new();
     loop {
         let item = tokio::select! {
             item = items.recv() => item,
@@ -112,13 +112,13 @@
             return;
         };
         let shard = item.shard;
-        let ring = committers.entry(shard).or_insert_with(|| {
-            let (ring, drain) = ring::ring("shard", SHARD_CAPACITY);
+        let sender = committers.entry(shard).or_insert_with(|| {
+            let (sender, receiver) = channel::channel("shard", SHARD_CAPACITY);
             let committer = commit::Committer::new(shared.clone(), shared.store.clone(), shard);
-            tokio::spawn(committer.run(drain, stop.clone()));
-            ring
+            tokio::spawn(committer.run(receiver, stop.clone()));
+            sender
         });
-        if let Err(error) = ring.send_or_return(item) {
+        if let Err(error) = sender.try_send(item) {
             let (item, error) = *error;
             drop(item.answer.send(Err(error)));
         }
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio_util::sync::CancellationToken;
-use transport::ring::Drain;
+use transport::channel::RequestReceiver;
 
 mod housekeeping;
 
@@ -93,7 +93,7 @@
     }
 
     /// Commits until `stop` and the queue is empty.
-    pub async fn run(mut self, mut items: Drain<Item>, stop: CancellationToken) {
+    pub async fn run(mut self, mut items: RequestReceiver<Item>, stop: CancellationToken) {
         let mut housekeeping = tokio::time::interval(HOUSEKEEPING);
         loop {
             tokio::select! {
@@ -113,7 +113,7 @@
         }
     }
 
-    fn collect(&mut self, items: &mut Drain<Item>) {
+    fn collect(&mut self, items: &mut RequestReceiver<Item>) {
         while self.queue.len() < MOST_COMMANDS {
             let Ok(item) = items.try_recv() else {
                 return;
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -22,8 +22,8 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
+use transport::channel::{self, ReplySender, RequestReceiver, RequestSender};
 use transport::cut::Cut;
-use transport::ring::{self, Answer, Drain, Ring};
 
 /// Calls that may wait for the duty; more fail at once.
 const CAPACITY: usize = 4096;
@@ -62,20 +62,20 @@
 }
 
 enum Call {
-    Get(String, Answer<Result<Option<Value>, Fault>>),
-    Put(String, Bytes, Condition, Answer<Result<Revision, Fault>>),
-    Delete(String, Answer<Result<(), Fault>>),
-    Keys(String, Answer<Result<Changes, Fault>>),
-    Watch(String, Option<Revision>, Duration, Answer<Result<Changes, Fault>>),
-    Targets(Answer<Result<Vec<Listed>, Fault>>),
-    Instances(Answer<Result<Vec<SocketAddr>, Fault>>),
-    Register(String, instance::Entry, Answer<Result<(), Fault>>),
+    Get(String, ReplySender<Result<Option<Value>, Fault>>),
+    Put(String, Bytes, Condition, ReplySender<Result<Revision, Fault>>),
+    Delete(String, ReplySender<Result<(), Fault>>),
+    Keys(String, ReplySender<Result<Changes, Fault>>),
+    Watch(String, Option<Revision>, Duration, ReplySender<Result<Changes, Fault>>),
+    Targets(ReplySender<Result<Vec<Listed>, Fault>>),
+    Instances(ReplySender<Result<Vec<SocketAddr>, Fault>>),
+    Register(String, instance::Entry, ReplySender<Result<(), Fault>>),
 }
 
 /// The store, for the other duties.
 #[derive(Clone)]
 pub struct Handle {
-    ring: Ring<Call>,
+    sender: RequestSender<Call>,
     limit: Duration,
     counts: Arc<Counts>,
 }
@@ -84,10 +84,10 @@
     async fn ask<T>(
         &self,
         limit: Duration,
-        call: impl FnOnce(Answer<Result<T, Fault>>) -> Call,
+        call: impl FnOnce(ReplySender<Result<T, Fault>>) -> Call,
     ) -> Result<T, Fault> {
         self.counts.calls.fetch_add(1, Ordering::Relaxed);
-        let result = match self.ring.call(limit, call).await {
+        let result = match self.sender.call(limit, call).await {
             Ok(result) => result,
             Err(error) if error.kind == protocol::Kind::Undetermined => {
                 Err(Fault::Lost(error.message))
@@ -193,17 +193,17 @@
 
 /// The duty's own end: run it on a thread of its own, inside a `LocalSet`.
 pub struct Duty {
-    calls: Drain<Call>,
+    calls: RequestReceiver<Call>,
     config: Config,
 }
 
 /// A handle for the other duties, and the duty itself.
 pub fn duty(config: Config) -> (Handle, Duty) {
-    let (ring, calls) = ring::ring("platform", CAPACITY);
+    let (sender, calls) = channel::channel("platform", CAPACITY);
     // The handle waits longer than one call may take, so that the call's own
     // verdict (sent or not) arrives before the handle gives up on it.
     let limit = config.timeout * 2;
-    (Handle { ring, limit, counts: Arc::default() }, Duty { calls, config })
+    (Handle { sender, limit, counts: Arc::default() }, Duty { calls, config })
 }
 
 impl Duty {
--- a/crates/transport/src/ring.rs
+++ b/crates/transport/src/channel.rs
@@ -1,6 +1,6 @@
 //! Bounded rings that join the duties of a daemon.
 //!
-//! A full ring is an answer to give, not a place to wait: [`Ring::call`] fails
+//! A full ring is an answer to give, not a place to wait: [`RequestSender::call`] fails
 //! at once with `Overloaded`. The ring is tokio's bounded channel rather than a
 //! single-producer one, because every front thread writes to the same duty.
 
@@ -10,30 +10,30 @@
 
 /// Sending end of a ring.
 #[derive(Debug)]
-pub struct Ring<T> {
+pub struct RequestSender<T> {
     name: &'static str,
     sender: mpsc::Sender<T>,
 }
 
-impl<T> Clone for Ring<T> {
-    fn clone(&self) -> Ring<T> {
-        Ring { name: self.name, sender: self.sender.clone() }
+impl<T> Clone for RequestSender<T> {
+    fn clone(&self) -> RequestSender<T> {
+        RequestSender { name: self.name, sender: self.sender.clone() }
     }
 }
 
 /// Receiving end of a ring.
-pub type Drain<T> = mpsc::Receiver<T>;
+pub type RequestReceiver<T> = mpsc::Receiver<T>;
 
 /// Where the answer to one call goes.
-pub type Answer<T> = oneshot::Sender<T>;
+pub type ReplySender<T> = oneshot::Sender<T>;
 
 /// A ring of `capacity` places; `name` appears in errors.
-pub fn ring<T>(name: &'static str, capacity: usize) -> (Ring<T>, Drain<T>) {
+pub fn channel<T>(name: &'static str, capacity: usize) -> (RequestSender<T>, RequestReceiver<T>) {
     let (sender, receiver) = mpsc::channel(capacity);
-    (Ring { name, sender }, receiver)
+    (RequestSender { name, sender }, receiver)
 }
 
-impl<T> Ring<T> {
+impl<T> RequestSender<T> {
     /// Puts a message on the ring.
     ///
     /// # Errors
@@ -52,8 +52,8 @@
     ///
     /// # Errors
     ///
-    /// As [`Ring::send`].
-    pub fn send_or_return(&self, message: T) -> Result<(), Box<(T, Error)>> {
+    /// As [`RequestSender::send`].
+    pub fn try_send(&self, message: T) -> Result<(), Box<(T, Error)>> {
         self.sender.try_send(message).map_err(|error| match error {
             mpsc::error::TrySendError::Full(message) => {
                 let text = format!("ring `{}` is full", self.name);
@@ -67,11 +67,11 @@
     ///
     /// # Errors
     ///
-    /// As [`Ring::send`]; `Undetermined` when no answer came in time.
+    /// As [`RequestSender::send`]; `Undetermined` when no answer came in time.
     pub async fn call<R>(
         &self,
         limit: Duration,
-        message: impl FnOnce(Answer<R>) -> T,
+        message: impl FnOnce(ReplySender<R>) -> T,
     ) -> Result<R, Error> {
         let (answer, wait) = oneshot::channel();
         self.send(message(answer))?;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -7,13 +7,14 @@
 //! What it is not: a place for retries. A retry needs to know whether the work
 //! may run twice, and only the caller of this crate knows that.
 
+pub mod channel;
 pub mod clock;
 pub mod cut;
 pub mod event;
 pub mod http;
 pub mod listen;
 pub mod peer;
-pub mod ring;
+
 pub mod sse;
 pub mod target;
 pub mod upstream;
