--- a/crates/coordination/src/hash.rs
+++ b/crates/coordination/src/hash.rs
@@ -1,6 +1,6 @@
 //! Hashes that every instance computes alike.
 
-use protocol::ContentId;
+use protocol::RequestFingerprint;
 use xxhash_rust::xxh3::{Xxh3Default, xxh3_64, xxh3_64_with_seed};
 
 /// Hash of `bytes`, the same on every instance and in every version.
@@ -9,7 +9,7 @@
 }
 
 /// What a request asks for: the same for every try of it, whatever its id.
-pub fn content(method: &str, host: &str, path: &str, body: &[u8]) -> ContentId {
+pub fn content(method: &str, host: &str, path: &str, body: &[u8]) -> RequestFingerprint {
     let mut hasher = Xxh3Default::new();
     for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
         // Lengths keep the parts apart.
--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -31,7 +31,7 @@
 
 pub use types::{Boot, Policy, Strike, Verdict};
 
-use protocol::ContentId;
+use protocol::RequestFingerprint;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
@@ -65,9 +65,9 @@
 #[derive(Clone, Debug)]
 pub struct Table {
     policy: Policy,
-    rows: HashMap<ContentId, Row>,
+    rows: HashMap<RequestFingerprint, Row>,
     /// Requests that are held, with the crashes that nothing else explains.
-    held: HashMap<ContentId, usize>,
+    held: HashMap<RequestFingerprint, usize>,
     digest: u64,
     /// When strikes were last looked through for old ones.
     looked: Instant,
@@ -85,7 +85,7 @@
     }
 
     /// Crashes that count against a request and weren't acquitted.
-    pub fn crashes(&self, content: ContentId) -> usize {
+    pub fn crashes(&self, content: RequestFingerprint) -> usize {
         self.rows.get(&content).map_or(0, |row| row.standing().count())
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Requests that are held now, each with its crashes that weren't acquitted.
-    pub fn held_requests(&self) -> Vec<(ContentId, usize)> {
+    pub fn held_requests(&self) -> Vec<(RequestFingerprint, usize)> {
         self.held.keys().map(|content| (*content, self.crashes(*content))).collect()
     }
 
@@ -136,7 +136,7 @@
     /// A request came to its end on a target, so it crashes none: the strikes that this
     /// acquits, to be told if there are several. A single one holds nobody, and most of what
     /// ran beside a crash has one; told or not, it is made up for once it is shared.
-    pub fn on_success(&mut self, content: ContentId, now: Instant) -> Vec<Strike> {
+    pub fn on_success(&mut self, content: RequestFingerprint, now: Instant) -> Vec<Strike> {
         let before = self.share(content);
         let Some(row) = self.rows.get_mut(&content) else {
             return Vec::new();
@@ -165,19 +165,19 @@
     }
 
     /// What the digest holds of a request.
-    fn share(&self, content: ContentId) -> u64 {
+    fn share(&self, content: RequestFingerprint) -> u64 {
         let row = self.rows.get(&content).filter(|row| row.strikes.len() > 1);
         let strikes = row.into_iter().flat_map(|row| row.strikes.iter());
         strikes.fold(0, |sum, (boot, entry)| sum.wrapping_add(told_digest(content, boot, entry)))
     }
 
     /// Makes the digest agree after a change of a request; `before` is its share then.
-    fn update_digest(&mut self, content: ContentId, before: u64) {
+    fn update_digest(&mut self, content: RequestFingerprint, before: u64) {
         self.digest = self.digest.wrapping_sub(before).wrapping_add(self.share(content));
     }
 
     /// Whether a request may be sent.
-    pub fn verdict(&self, content: ContentId, now: Instant) -> Verdict {
+    pub fn verdict(&self, content: RequestFingerprint, now: Instant) -> Verdict {
         let Some(crashes) = self.held.get(&content) else {
             return Verdict::Free;
         };
@@ -195,7 +195,7 @@
 
     /// Grants one trial of a held request whose time has come. Only one instance decides
     /// for each request, so that two tries don't go out as one trial.
-    pub fn on_trial(&mut self, content: ContentId, now: Instant) -> bool {
+    pub fn on_trial(&mut self, content: RequestFingerprint, now: Instant) -> bool {
         if self.verdict(content, now) != Verdict::TrialDue {
             return false;
         }
@@ -218,13 +218,13 @@
     }
 
     /// The strikes of one request.
-    pub fn strikes_of(&self, content: ContentId, now: Instant) -> Vec<Strike> {
+    pub fn strikes_of(&self, content: RequestFingerprint, now: Instant) -> Vec<Strike> {
         let row = self.rows.get(&content);
         let strikes = row.into_iter().flat_map(|row| row.strikes.iter());
         strikes.map(|(boot, entry)| told(content, boot, entry, now)).collect()
     }
 
-    fn shared(&self) -> impl Iterator<Item = (ContentId, &Boot, &Entry)> {
+    fn shared(&self) -> impl Iterator<Item = (RequestFingerprint, &Boot, &Entry)> {
         let rows = self.rows.iter().filter(|(_, row)| row.strikes.len() > 1);
         rows.flat_map(|(content, row)| row.strikes.iter().map(|(boot, e)| (*content, boot, e)))
     }
@@ -246,7 +246,7 @@
         let is_old = |entry: &Entry| now.saturating_duration_since(entry.at) >= retain;
         let has_old = |row: &Row| row.strikes.values().any(is_old);
         let rows = self.rows.iter().filter(|(_, row)| has_old(row));
-        let contents: Vec<ContentId> = rows.map(|(id, _)| *id).collect();
+        let contents: Vec<RequestFingerprint> = rows.map(|(id, _)| *id).collect();
         let mut has_lost_heavy = false;
         for content in contents {
             has_lost_heavy |= self.is_heavy(self.crashes(content));
@@ -261,8 +261,9 @@
     }
 
     fn forget_least(&mut self) -> bool {
-        let rank = |(id, row): (&ContentId, &Row)| (row.standing().count(), row.last(), *id);
-        let mut ranks: Vec<(usize, Option<Instant>, ContentId)> =
+        let rank =
+            |(id, row): (&RequestFingerprint, &Row)| (row.standing().count(), row.last(), *id);
+        let mut ranks: Vec<(usize, Option<Instant>, RequestFingerprint)> =
             self.rows.iter().map(rank).collect();
         ranks.sort_unstable();
         ranks.truncate(self.rows.len().saturating_sub(self.policy.most));
@@ -294,7 +295,7 @@
             let unexplained =
                 |row: &Row| row.standing().filter(|(boot, _)| !explained.contains(boot)).count();
             let open = self.rows.iter().filter(|(id, _)| !self.held.contains_key(id));
-            let counts: Vec<(ContentId, usize)> =
+            let counts: Vec<(RequestFingerprint, usize)> =
                 open.map(|(id, row)| (*id, unexplained(row))).collect();
             let most = counts.iter().map(|(_, count)| *count).max().unwrap_or(0);
             if most < self.policy.crashes {
@@ -311,12 +312,12 @@
     }
 }
 
-fn told(content: ContentId, boot: &Boot, entry: &Entry, now: Instant) -> Strike {
+fn told(content: RequestFingerprint, boot: &Boot, entry: &Entry, now: Instant) -> Strike {
     let age = now.saturating_duration_since(entry.at);
     let boot = boot.clone();
     Strike { content, boot, age_ms: age.as_millis() as u64, is_acquitted: entry.is_acquitted }
 }
 
-fn told_digest(content: ContentId, boot: &Boot, entry: &Entry) -> u64 {
+fn told_digest(content: RequestFingerprint, boot: &Boot, entry: &Entry) -> u64 {
     told(content, boot, entry, entry.at).digest()
 }
--- a/crates/coordination/src/quarantine/types.rs
+++ b/crates/coordination/src/quarantine/types.rs
@@ -1,7 +1,7 @@
 //! What is said of a request that may crash its targets.
 
 use crate::{TargetId, hash};
-use protocol::{ContentId, Millis};
+use protocol::{Millis, RequestFingerprint};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Strike {
     /// The request.
-    pub content: ContentId,
+    pub content: RequestFingerprint,
     /// The target that crashed.
     pub boot: Boot,
     /// Milliseconds since the crash.
@@ -29,7 +29,7 @@
 
 impl Strike {
     /// A strike for a crash that has just been seen.
-    pub fn new(content: ContentId, boot: Boot) -> Strike {
+    pub fn new(content: RequestFingerprint, boot: Boot) -> Strike {
         Strike { content, boot, age_ms: 0, is_acquitted: false }
     }
 
--- a/crates/daemon/src/gateway/crash.rs
+++ b/crates/daemon/src/gateway/crash.rs
@@ -8,7 +8,7 @@
 use super::quarantine;
 use coordination::quarantine::Boot;
 use coordination::slots::Grant;
-use protocol::{ContentId, TargetId};
+use protocol::{RequestFingerprint, TargetId};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     /// Its id.
     pub id: String,
     /// What it asks for.
-    pub content: ContentId,
+    pub content: RequestFingerprint,
 }
 
 /// Targets that are being looked into, with what broke off there.
@@ -62,7 +62,8 @@
         "is_crash" => is_crash, "requests" => ?ids, "contents" => ?contents);
     if is_crash {
         let born = node.registry.borrow().get(&target).map_or(0, |target| target.born);
-        let contents: Vec<ContentId> = broken.iter().map(|broken| broken.content).collect();
+        let contents: Vec<RequestFingerprint> =
+            broken.iter().map(|broken| broken.content).collect();
         quarantine::on_crash(&node, &Boot { target, born }, &contents);
     }
 }
@@ -73,6 +74,6 @@
 }
 
 /// What a request asks for, as it stands in lines.
-pub fn hex(content: ContentId) -> String {
+pub fn hex(content: RequestFingerprint) -> String {
     format!("{content:016x}")
 }
--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use platform::{header, job};
 use protocol::routing::{Class, Route};
-use protocol::{ContentId, Error, Kind};
+use protocol::{Error, Kind, RequestFingerprint};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use transport::listen::{self, Body, Broken, Handler};
@@ -50,7 +50,7 @@
 
 impl CallerRequest {
     /// What it asks for, the same each time that it comes.
-    pub fn content(&self) -> ContentId {
+    pub fn content(&self) -> RequestFingerprint {
         hash::content(self.method.as_str(), &self.host, &self.target, &self.body)
     }
 
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -14,7 +14,7 @@
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
 use platform::{header, job};
-use protocol::ContentId;
+use protocol::RequestFingerprint;
 use state::progress::{Failure, Item, Outcome, PartialOutput};
 use std::rc::Rc;
 use std::time::Duration;
@@ -136,7 +136,7 @@
 }
 
 /// What an item asks for, the same as for a request of its own.
-fn fingerprint_of(held: &HeldJob, item: &Item) -> ContentId {
+fn fingerprint_of(held: &HeldJob, item: &Item) -> RequestFingerprint {
     let state = held.state.borrow();
     // A body that can't be decoded is never sent.
     let body = job::body_of(&item.body).unwrap_or_default();
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -8,7 +8,7 @@
 use coordination::run_time::Estimate;
 use coordination::slots::{Grant, HeldLease, LeaseId, LeaseReport, Purpose};
 use protocol::routing::Version;
-use protocol::{ContentId, DataCentreId, InstanceId, ServiceId, TargetId};
+use protocol::{DataCentreId, InstanceId, RequestFingerprint, ServiceId, TargetId};
 use serde::{Deserialize, Serialize};
 use state::progress::{Handoff, Holder, ItemId, JobId, Outcome};
 use std::net::SocketAddr;
@@ -202,7 +202,7 @@
     #[serde(rename = "Adopt")]
     TakeOver(JobId, Handoff),
     /// May a held request be tried? The receiver decides for it.
-    Trial(ContentId),
+    Trial(RequestFingerprint),
     /// Strikes of requests that have several.
     Strikes,
 }
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -15,7 +15,7 @@
 use coordination::quarantine::{Boot, Strike, Verdict};
 use platform::quarantine::KIND;
 use platform::store::{Fault, Object};
-use protocol::{ContentId, Millis};
+use protocol::{Millis, RequestFingerprint};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -54,7 +54,7 @@
 }
 
 /// Requests ran on a target as it crashed.
-pub fn on_crash(node: &Rc<Node>, boot: &Boot, contents: &[ContentId]) {
+pub fn on_crash(node: &Rc<Node>, boot: &Boot, contents: &[RequestFingerprint]) {
     let strikes: Vec<Strike> =
         contents.iter().map(|content| Strike::new(*content, boot.clone())).collect();
     let news = on_strikes(node, strikes, "own");
@@ -62,7 +62,7 @@
 }
 
 /// A request came to its end on a target.
-pub fn on_success(node: &Rc<Node>, content: impl FnOnce() -> ContentId) {
+pub fn on_success(node: &Rc<Node>, content: impl FnOnce() -> RequestFingerprint) {
     if node.quarantine.borrow().is_empty() {
         return;
     }
@@ -111,7 +111,7 @@
 }
 
 /// Whether a request may be sent; one whose trial is due asks its owner.
-pub async fn admit(node: &Node, content: impl FnOnce() -> ContentId) -> Admission {
+pub async fn admit(node: &Node, content: impl FnOnce() -> RequestFingerprint) -> Admission {
     if node.quarantine.borrow().held() == 0 {
         return Admission::Free;
     }
@@ -129,7 +129,7 @@
 }
 
 /// For how much longer a request is held that waited for a slot meanwhile.
-pub fn held_for(node: &Node, content: impl FnOnce() -> ContentId) -> Option<Duration> {
+pub fn held_for(node: &Node, content: impl FnOnce() -> RequestFingerprint) -> Option<Duration> {
     let table = node.quarantine.borrow();
     if table.held() == 0 {
         return None;
@@ -142,18 +142,18 @@
 }
 
 /// The instance that decides on the trials of a request, and writes it down.
-fn owner(node: &Node, content: ContentId) -> Option<Member> {
+fn owner(node: &Node, content: RequestFingerprint) -> Option<Member> {
     let members = node.members.borrow();
     let ids = members.workers().map(|member| member.id);
     let id = hash::owner(&content.to_le_bytes(), ids)?;
     members.workers().find(|member| member.id == id).cloned()
 }
 
-fn is_own(node: &Node, content: ContentId) -> bool {
+fn is_own(node: &Node, content: RequestFingerprint) -> bool {
     owner(node, content).is_some_and(|owner| owner.id == node.id())
 }
 
-async fn is_granted(node: &Node, content: ContentId) -> bool {
+async fn is_granted(node: &Node, content: RequestFingerprint) -> bool {
     match owner(node, content) {
         Some(owner) if owner.id != node.id() => {
             let reply = node.request(owner.peer, &PeerRequest::Trial(content), TRIAL_LIMIT).await;
@@ -165,7 +165,7 @@
 }
 
 /// Another instance asks for a trial.
-pub fn on_trial(node: &Node, content: ContentId) -> bool {
+pub fn on_trial(node: &Node, content: RequestFingerprint) -> bool {
     node.quarantine.borrow_mut().on_trial(content, clock::now())
 }
 
@@ -176,7 +176,7 @@
 
 /// Writes down what is held, until `stop`.
 pub async fn keep(node: Rc<Node>, stop: CancellationToken) {
-    let mut written: HashMap<ContentId, usize> = HashMap::new();
+    let mut written: HashMap<RequestFingerprint, usize> = HashMap::new();
     loop {
         tokio::select! {
             () = node.strikes_changed.notified() => {}
@@ -198,7 +198,7 @@
 }
 
 /// Writes down what is known of a held request.
-async fn write(node: &Node, content: ContentId) -> bool {
+async fn write(node: &Node, content: RequestFingerprint) -> bool {
     let strikes = node.quarantine.borrow().strikes_of(content, clock::now());
     let entry = Entry { written: millis(), strikes };
     let name = hex(content);
@@ -214,7 +214,7 @@
 
 /// A request that was written down isn't held any more. A word that is lost here has it
 /// held once more after all instances were gone, until its trial.
-async fn erase(node: Rc<Node>, content: ContentId) {
+async fn erase(node: Rc<Node>, content: RequestFingerprint) {
     let name = hex(content);
     if let Err(fault) = node.store.delete(Cause::Quarantine, KIND, &name, None).await {
         slog::info!(node.log, "held request not erased"; "content" => &name, "fault" => %fault);
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -35,7 +35,7 @@
 pub type DataCentreId = String;
 /// Identifies what a request asks for, whoever sends it and however often: a hash of its method,
 /// host, path and body.
-pub type ContentId = u64;
+pub type RequestFingerprint = u64;
 /// Identifies an accepted batch job.
 pub type JobId = String;
 /// Number of a shard of the durable log.
