--- a/crates/daemon/src/batch/report.rs
+++ b/crates/daemon/src/batch/report.rs
@@ -75,7 +75,7 @@
 }
 
 async fn read<T: serde::de::DeserializeOwned>(shared: &Shared, key: &str) -> Result<T, Error> {
-    let lost = |text: String| Error::new(Kind::PlatformAway, format!("`{key}`: {text}"));
+    let lost = |text: String| Error::new(Kind::PlatformUnavailable, format!("`{key}`: {text}"));
     let found = shared.store.get(key).await.map_err(|fault| lost(fault.to_string()))?;
     let found = found.ok_or_else(|| lost("missing".into()))?;
     serde_json::from_slice(&found.bytes).map_err(|error| lost(error.to_string()))
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -112,7 +112,7 @@
 ///
 /// # Errors
 ///
-/// `InvalidConfig`, `StaleRevision`, `PlatformAway` or `Undetermined`.
+/// `InvalidConfig`, `StaleRevision`, `PlatformUnavailable` or `Undetermined`.
 pub async fn apply(
     shared: &Shared,
     revision: Generation,
@@ -150,7 +150,7 @@
             Ok(generation)
         }
         End::Overtaken => Err(stale(entry.generation - 1, entry.generation)),
-        End::Refused(text) => Err(Error::new(Kind::PlatformAway, text)),
+        End::Refused(text) => Err(Error::new(Kind::PlatformUnavailable, text)),
         End::Open => {
             let text = "the platform gave no answer; read the configuration";
             Err(Error::new(Kind::Undetermined, text))
@@ -164,7 +164,7 @@
 }
 
 fn away(fault: Fault) -> Error {
-    Error::new(Kind::PlatformAway, fault.to_string())
+    Error::new(Kind::PlatformUnavailable, fault.to_string())
 }
 
 /// Writes the whole document now and then, so that a new instance needn't read
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -182,7 +182,7 @@
             }
         }
         let text = format!("the job is not accepted: {}", last.unwrap_or_default());
-        Err(Error::new(Kind::PlatformAway, text))
+        Err(Error::new(Kind::PlatformUnavailable, text))
     }
 }
 
@@ -296,7 +296,7 @@
 }
 
 async fn read<T: serde::de::DeserializeOwned>(shared: &Shared, key: &str) -> Result<T, Error> {
-    let away = |text: String| Error::new(Kind::PlatformAway, format!("`{key}`: {text}"));
+    let away = |text: String| Error::new(Kind::PlatformUnavailable, format!("`{key}`: {text}"));
     let found = shared.store.get(key).await.map_err(|fault| away(fault.to_string()))?;
     let found = found.ok_or_else(|| away("missing".into()))?;
     serde_json::from_slice(&found.bytes).map_err(|error| away(error.to_string()))
--- a/crates/daemon/src/front/keyed.rs
+++ b/crates/daemon/src/front/keyed.rs
@@ -62,7 +62,7 @@
             // given back, and the caller is told the truth: it was not run.
             release(shared, terms, key);
             let text = "the claim could not be recorded";
-            let error = Error { kind: Kind::PlatformAway, message: text.into(), ..error };
+            let error = Error { kind: Kind::PlatformUnavailable, message: text.into(), ..error };
             Err(error)
         }
         Err(error) => Err(error),
@@ -121,7 +121,7 @@
 /// Reads a kept outcome from the entry that holds it.
 async fn kept(shared: &Shared, key: &Key, position: u64) -> Result<StoredOutcome, Error> {
     let name = object_key::entry(shared.shards.shard_of(&key.scoped), position);
-    let away = |text: String| Error::new(Kind::PlatformAway, text);
+    let away = |text: String| Error::new(Kind::PlatformUnavailable, text);
     let found = shared.store.get(&name).await.map_err(|fault| away(fault.to_string()))?;
     let found = found.ok_or_else(|| away(format!("`{name}` is missing")))?;
     let entry = Entry::decode(&found.bytes).map_err(|error| away(error.to_string()))?;
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -105,7 +105,7 @@
 fn unavailable(node: &Node, id: &str) -> Response<Body> {
     slog::info!(node.log, "job in doubt"; "job" => id,
         "platform_away" => node.store.is_backing_off(clock::now()));
-    let mut error = Error::new(Kind::PlatformAway, "the job can't be read now");
+    let mut error = Error::new(Kind::PlatformUnavailable, "the job can't be read now");
     error.retry_after = Some(submit::RETRY_AFTER);
     refusal(node, "", &error)
 }
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -62,7 +62,7 @@
     match outcome {
         SubmitOutcome::Accepted => text(202, "accepted"),
         SubmitOutcome::Full => refuse(Kind::CallerLimit, "too many tokens wait on the route"),
-        SubmitOutcome::Refused => refuse(Kind::PlatformAway, "the platform is away"),
+        SubmitOutcome::Refused => refuse(Kind::PlatformUnavailable, "the platform is away"),
         SubmitOutcome::Unknown => text(502, "nobody can say whether the job is kept"),
         SubmitOutcome::Malformed => text(400, "the submission can't be understood"),
         SubmitOutcome::TooLong => text(413, "the platform can't keep an item that long"),
--- a/crates/daemon/src/late.rs
+++ b/crates/daemon/src/late.rs
@@ -80,7 +80,7 @@
 pub fn is_passing(kind: Kind) -> bool {
     matches!(
         kind,
-        Kind::PlatformAway
+        Kind::PlatformUnavailable
             | Kind::Undetermined
             | Kind::Overloaded
             | Kind::Draining
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -345,7 +345,7 @@
 }
 
 fn away(text: &str, wait: Duration) -> Error {
-    Error::new(Kind::PlatformAway, text).after(wait)
+    Error::new(Kind::PlatformUnavailable, text).after(wait)
 }
 
 fn answer_all(waiting: Vec<Waiting>, answer: impl Fn(&Waiting) -> Answer) {
--- a/crates/daemon/tests/contract.rs
+++ b/crates/daemon/tests/contract.rs
@@ -152,9 +152,9 @@
     let front = cluster.daemons[0].front;
     cluster.platform_down(true);
     let once = [("idempotency-key", "o"), ("gatespool-repeatable", "false")];
-    check_error(&chat(front, "offer", &once, json!({})), Kind::PlatformAway);
-    check_error(&cluster.submit(0, "night", &items("describe", 5)), Kind::PlatformAway);
-    check_error(&cluster.apply(0, 1, &json!({ "put": [] })), Kind::PlatformAway);
+    check_error(&chat(front, "offer", &once, json!({})), Kind::PlatformUnavailable);
+    check_error(&cluster.submit(0, "night", &items("describe", 5)), Kind::PlatformUnavailable);
+    check_error(&cluster.apply(0, 1, &json!({ "put": [] })), Kind::PlatformUnavailable);
 }
 
 /// A caller that sends its body slowly is told so, and holds up nobody.
--- a/crates/protocol/src/kind.rs
+++ b/crates/protocol/src/kind.rs
@@ -75,7 +75,8 @@
     /// The instance has no configuration it may serve from.
     NotReady,
     /// The platform can't be reached, so the work was not accepted.
-    PlatformAway,
+    #[serde(rename = "platform_away")]
+    PlatformUnavailable,
     /// A write's fate is unknown; the same key finds out.
     Undetermined,
     /// A cancel is applied here but not recorded yet.
@@ -124,7 +125,7 @@
         Kind::Quarantined,
         Kind::Draining,
         Kind::NotReady,
-        Kind::PlatformAway,
+        Kind::PlatformUnavailable,
         Kind::Undetermined,
         Kind::NotRecorded,
         Kind::MayHaveRun,
@@ -160,7 +161,7 @@
             Kind::Quarantined => (503, NotRun, LATER),
             Kind::Draining => (503, NotRun, SOON),
             Kind::NotReady => (503, NotRun, SOON),
-            Kind::PlatformAway => (503, NotRun, LATER),
+            Kind::PlatformUnavailable => (503, NotRun, LATER),
             Kind::Undetermined => (503, MayHaveRun, SOON),
             Kind::NotRecorded => (503, MayHaveRun, SOON),
             Kind::MayHaveRun => (409, MayHaveRun, Never),
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -113,7 +113,10 @@
             return Decision::Defer;
         };
         if self.keys.is_released(*attempt) {
-            return Decision::Answer(refuse(Kind::PlatformAway, "the attempt was given back"));
+            return Decision::Answer(refuse(
+                Kind::PlatformUnavailable,
+                "the attempt was given back",
+            ));
         }
         if let Some(refusal) = self.refuse_key(key, *digest, *attempt, *issued, now) {
             return Decision::Answer(refusal);
