--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -18,7 +18,7 @@
 
 /// What is wrong with a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct SettingsError {
     /// File at fault.
     pub file: String,
     /// Section at fault.
@@ -29,14 +29,14 @@
     pub expected: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Fault { file, section, key, expected } = self;
+        let SettingsError { file, section, key, expected } = self;
         write!(f, "{file}: section [{section}], key `{key}`: expected {expected}")
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SettingsError {}
 
 /// What a process does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -224,9 +224,9 @@
     /// # Errors
     ///
     /// The file, section and key at fault, and what was expected there.
-    pub fn read(path: &Path) -> Result<Settings, Fault> {
+    pub fn read(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| Fault {
+        let text = std::fs::read_to_string(path).map_err(|e| SettingsError {
             file: file.clone(),
             section: String::new(),
             key: String::new(),
@@ -240,7 +240,7 @@
     /// # Errors
     ///
     /// As [`Settings::read`].
-    pub fn parse(file: &str, text: &str) -> Result<Settings, Fault> {
+    pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
         let mut source = Source::new(file, text)?;
         let mut settings = Settings::default();
         settings.fill_addresses(&mut source)?;
@@ -252,7 +252,7 @@
         Ok(settings)
     }
 
-    fn fill_addresses(&mut self, s: &mut Source) -> Result<(), Fault> {
+    fn fill_addresses(&mut self, s: &mut Source) -> Result<(), SettingsError> {
         s.text("instance", "name", &mut self.name);
         s.value("instance", "duty", "own, gateway or standby", &mut self.duty)?;
         s.text("instance", "data_centre", &mut self.data_centre);
@@ -282,14 +282,14 @@
         s.list("faults", "unguarded", "names with commas", &mut self.unguarded)
     }
 
-    fn fill_log(&mut self, s: &mut Source) -> Result<(), Fault> {
+    fn fill_log(&mut self, s: &mut Source) -> Result<(), SettingsError> {
         s.value("log", "shards", "a number of shards", &mut self.shards)?;
         s.millis("log", "commit_ms", &mut self.commit)?;
         s.seconds("log", "retention_s", &mut self.retention)?;
         s.value("log", "snapshot_entries", "a number of entries", &mut self.snapshot_entries)
     }
 
-    fn fill_work(&mut self, s: &mut Source) -> Result<(), Fault> {
+    fn fill_work(&mut self, s: &mut Source) -> Result<(), SettingsError> {
         s.value("batch", "chunk_items", "a number of items", &mut self.chunk_items)?;
         s.millis("batch", "claim_ms", &mut self.claim)?;
         s.millis("batch", "report_ms", &mut self.report)?;
@@ -307,7 +307,7 @@
         s.seconds("stop", "bound_s", &mut self.stop_bound)
     }
 
-    fn check(&self, file: &str) -> Result<(), Fault> {
+    fn check(&self, file: &str) -> Result<(), SettingsError> {
         let rules = [
             (self.processor > 0.0, "instance", "processor", "above 0"),
             (self.shards >= 1, "log", "shards", "at least 1"),
@@ -326,7 +326,7 @@
         let policy = self.policy.check().map(|(key, expected)| ("policy", key, expected));
         match failed.or(policy) {
             None => Ok(()),
-            Some((section, key, expected)) => Err(Fault {
+            Some((section, key, expected)) => Err(SettingsError {
                 file: file.into(),
                 section: section.into(),
                 key: key.into(),
--- a/crates/protocol/src/settings/policy.rs
+++ b/crates/protocol/src/settings/policy.rs
@@ -1,7 +1,7 @@
 //! `[policy]`: figures and switches of what the gateway decides. The defaults are
 //! what was measured best; docs/POLICY.md says what each is worth.
 
-use super::Fault;
+use super::SettingsError;
 use super::source::Source;
 use std::time::Duration;
 
@@ -73,7 +73,7 @@
 }
 
 impl Policy {
-    pub(super) fn fill(&mut self, s: &mut Source) -> Result<(), Fault> {
+    pub(super) fn fill(&mut self, s: &mut Source) -> Result<(), SettingsError> {
         let bool = "true or false";
         s.value("policy", "accounts", "a number of accounts", &mut self.accounts)?;
         s.value("policy", "late_last", bool, &mut self.late_last)?;
--- a/crates/protocol/src/settings/source.rs
+++ b/crates/protocol/src/settings/source.rs
@@ -1,6 +1,6 @@
 //! The keys of an INI file, read one by one.
 
-use super::Fault;
+use super::SettingsError;
 use ini::Ini;
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -13,8 +13,8 @@
 }
 
 impl Source {
-    pub(super) fn new(file: &str, text: &str) -> Result<Source, Fault> {
-        let ini = Ini::load_from_str(text).map_err(|e| Fault {
+    pub(super) fn new(file: &str, text: &str) -> Result<Source, SettingsError> {
+        let ini = Ini::load_from_str(text).map_err(|e| SettingsError {
             file: file.into(),
             section: String::new(),
             key: format!("line {}", e.line),
@@ -34,8 +34,8 @@
         self.left.remove(&(section.to_owned(), key.to_owned()))
     }
 
-    pub(super) fn fault(&self, section: &str, key: &str, expected: &str) -> Fault {
-        Fault {
+    pub(super) fn fault(&self, section: &str, key: &str, expected: &str) -> SettingsError {
+        SettingsError {
             file: self.file.clone(),
             section: section.into(),
             key: key.into(),
@@ -55,7 +55,7 @@
         key: &str,
         expected: &str,
         into: &mut T,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), SettingsError> {
         let Some(value) = self.take(section, key) else {
             return Ok(());
         };
@@ -69,7 +69,7 @@
         key: &str,
         expected: &str,
         into: &mut Option<T>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), SettingsError> {
         let Some(value) = self.take(section, key) else {
             return Ok(());
         };
@@ -83,7 +83,7 @@
         key: &str,
         expected: &str,
         into: &mut Vec<T>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), SettingsError> {
         let Some(value) = self.take(section, key) else {
             return Ok(());
         };
@@ -98,7 +98,7 @@
         section: &str,
         key: &str,
         into: &mut Duration,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), SettingsError> {
         let mut millis = into.as_millis() as u64;
         self.value(section, key, "a number of milliseconds", &mut millis)?;
         *into = Duration::from_millis(millis);
@@ -110,7 +110,7 @@
         section: &str,
         key: &str,
         into: &mut Duration,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), SettingsError> {
         let mut seconds = into.as_secs_f64();
         let expected = "a number of seconds";
         self.value(section, key, expected, &mut seconds)?;
@@ -119,7 +119,7 @@
         Ok(())
     }
 
-    pub(super) fn finish(self) -> Result<(), Fault> {
+    pub(super) fn finish(self) -> Result<(), SettingsError> {
         match self.left.keys().next() {
             None => Ok(()),
             Some((section, key)) => Err(self.fault(section, key, "a key that is known here")),
--- a/crates/protocol/tests/settings.rs
+++ b/crates/protocol/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings: faults name file, section and key.
 
-use protocol::settings::{Fault, Settings};
+use protocol::settings::{Settings, SettingsError};
 use rstest::rstest;
 use std::path::Path;
 
@@ -32,7 +32,7 @@
     #[case] key: &str,
     #[case] expected: &str,
 ) {
-    let fault: Fault = Settings::parse("x.ini", text).expect_err("a fault");
+    let fault: SettingsError = Settings::parse("x.ini", text).expect_err("a fault");
     assert_eq!((fault.file.as_str(), fault.section.as_str()), ("x.ini", section));
     assert_eq!(fault.key, key);
     assert!(fault.expected.contains(expected), "{fault}");
