--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use bpaf::{OptionParser, Parser, construct, long};
-use protocol::settings::{Duty, Settings};
+use protocol::settings::{Role, Settings};
 use std::path::PathBuf;
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -32,10 +32,10 @@
         return Ok(());
     }
     let log = daemon::logging::json(&settings.log_level, &settings.data_centre);
-    match settings.duty {
-        Duty::Own => {}
-        Duty::Gateway => return daemon::gateway::run(settings, &options.settings, log),
-        Duty::Standby => return daemon::standby::run(&log),
+    match settings.role {
+        Role::Standalone => {}
+        Role::Gateway => return daemon::gateway::run(settings, &options.settings, log),
+        Role::Standby => return daemon::standby::run(&log),
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut signals = {
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -40,10 +40,10 @@
 
 /// What a process does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Duty {
+pub enum Role {
     /// Serves the product's own interface.
     #[default]
-    Own,
+    Standalone,
     /// Serves the operator's routes on a platform that keeps configuration,
     /// targets and jobs.
     Gateway,
@@ -52,14 +52,14 @@
     Standby,
 }
 
-impl FromStr for Duty {
+impl FromStr for Role {
     type Err = ();
 
-    fn from_str(text: &str) -> Result<Duty, ()> {
+    fn from_str(text: &str) -> Result<Role, ()> {
         match text {
-            "own" => Ok(Duty::Own),
-            "gateway" => Ok(Duty::Gateway),
-            "standby" => Ok(Duty::Standby),
+            "own" => Ok(Role::Standalone),
+            "gateway" => Ok(Role::Gateway),
+            "standby" => Ok(Role::Standby),
             _ => Err(()),
         }
     }
@@ -71,7 +71,7 @@
     /// `[instance] name`: its name, for logs and registration.
     pub name: String,
     /// `[instance] duty`: `own`, `gateway` or `standby`.
-    pub duty: Duty,
+    pub role: Role,
     /// `[instance] processor`: cores that this daemon gets; it may be a part of one.
     pub processor: f64,
     /// `[instance] data_centre`: where this daemon stands.
@@ -169,7 +169,7 @@
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         Settings {
             name: String::from("local"),
-            duty: Duty::default(),
+            role: Role::default(),
             processor: 1.0,
             data_centre: String::from("local"),
             data: None,
@@ -254,7 +254,7 @@
 
     fn fill_addresses(&mut self, s: &mut Source) -> Result<(), SettingsError> {
         s.text("instance", "name", &mut self.name);
-        s.value("instance", "duty", "own, gateway or standby", &mut self.duty)?;
+        s.value("instance", "duty", "own, gateway or standby", &mut self.role)?;
         s.text("instance", "data_centre", &mut self.data_centre);
         s.value("instance", "processor", "a number of cores", &mut self.processor)?;
         s.option("instance", "data", "a path", &mut self.data)?;
