--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -204,7 +204,7 @@
 
 /// Why a configuration is not valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ValidationError {
     /// Object at fault, such as `target/t1`.
     pub object: String,
     /// Field at fault.
@@ -213,13 +213,13 @@
     pub expected: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: field `{}`: expected {}", self.object, self.field, self.expected)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ValidationError {}
 
 /// All objects in force at one generation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -246,7 +246,7 @@
     /// # Errors
     ///
     /// The first fault found; the document is then as it was.
-    pub fn changed(&self, change: &Change) -> Result<Document, Fault> {
+    pub fn changed(&self, change: &Change) -> Result<Document, ValidationError> {
         let mut next = self.clone();
         for deletion in &change.delete {
             next.delete(deletion);
@@ -285,7 +285,7 @@
     /// # Errors
     ///
     /// The first fault, with its object and field.
-    pub fn validate(&self) -> Result<(), Fault> {
+    pub fn validate(&self) -> Result<(), ValidationError> {
         self.services.values().try_for_each(|s| self.check_service(s))?;
         self.adapters.values().try_for_each(|a| self.check_adapter(a))?;
         self.targets.values().try_for_each(|t| self.check_target(t))?;
@@ -296,7 +296,7 @@
         Ok(())
     }
 
-    fn check_service(&self, service: &Service) -> Result<(), Fault> {
+    fn check_service(&self, service: &Service) -> Result<(), ValidationError> {
         let at = |field, expected: &str| Err(fault("service", &service.name, field, expected));
         if !is_name(&service.name) {
             return at("name", "letters, digits, `-`, `_` and `.`");
@@ -316,14 +316,14 @@
         Ok(())
     }
 
-    fn check_adapter(&self, adapter: &Adapter) -> Result<(), Fault> {
+    fn check_adapter(&self, adapter: &Adapter) -> Result<(), ValidationError> {
         if self.versions.contains_key(&adapter.version) {
             return Ok(());
         }
         Err(fault("adapter", &adapter.name, "version", "the name of a model version"))
     }
 
-    fn check_target(&self, target: &Target) -> Result<(), Fault> {
+    fn check_target(&self, target: &Target) -> Result<(), ValidationError> {
         let at = |field, expected: &str| Err(fault("target", &target.name, field, expected));
         if !is_name(&target.name) {
             return at("name", "letters, digits, `-`, `_` and `.`");
@@ -344,15 +344,15 @@
     }
 }
 
-fn check_limit(limit: &Limit) -> Result<(), Fault> {
+fn check_limit(limit: &Limit) -> Result<(), ValidationError> {
     if limit.rate > 0.0 && limit.burst >= 1.0 {
         return Ok(());
     }
     Err(fault("limit", &limit.caller, "rate", "a rate above 0 and a burst of at least 1"))
 }
 
-fn fault(sort: &str, name: &str, field: &'static str, expected: &str) -> Fault {
-    Fault { object: format!("{sort}/{name}"), field, expected: expected.into() }
+fn fault(sort: &str, name: &str, field: &'static str, expected: &str) -> ValidationError {
+    ValidationError { object: format!("{sort}/{name}"), field, expected: expected.into() }
 }
 
 fn is_name(name: &str) -> bool {
