--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -25,7 +25,7 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
-use transport::peer::{Fault, Pool as Peers};
+use transport::peer::{PeerError, Pool as Peers};
 use transport::upstream;
 
 /// Longest wait for the reply to a message that is only told.
@@ -278,7 +278,7 @@
         to: SocketAddr,
         request: &PeerRequest,
         limit: Duration,
-    ) -> Result<PeerReply, Fault> {
+    ) -> Result<PeerReply, PeerError> {
         let result = self.try_request(to, request, limit).await;
         if result.is_err() {
             self.unresponsive.borrow_mut().insert(to, clock::now() + UNRESPONSIVE_PERIOD);
@@ -296,9 +296,9 @@
         to: SocketAddr,
         request: &PeerRequest,
         limit: Duration,
-    ) -> Result<PeerReply, Fault> {
+    ) -> Result<PeerReply, PeerError> {
         let bytes = self.peers.ask(to, &encode(request), limit).await?;
-        decode(&bytes).ok_or_else(|| Fault::Lost(String::from("a reply of another version")))
+        decode(&bytes).ok_or_else(|| PeerError::Lost(String::from("a reply of another version")))
     }
 
     /// Tells one member, without waiting.
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 use tokio::time::MissedTickBehavior;
 use tokio_util::sync::CancellationToken;
-use transport::peer::{Entries, Fault, Handler};
+use transport::peer::{Entries, Handler, PeerError};
 
 /// Longest wait for the answer to a heartbeat. A machine that runs five times
 /// slower still answers within it.
@@ -340,7 +340,7 @@
                 members.merge(member, now);
             }
         }
-        Err(Fault::NotSent(fault) | Fault::Lost(fault)) => {
+        Err(PeerError::NotSent(fault) | PeerError::Lost(fault)) => {
             slog::debug!(node.log, "seed silent"; "seed" => %address, "fault" => fault);
         }
     }
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -127,7 +127,7 @@
             Ok(PeerReply::Submitted(SubmitOutcome::Full)) if result == SubmitOutcome::Refused => {
                 return SubmitOutcome::Full;
             }
-            Err(transport::peer::Fault::NotSent(_)) => {}
+            Err(transport::peer::PeerError::NotSent(_)) => {}
             Ok(_) | Err(_) => result = SubmitOutcome::Unknown,
         }
     }
--- a/crates/daemon/src/peers/calls.rs
+++ b/crates/daemon/src/peers/calls.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use transport::channel::{self, ReplySender, RequestReceiver, RequestSender};
-use transport::peer::{Entries, Fault};
+use transport::peer::{Entries, PeerError};
 
 /// A call of another duty.
 pub enum Call {
@@ -19,7 +19,7 @@
         /// Longest wait.
         limit: Duration,
         /// Where the answer goes.
-        answer: ReplySender<Result<Vec<u8>, Fault>>,
+        answer: ReplySender<Result<Vec<u8>, PeerError>>,
     },
     /// Configuration entries of a member.
     Entries {
@@ -28,7 +28,7 @@
         /// The generation in force here.
         after: u64,
         /// Where the answer goes.
-        answer: ReplySender<Result<Entries, Fault>>,
+        answer: ReplySender<Result<Entries, PeerError>>,
     },
 }
 
@@ -54,14 +54,14 @@
         shard: u32,
         body: Vec<u8>,
         limit: Duration,
-    ) -> Result<Vec<u8>, Fault> {
+    ) -> Result<Vec<u8>, PeerError> {
         let call = |answer| Call::Command { to, shard, body, limit, answer };
         match self.0.call(limit + GATHER, call).await {
             Ok(result) => result,
             Err(error) if error.kind == protocol::Kind::Undetermined => {
-                Err(Fault::Lost(error.message))
+                Err(PeerError::Lost(error.message))
             }
-            Err(error) => Err(Fault::NotSent(error.message)),
+            Err(error) => Err(PeerError::NotSent(error.message)),
         }
     }
 
@@ -70,11 +70,11 @@
     /// # Errors
     ///
     /// How the call failed.
-    pub async fn entries(&self, to: SocketAddr, after: u64) -> Result<Entries, Fault> {
+    pub async fn entries(&self, to: SocketAddr, after: u64) -> Result<Entries, PeerError> {
         let call = |answer| Call::Entries { to, after, answer };
         match self.0.call(PING_TIMEOUT * 2, call).await {
             Ok(result) => result,
-            Err(error) => Err(Fault::NotSent(error.message)),
+            Err(error) => Err(PeerError::NotSent(error.message)),
         }
     }
 }
--- a/crates/daemon/src/shards.rs
+++ b/crates/daemon/src/shards.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 use transport::channel::{self, RequestReceiver, RequestSender};
-use transport::peer::Fault;
+use transport::peer::PeerError;
 
 mod commit;
 mod load;
@@ -81,11 +81,13 @@
             Ok(bytes) => serde_json::from_slice(&bytes).unwrap_or_else(|error| {
                 Err(Error::new(Kind::Undetermined, format!("answer of the owner: {error}")))
             }),
-            Err(Fault::NotSent(_)) => self.local(shard, command).await,
-            Err(Fault::Lost(_)) if matches!(command, Command::Claim { .. }) => Ok(Reply::NoWork),
+            Err(PeerError::NotSent(_)) => self.local(shard, command).await,
+            Err(PeerError::Lost(_)) if matches!(command, Command::Claim { .. }) => {
+                Ok(Reply::NoWork)
+            }
             // Every other command may be given twice: a second one finds what
             // the first has done and answers by it.
-            Err(Fault::Lost(_)) => self.local(shard, command).await,
+            Err(PeerError::Lost(_)) => self.local(shard, command).await,
         }
     }
 
--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -10,7 +10,7 @@
 mod serve;
 
 pub use connection::Traffic;
-pub use pool::{Fault, Pool};
+pub use pool::{PeerError, Pool};
 pub use serve::serve;
 
 use coordination::membership::{Member, Note};
--- a/crates/transport/src/peer/pool.rs
+++ b/crates/transport/src/peer/pool.rs
@@ -21,7 +21,7 @@
 
 /// Why a call to a peer failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum PeerError {
     /// No connection; the call never left.
     NotSent(String),
     /// The call left and no answer came.
@@ -60,7 +60,7 @@
         to: SocketAddr,
         me: &Member,
         notes: &[Note],
-    ) -> Result<(Member, Vec<Note>), Fault> {
+    ) -> Result<(Member, Vec<Note>), PeerError> {
         let client = self.connect(to).await?;
         let mut request = client.ping_request();
         write_member(request.get().init_from(), me);
@@ -84,7 +84,7 @@
         shard: u32,
         body: &[u8],
         limit: Duration,
-    ) -> Result<Vec<u8>, Fault> {
+    ) -> Result<Vec<u8>, PeerError> {
         let client = self.connect(to).await?;
         let mut request = client.command_request();
         request.get().set_shard(shard);
@@ -101,7 +101,7 @@
     /// # Errors
     ///
     /// How the call failed.
-    pub async fn entries(&self, to: SocketAddr, after: u64) -> Result<Entries, Fault> {
+    pub async fn entries(&self, to: SocketAddr, after: u64) -> Result<Entries, PeerError> {
         let client = self.connect(to).await?;
         let mut request = client.entries_request();
         request.get().set_after(after);
@@ -127,7 +127,7 @@
         from: u64,
         target: &str,
         online: u32,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), PeerError> {
         let client = self.connect(to).await?;
         let mut request = client.pressure_request();
         request.get().set_from(from);
@@ -146,7 +146,7 @@
         to: SocketAddr,
         body: &[u8],
         limit: Duration,
-    ) -> Result<Vec<u8>, Fault> {
+    ) -> Result<Vec<u8>, PeerError> {
         let client = self.connect(to).await?;
         let mut request = client.ask_request();
         request.get().set_body(body);
@@ -162,7 +162,7 @@
     /// # Errors
     ///
     /// How the call failed.
-    pub async fn members(&self, to: SocketAddr) -> Result<Vec<Member>, Fault> {
+    pub async fn members(&self, to: SocketAddr) -> Result<Vec<Member>, PeerError> {
         let client = self.connect(to).await?;
         let request = client.members_request();
         self.finish(to, self.timeout, async {
@@ -177,35 +177,35 @@
         to: SocketAddr,
         limit: Duration,
         call: impl Future<Output = Result<T, capnp::Error>>,
-    ) -> Result<T, Fault> {
+    ) -> Result<T, PeerError> {
         let fault = match tokio::time::timeout(limit, call).await {
             Ok(Ok(answer)) => return Ok(answer),
             Ok(Err(error)) => error.to_string(),
             Err(_) => format!("no answer in {limit:?}"),
         };
         self.connections.borrow_mut().remove(&to);
-        Err(Fault::Lost(fault))
+        Err(PeerError::Lost(fault))
     }
 
-    async fn connect(&self, to: SocketAddr) -> Result<peer::Client, Fault> {
+    async fn connect(&self, to: SocketAddr) -> Result<peer::Client, PeerError> {
         if self.cut.is_cut(to, Instant::now()) {
             self.connections.borrow_mut().remove(&to);
-            return Err(Fault::NotSent("cut off".into()));
+            return Err(PeerError::NotSent("cut off".into()));
         }
         if let Some(kept) = self.kept(to) {
             if self.cut.is_silent(to, kept.opened, kept.used) {
                 tokio::time::sleep(self.timeout).await;
                 self.connections.borrow_mut().remove(&to);
-                return Err(Fault::Lost("the connection is silent".into()));
+                return Err(PeerError::Lost("the connection is silent".into()));
             }
             return Ok(kept.client);
         }
         let stream = tokio::time::timeout(self.timeout, TcpStream::connect(to)).await;
-        let stream = stream.map_err(|_| Fault::NotSent("no connection in time".into()))?;
-        let stream = stream.map_err(|error| Fault::NotSent(error.to_string()))?;
+        let stream = stream.map_err(|_| PeerError::NotSent("no connection in time".into()))?;
+        let stream = stream.map_err(|error| PeerError::NotSent(error.to_string()))?;
         let counted = Counted { stream, traffic: self.traffic.clone() };
         let network = network(counted, rpc_twoparty_capnp::Side::Client)
-            .ok_or_else(|| Fault::NotSent("the connection closed".into()))?;
+            .ok_or_else(|| PeerError::NotSent("the connection closed".into()))?;
         let mut system = RpcSystem::new(Box::new(network), None);
         let client: peer::Client = system.bootstrap(rpc_twoparty_capnp::Side::Server);
         tokio::task::spawn_local(system);
