--- a/crates/daemon/src/batch/item.rs
+++ b/crates/daemon/src/batch/item.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
-use transport::target::{Client, Fault, Meta, Piece};
+use transport::target::{AttemptError, Client, Meta, Piece};
 
 /// Longest time of one item on one target.
 const LONGEST: Duration = Duration::from_secs(600);
@@ -84,7 +84,7 @@
     End::Failed(String::from("stopped while it ran"))
 }
 
-fn failed(fault: &Fault) -> End {
+fn failed(fault: &AttemptError) -> End {
     match fault.failure {
         Failure::NotSent | Failure::Refused => End::NotTaken,
         Failure::Unknown => End::Failed(fault.message.clone()),
--- a/crates/daemon/src/front/answer.rs
+++ b/crates/daemon/src/front/answer.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use transport::target::{Client, Fault, Meta, Piece, Stream};
+use transport::target::{AttemptError, Client, Meta, Piece, Stream};
 
 /// Most tries of one request.
 const MOST_TRIES: u32 = 4;
@@ -211,7 +211,7 @@
     }
 
     /// Decides what follows a failed try: another one, or the final answer.
-    fn on_fault(&mut self, hold: Option<Hold>, fault: &Fault) -> Result<(), Error> {
+    fn on_fault(&mut self, hold: Option<Hold>, fault: &AttemptError) -> Result<(), Error> {
         let now = Instant::now();
         if let Some(hold) = hold {
             hold.on_failure(now);
@@ -235,7 +235,7 @@
         Err(self.final_error(fault))
     }
 
-    fn final_error(&self, fault: &Fault) -> Error {
+    fn final_error(&self, fault: &AttemptError) -> Error {
         let kind = match fault.failure {
             _ if self.shared.settings.is_unguarded("refusal") => Kind::NoTarget,
             _ if self.tokens > 0 => Kind::Truncated,
@@ -257,15 +257,15 @@
 async fn unless_silent<T>(
     hold: &Hold,
     repeatable: bool,
-    answer: impl Future<Output = Result<T, Fault>>,
-) -> Result<T, Fault> {
+    answer: impl Future<Output = Result<T, AttemptError>>,
+) -> Result<T, AttemptError> {
     if !repeatable {
         return answer.await;
     }
     tokio::select! {
         answer = answer => answer,
         () = hold.node.falls_silent() => {
-            Err(Fault::new(Failure::Unknown, "the target answers nothing"))
+            Err(AttemptError::new(Failure::Unknown, "the target answers nothing"))
         }
     }
 }
--- a/crates/daemon/src/front/plain.rs
+++ b/crates/daemon/src/front/plain.rs
@@ -11,7 +11,7 @@
 use state::record::{Body, StoredOutcome};
 use std::time::{Duration, Instant};
 use transport::http::{self, BodyStream, Head, Response};
-use transport::target::{Fault, Meta, Plain};
+use transport::target::{AttemptError, Meta, Plain};
 
 const MOST_TRIES: u32 = 3;
 
@@ -129,7 +129,7 @@
         let fault = match front.client.plain(hold.node.target.address, plain.clone(), &meta).await {
             // A server's failure after it took in the call: it may have run.
             Ok((status, ..)) if status.is_server_error() => {
-                Fault::new(Failure::Unknown, format!("the target answered {status}"))
+                AttemptError::new(Failure::Unknown, format!("the target answered {status}"))
             }
             Ok(answer) => {
                 hold.on_success();
@@ -137,7 +137,7 @@
             }
             // A plain service's refusal is no promise that it did nothing.
             Err(fault) if fault.failure == Failure::Refused && !terms.repeatable => {
-                Fault { failure: Failure::Unknown, ..fault }
+                AttemptError { failure: Failure::Unknown, ..fault }
             }
             Err(fault) => fault,
         };
--- a/crates/transport/src/target.rs
+++ b/crates/transport/src/target.rs
@@ -20,7 +20,7 @@
 
 /// How a try ended that gave no whole answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct AttemptError {
     /// What that means for trying again.
     pub failure: Failure,
     /// Whether the target says that it is leaving.
@@ -31,15 +31,15 @@
     pub message: String,
 }
 
-impl Fault {
+impl AttemptError {
     /// A fault for the reason `message`.
-    pub fn new(failure: Failure, message: impl Into<String>) -> Fault {
-        Fault { failure, leaving: false, is_silence: false, message: message.into() }
+    pub fn new(failure: Failure, message: impl Into<String>) -> AttemptError {
+        AttemptError { failure, leaving: false, is_silence: false, message: message.into() }
     }
 
-    fn silence(limit: Duration) -> Fault {
+    fn silence(limit: Duration) -> AttemptError {
         let message = format!("no answer in {limit:?}");
-        Fault { is_silence: true, ..Fault::new(Failure::Unknown, message) }
+        AttemptError { is_silence: true, ..AttemptError::new(Failure::Unknown, message) }
     }
 }
 
@@ -126,9 +126,9 @@
         to: SocketAddr,
         request: &chat::Request,
         meta: &Meta,
-    ) -> Result<Stream, Fault> {
+    ) -> Result<Stream, AttemptError> {
         let body = serde_json::to_vec(request)
-            .map_err(|error| Fault::new(Failure::NotSent, error.to_string()))?;
+            .map_err(|error| AttemptError::new(Failure::NotSent, error.to_string()))?;
         let builder = self.builder(to, Method::POST, "/v1/chat/completions", meta);
         let builder = builder.header("content-type", "application/json");
         let response = self.send(to, builder.body(Full::from(body)), meta.left).await?;
@@ -153,7 +153,7 @@
         to: SocketAddr,
         call: Plain,
         meta: &Meta,
-    ) -> Result<(StatusCode, String, Bytes), Fault> {
+    ) -> Result<(StatusCode, String, Bytes), AttemptError> {
         let mut builder = self.builder(to, call.method, &call.path, meta);
         if let Some(kind) = call.headers.get("content-type") {
             builder = builder.header("content-type", kind);
@@ -165,8 +165,9 @@
         let status = response.status();
         let kind = text(response.headers(), "content-type");
         let body = tokio::time::timeout(meta.left, response.into_body().collect()).await;
-        let body = body.map_err(|_| Fault::new(Failure::Unknown, "no whole answer in time"))?;
-        let body = body.map_err(|error| Fault::new(Failure::Unknown, error.to_string()))?;
+        let body =
+            body.map_err(|_| AttemptError::new(Failure::Unknown, "no whole answer in time"))?;
+        let body = body.map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))?;
         Ok((status, kind, body.to_bytes()))
     }
 
@@ -175,15 +176,15 @@
     /// # Errors
     ///
     /// How the call failed.
-    pub async fn report(&self, to: SocketAddr, limit: Duration) -> Result<Report, Fault> {
+    pub async fn report(&self, to: SocketAddr, limit: Duration) -> Result<Report, AttemptError> {
         let meta = Meta { left: limit, ..Meta::default() };
         let builder = self.builder(to, Method::GET, "/load", &meta);
         let response = self.send(to, builder.body(Full::default()), limit).await?;
         let body = tokio::time::timeout(limit, response.into_body().collect()).await;
-        let body = body.map_err(|_| Fault::silence(limit))?;
-        let body = body.map_err(|error| Fault::new(Failure::Unknown, error.to_string()))?;
+        let body = body.map_err(|_| AttemptError::silence(limit))?;
+        let body = body.map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))?;
         serde_json::from_slice(&body.to_bytes())
-            .map_err(|error| Fault::new(Failure::Unknown, error.to_string()))
+            .map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))
     }
 
     /// Gives a target an order under a fencing number.
@@ -197,7 +198,7 @@
         order: &Order,
         fence: u64,
         limit: Duration,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), AttemptError> {
         let meta = Meta { left: limit, ..Meta::default() };
         let body = serde_json::to_vec(order).unwrap_or_default();
         let builder = self.builder(to, Method::POST, "/order", &meta);
@@ -227,18 +228,18 @@
         to: SocketAddr,
         request: hyper::http::Result<Request<Full<Bytes>>>,
         limit: Duration,
-    ) -> Result<Response<Incoming>, Fault> {
-        let request = request.map_err(|e| Fault::new(Failure::NotSent, e.to_string()))?;
+    ) -> Result<Response<Incoming>, AttemptError> {
+        let request = request.map_err(|e| AttemptError::new(Failure::NotSent, e.to_string()))?;
         if self.cut.is_cut(to, Instant::now()) {
-            return Err(Fault::new(Failure::NotSent, "cut off"));
+            return Err(AttemptError::new(Failure::NotSent, "cut off"));
         }
         match tokio::time::timeout(limit, self.http.request(request)).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if error.is_connect() => {
-                Err(Fault::new(Failure::NotSent, error.to_string()))
+                Err(AttemptError::new(Failure::NotSent, error.to_string()))
             }
-            Ok(Err(error)) => Err(Fault::new(Failure::Unknown, error.to_string())),
-            Err(_) => Err(Fault::silence(limit)),
+            Ok(Err(error)) => Err(AttemptError::new(Failure::Unknown, error.to_string())),
+            Err(_) => Err(AttemptError::silence(limit)),
         }
     }
 }
@@ -266,7 +267,7 @@
     status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS
 }
 
-fn check<B>(response: &Response<B>) -> Result<(), Fault> {
+fn check<B>(response: &Response<B>) -> Result<(), AttemptError> {
     let status = response.status();
     if status.is_success() {
         return Ok(());
@@ -275,7 +276,7 @@
     let failure = if refused { Failure::Refused } else { Failure::Unknown };
     let leaving = response.headers().contains_key(LEAVING);
     let message = format!("the target answered {status}");
-    Err(Fault { leaving, ..Fault::new(failure, message) })
+    Err(AttemptError { leaving, ..AttemptError::new(failure, message) })
 }
 
 /// A streamed answer.
@@ -297,7 +298,7 @@
     /// # Errors
     ///
     /// How the stream broke off.
-    pub async fn next(&mut self) -> Result<Piece, Fault> {
+    pub async fn next(&mut self) -> Result<Piece, AttemptError> {
         loop {
             while let Some(data) = self.parser.next_data() {
                 if let Some(piece) = self.read(&data)? {
@@ -305,20 +306,21 @@
                 }
             }
             if self.cut.is_cut(self.from, Instant::now()) {
-                return Err(Fault::new(Failure::Unknown, "cut off"));
+                return Err(AttemptError::new(Failure::Unknown, "cut off"));
             }
             self.fill().await?;
         }
     }
 
-    fn read(&mut self, data: &str) -> Result<Option<Piece>, Fault> {
+    fn read(&mut self, data: &str) -> Result<Option<Piece>, AttemptError> {
         if data == DONE {
             let finish = self.finish.take();
-            let finish = finish.ok_or_else(|| Fault::new(Failure::Unknown, "no finish reason"))?;
+            let finish =
+                finish.ok_or_else(|| AttemptError::new(Failure::Unknown, "no finish reason"))?;
             return Ok(Some(Piece::End(finish)));
         }
         let chunk: Chunk = serde_json::from_str(data)
-            .map_err(|error| Fault::new(Failure::Unknown, error.to_string()))?;
+            .map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))?;
         let Some(choice) = chunk.choices.into_iter().next() else {
             return Ok(None);
         };
@@ -328,15 +330,17 @@
         Ok(choice.delta.content.filter(|text| !text.is_empty()).map(Piece::Token))
     }
 
-    async fn fill(&mut self) -> Result<(), Fault> {
+    async fn fill(&mut self) -> Result<(), AttemptError> {
         let frame = tokio::time::timeout(self.idle, self.body.frame()).await;
-        let frame = frame
-            .map_err(|_| Fault::new(Failure::Unknown, format!("silent for {:?}", self.idle)))?;
+        let frame = frame.map_err(|_| {
+            AttemptError::new(Failure::Unknown, format!("silent for {:?}", self.idle))
+        })?;
         let Some(frame) = frame else {
-            return Err(Fault::new(Failure::Unknown, "the stream ended early"));
+            return Err(AttemptError::new(Failure::Unknown, "the stream ended early"));
         };
-        let frame = frame.map_err(|error| Fault::new(Failure::Unknown, error.to_string()))?;
+        let frame =
+            frame.map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))?;
         let fits = frame.data_ref().is_none_or(|bytes| self.parser.push(bytes));
-        if fits { Ok(()) } else { Err(Fault::new(Failure::Unknown, "an event is too long")) }
+        if fits { Ok(()) } else { Err(AttemptError::new(Failure::Unknown, "an event is too long")) }
     }
 }
