--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use transport::event::Splitter;
-use transport::upstream::{Exchange, Failure as Unsent};
+use transport::upstream::{Exchange, SendError};
 
 /// An engine that sends nothing for this long is taken for silent. Prompts are
 /// read and tokens made within tens of milliseconds; an engine that runs five
@@ -161,10 +161,10 @@
     let sent = node.targets.send(lease.grant.address, request);
     let mut exchange = match tokio::time::timeout(IDLE_TIMEOUT, sent).await {
         Ok(Ok(exchange)) => exchange,
-        Ok(Err(Unsent::NotSent(fault))) => {
+        Ok(Err(SendError::NotSent(fault))) => {
             return RunEnd::Stopped(LeaseOutcome::Unresponsive, fault);
         }
-        Ok(Err(Unsent::Lost(fault))) => return RunEnd::Stopped(LeaseOutcome::Interrupted, fault),
+        Ok(Err(SendError::Lost(fault))) => return RunEnd::Stopped(LeaseOutcome::Interrupted, fault),
         Err(_) => {
             return RunEnd::Stopped(LeaseOutcome::Unresponsive, String::from("no answer in time"));
         }
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Request, StatusCode};
 use platform::header;
 use std::time::Duration;
-use transport::upstream::{Exchange, Failure};
+use transport::upstream::{Exchange, SendError};
 
 impl ProxiedRequest {
     pub(super) async fn send(
@@ -56,11 +56,11 @@
             }
         };
         match result {
-            Err(Failure::NotSent(text)) => {
+            Err(SendError::NotSent(text)) => {
                 lease.end(LeaseOutcome::Unresponsive);
                 Err(RetryReason::NotSent(text))
             }
-            Err(Failure::Lost(text)) => {
+            Err(SendError::Lost(text)) => {
                 self.sent += 1;
                 self.on_interrupted(&lease.grant);
                 lease.end(LeaseOutcome::Interrupted);
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -1,7 +1,7 @@
 //! HTTP connections that this instance opens, one exchange at a time on each.
 //!
 //! For targets and for the platform alike. What it gives over a ready client
-//! pool is certainty about what was sent: a [`Failure`] says whether a byte of
+//! pool is certainty about what was sent: a [`SendError`] says whether a byte of
 //! the request can have left, an exchange that is dropped resets its connection
 //! at once (which is how a target learns that nobody waits any more, and what is
 //! still on its way is dropped with it), and a
@@ -10,7 +10,7 @@
 //! It doesn't retry and doesn't choose; it lives inside a `LocalSet`.
 //!
 //! ```no_run
-//! # async fn example() -> Result<(), transport::upstream::Failure> {
+//! # async fn example() -> Result<(), transport::upstream::SendError> {
 //! use bytes::Bytes;
 //! use http_body_util::Full;
 //! use transport::upstream::{Pool, Settings};
@@ -68,23 +68,23 @@
 
 /// Why a request got no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum SendError {
     /// No byte of the request left.
     NotSent(String),
     /// The request left, at least in part, and no answer came.
     Lost(String),
 }
 
-impl std::fmt::Display for Failure {
+impl std::fmt::Display for SendError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Failure::NotSent(text) => write!(f, "not sent: {text}"),
-            Failure::Lost(text) => write!(f, "sent, no answer: {text}"),
+            SendError::NotSent(text) => write!(f, "not sent: {text}"),
+            SendError::Lost(text) => write!(f, "sent, no answer: {text}"),
         }
     }
 }
 
-impl std::error::Error for Failure {}
+impl std::error::Error for SendError {}
 
 /// What an attempt to connect says of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -161,7 +161,7 @@
         &self,
         to: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<Exchange, Failure> {
+    ) -> Result<Exchange, SendError> {
         let mut request = request;
         loop {
             let rested = self.take(to, clock::now());
@@ -180,8 +180,8 @@
                 Err(mut error) => match error.take_message() {
                     // The peer closed it while it rested; nothing left.
                     Some(back) if is_rested => request = back,
-                    Some(_) => return Err(Failure::NotSent(error.error().to_string())),
-                    None => return Err(Failure::Lost(error.error().to_string())),
+                    Some(_) => return Err(SendError::NotSent(error.error().to_string())),
+                    None => return Err(SendError::Lost(error.error().to_string())),
                 },
             }
         }
@@ -234,22 +234,22 @@
         })
     }
 
-    async fn open(&self, to: SocketAddr) -> Result<Connection, Failure> {
+    async fn open(&self, to: SocketAddr) -> Result<Connection, SendError> {
         match self.connect(to).await {
             Ok(stream) => self.establish(stream).await,
-            Err(error) => Err(Failure::NotSent(format!("{to}: {error}"))),
+            Err(error) => Err(SendError::NotSent(format!("{to}: {error}"))),
         }
     }
 
-    async fn establish(&self, stream: TcpStream) -> Result<Connection, Failure> {
-        stream.set_nodelay(true).map_err(|error| Failure::NotSent(error.to_string()))?;
+    async fn establish(&self, stream: TcpStream) -> Result<Connection, SendError> {
+        stream.set_nodelay(true).map_err(|error| SendError::NotSent(error.to_string()))?;
         // Closing resets. An orderly close has the system deliver what was sent, for
         // as long as a cut lasts: a request that was given up, and even promised not
         // to run any more, reached its target 5.7 s later in a replay of such a cut.
-        stream.set_zero_linger().map_err(|error| Failure::NotSent(error.to_string()))?;
+        stream.set_zero_linger().map_err(|error| SendError::NotSent(error.to_string()))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| Failure::NotSent(error.to_string()))?;
+            .map_err(|error| SendError::NotSent(error.to_string()))?;
         self.opened.set(self.opened.get() + 1);
         let driver = tokio::task::spawn_local(async move {
             // How the connection ended shows in the exchange that used it.
