--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -298,7 +298,8 @@
         limit: Duration,
     ) -> Result<PeerReply, PeerError> {
         let bytes = self.peers.ask(to, &encode(request), limit).await?;
-        decode(&bytes).ok_or_else(|| PeerError::Lost(String::from("a reply of another version")))
+        decode(&bytes)
+            .ok_or_else(|| PeerError::OutcomeUnknown(String::from("a reply of another version")))
     }
 
     /// Tells one member, without waiting.
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -60,7 +60,7 @@
                 lease.end(LeaseOutcome::Unresponsive);
                 Err(RetryReason::NotSent(text))
             }
-            Err(SendError::Lost(text)) => {
+            Err(SendError::OutcomeUnknown(text)) => {
                 self.sent += 1;
                 self.on_interrupted(&lease.grant);
                 lease.end(LeaseOutcome::Interrupted);
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -340,7 +340,7 @@
                 members.merge(member, now);
             }
         }
-        Err(PeerError::NotSent(fault) | PeerError::Lost(fault)) => {
+        Err(PeerError::NotSent(fault) | PeerError::OutcomeUnknown(fault)) => {
             slog::debug!(node.log, "seed silent"; "seed" => %address, "fault" => fault);
         }
     }
--- a/crates/daemon/src/peers/calls.rs
+++ b/crates/daemon/src/peers/calls.rs
@@ -59,7 +59,7 @@
         match self.0.call(limit + GATHER, call).await {
             Ok(result) => result,
             Err(error) if error.kind == protocol::Kind::Undetermined => {
-                Err(PeerError::Lost(error.message))
+                Err(PeerError::OutcomeUnknown(error.message))
             }
             Err(error) => Err(PeerError::NotSent(error.message)),
         }
--- a/crates/daemon/src/shards.rs
+++ b/crates/daemon/src/shards.rs
@@ -82,12 +82,12 @@
                 Err(Error::new(Kind::Undetermined, format!("answer of the owner: {error}")))
             }),
             Err(PeerError::NotSent(_)) => self.local(shard, command).await,
-            Err(PeerError::Lost(_)) if matches!(command, Command::Claim { .. }) => {
+            Err(PeerError::OutcomeUnknown(_)) if matches!(command, Command::Claim { .. }) => {
                 Ok(Reply::NoWork)
             }
             // Every other command may be given twice: a second one finds what
             // the first has done and answers by it.
-            Err(PeerError::Lost(_)) => self.local(shard, command).await,
+            Err(PeerError::OutcomeUnknown(_)) => self.local(shard, command).await,
         }
     }
 
--- a/crates/transport/src/peer/pool.rs
+++ b/crates/transport/src/peer/pool.rs
@@ -25,7 +25,7 @@
     /// No connection; the call never left.
     NotSent(String),
     /// The call left and no answer came.
-    Lost(String),
+    OutcomeUnknown(String),
 }
 
 #[derive(Clone)]
@@ -184,7 +184,7 @@
             Err(_) => format!("no answer in {limit:?}"),
         };
         self.connections.borrow_mut().remove(&to);
-        Err(PeerError::Lost(fault))
+        Err(PeerError::OutcomeUnknown(fault))
     }
 
     async fn connect(&self, to: SocketAddr) -> Result<peer::Client, PeerError> {
@@ -196,7 +196,7 @@
             if self.cut.is_silent(to, kept.opened, kept.used) {
                 tokio::time::sleep(self.timeout).await;
                 self.connections.borrow_mut().remove(&to);
-                return Err(PeerError::Lost("the connection is silent".into()));
+                return Err(PeerError::OutcomeUnknown("the connection is silent".into()));
             }
             return Ok(kept.client);
         }
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -72,14 +72,14 @@
     /// No byte of the request left.
     NotSent(String),
     /// The request left, at least in part, and no answer came.
-    Lost(String),
+    OutcomeUnknown(String),
 }
 
 impl std::fmt::Display for SendError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             SendError::NotSent(text) => write!(f, "not sent: {text}"),
-            SendError::Lost(text) => write!(f, "sent, no answer: {text}"),
+            SendError::OutcomeUnknown(text) => write!(f, "sent, no answer: {text}"),
         }
     }
 }
@@ -181,7 +181,7 @@
                     // The peer closed it while it rested; nothing left.
                     Some(back) if is_rested => request = back,
                     Some(_) => return Err(SendError::NotSent(error.error().to_string())),
-                    None => return Err(SendError::Lost(error.error().to_string())),
+                    None => return Err(SendError::OutcomeUnknown(error.error().to_string())),
                 },
             }
         }
