--- a/crates/daemon/src/gateway/crash.rs
+++ b/crates/daemon/src/gateway/crash.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_local;
-use transport::upstream::Presence;
+use transport::upstream::ProbeResult;
 
 /// All connections to a process that is gone break together; those of one target within this
 /// time are looked into with one attempt to connect. In a replay of 42 crashes they broke
@@ -50,15 +50,15 @@
 
 async fn check_target(node: Rc<Node>, target: TargetId, address: SocketAddr) {
     tokio::time::sleep(BATCH_WINDOW).await;
-    let presence = node.targets.presence(address).await;
+    let probe = node.targets.probe(address).await;
     let broken = node.crash_checks.0.borrow_mut().remove(&target).unwrap_or_default();
     // What a target that leaves cuts off at its end is no crash.
     let has_left = node.registry.borrow().has_left(&target);
     let ids: Vec<&String> = broken.iter().map(|broken| &broken.id).collect();
     let contents: Vec<String> = broken.iter().map(|broken| hex(broken.content)).collect();
-    let is_crash = is_crash(presence, has_left);
+    let is_crash = is_crash(probe, has_left);
     slog::info!(node.log, "answers broke off"; "target" => &target, "address" => %address,
-        "presence" => ?presence, "has_left" => has_left,
+        "presence" => ?probe, "has_left" => has_left,
         "is_crash" => is_crash, "requests" => ?ids, "contents" => ?contents);
     if is_crash {
         let born = node.registry.borrow().get(&target).map_or(0, |target| target.born);
@@ -69,8 +69,8 @@
 }
 
 /// Whether a target is gone that hadn't said it would go.
-fn is_crash(presence: Presence, has_left: bool) -> bool {
-    presence == Presence::Refuses && !has_left
+fn is_crash(probe: ProbeResult, has_left: bool) -> bool {
+    probe == ProbeResult::Refused && !has_left
 }
 
 /// What a request asks for, as it stands in lines.
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -88,13 +88,13 @@
 
 /// What an attempt to connect says of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum ProbeResult {
     /// It takes connections.
-    Listens,
+    Listening,
     /// Its machine answers that nobody listens there: the process is gone.
-    Refuses,
+    Refused,
     /// Nothing tells: no answer in time, or another failure.
-    Unclear,
+    Unknown,
 }
 
 /// A task that ends with its owner; here, the task that drives a connection.
@@ -212,18 +212,20 @@
 
     /// Whether anybody listens at `to`; a connection that comes up rests for the next
     /// request.
-    pub async fn presence(&self, to: SocketAddr) -> Presence {
+    pub async fn probe(&self, to: SocketAddr) -> ProbeResult {
         let stream = match self.connect(to).await {
             Ok(stream) => stream,
-            Err(error) if error.kind() == ErrorKind::ConnectionRefused => return Presence::Refuses,
-            Err(_) => return Presence::Unclear,
+            Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
+                return ProbeResult::Refused;
+            }
+            Err(_) => return ProbeResult::Unknown,
         };
         match self.establish(stream).await {
             Ok(connection) => {
                 self.put(to, connection, &HeaderMap::new(), clock::now());
-                Presence::Listens
+                ProbeResult::Listening
             }
-            Err(_) => Presence::Unclear,
+            Err(_) => ProbeResult::Unknown,
         }
     }
 
