--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -96,7 +96,7 @@
     let registry = node.registry.borrow();
     let addresses: Vec<SocketAddr> = registry.usable().map(|target| target.address).collect();
     drop(registry);
-    node.targets.retain(|address| addresses.contains(&address));
+    node.targets.retain_idle(|address| addresses.contains(&address));
     super::allocator::grant_waiters(node);
     node.jobs.wake();
 }
@@ -111,7 +111,7 @@
                 if before.is_some_and(|before| before != target.born) {
                     slog::info!(node.log, "target started again"; "target" => &target.id,
                         "born" => target.born, "before" => before);
-                    node.targets.forget(target.address);
+                    node.targets.close_idle(target.address);
                 }
             }
             Change::Gone { id, .. } => drop(births.remove(id)),
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -187,7 +187,7 @@
         ("gatespool.platform.silence_ms", silence),
         ("gatespool.config.version", node.state_digest().config),
         ("gatespool.targets.revision", node.registry.borrow().revision()),
-        ("gatespool.targets.connections", node.targets.opened()),
+        ("gatespool.targets.connections", node.targets.connections_opened()),
         ("gatespool.members", node.others().len() as u64 + 1),
         ("gatespool.leases.held", node.leases.held() as u64),
         ("gatespool.account.online", u64::from(online)),
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -137,17 +137,17 @@
     }
 
     /// Connections opened so far.
-    pub fn opened(&self) -> u64 {
+    pub fn connections_opened(&self) -> u64 {
         self.opened.get()
     }
 
     /// Closes the connections at rest to addresses that `keep` refuses.
-    pub fn retain(&self, keep: impl Fn(SocketAddr) -> bool) {
+    pub fn retain_idle(&self, keep: impl Fn(SocketAddr) -> bool) {
         self.shelf.borrow_mut().retain(|address, _| keep(*address));
     }
 
     /// Closes the connections at rest to an address: another process listens there now.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.shelf.borrow_mut().remove(&address);
     }
 
