--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -182,13 +182,13 @@
     let status = head.status;
     if status.is_success() {
         let ended = read_events(&mut exchange, partial).await;
-        if matches!(ended, RunEnd::Completed) && exchange.is_framed() {
+        if matches!(ended, RunEnd::Completed) && exchange.has_body_framing() {
             quarantine::on_success(node, || fingerprint_of(held, item));
         }
         return ended;
     }
     // Reading the rest keeps the connection.
-    let rest = exchange.whole(MAX_BODY_BYTES).await;
+    let rest = exchange.read_to_end(MAX_BODY_BYTES).await;
     slog::info!(node.log, "item failed"; "item" => &item.id, "status" => status.as_u16(),
         "target" => &lease.grant.target, "whole" => rest.is_ok());
     match status {
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -149,11 +149,11 @@
     loop {
         let head = copy(begun.exchange.head());
         let left = forward.call.left(clock::now());
-        let read = tokio::time::timeout(left, begun.exchange.whole(MOST_WHOLE)).await;
+        let read = tokio::time::timeout(left, begun.exchange.read_to_end(MOST_WHOLE)).await;
         let fault = match read {
             Ok(Ok(body)) => {
                 begun.lease.end(end_of(head.status()));
-                forward.on_end(begun.exchange.is_framed());
+                forward.on_end(begun.exchange.has_body_framing());
                 let is_good = clock::since(forward.call.started) <= forward.route.objective;
                 forward.node.metrics.record_request(&forward.route.name, is_good, clock::now());
                 return Ok(respond(head, Body::Whole(body)));
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -145,7 +145,7 @@
         self.stats = EventStats { began: Some(clock::now()), ..EventStats::default() };
         let stop = self.forward_events(&mut exchange, &lease, &mut splitter).await;
         // Closes the connection, unless the answer came to its end.
-        let is_framed = exchange.is_framed();
+        let is_framed = exchange.has_body_framing();
         drop(exchange);
         match stop {
             StreamEnd::Interrupted(_) => self.forward.on_interrupted(&lease.grant),
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -298,7 +298,7 @@
     }
 
     /// Whether the end of the body can be told from a connection that closes early.
-    pub fn is_framed(&self) -> bool {
+    pub fn has_body_framing(&self) -> bool {
         let headers = &self.head.headers;
         headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
     }
@@ -332,7 +332,7 @@
     /// # Errors
     ///
     /// How the answer broke off, or that it is too long.
-    pub async fn whole(&mut self, limit: usize) -> Result<Bytes, String> {
+    pub async fn read_to_end(&mut self, limit: usize) -> Result<Bytes, String> {
         let mut whole = bytes::BytesMut::new();
         while let Some(piece) = self.next().await? {
             if whole.len() + piece.len() > limit {
