--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -126,8 +126,10 @@
     pub fn new(settings: Settings, log: Logger, me: Member, peers: Peers) -> Rc<Node> {
         let policy = Policy { ping: settings.ping, suspect: settings.suspect, ..Policy::default() };
         let now = clock::now();
-        let connections =
-            upstream::Settings { connect: settings.connect, ..upstream::Settings::default() };
+        let connections = upstream::Settings {
+            connect_timeout: settings.connect,
+            ..upstream::Settings::default()
+        };
         Rc::new(Node {
             store: PlatformStore::new(&settings, log.clone()),
             watched: Cell::new(0),
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -45,23 +45,23 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Longest wait for a connection to come up.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Longest rest of a connection whose peer doesn't tell when it closes it.
-    pub rest: Duration,
+    pub idle_timeout: Duration,
     /// How much earlier than the peer's own time a resting connection is given
     /// up, so that a request doesn't cross the peer's close.
-    pub margin: Duration,
+    pub idle_margin: Duration,
     /// Most connections kept at rest for each address.
-    pub kept: usize,
+    pub max_idle_per_host: usize,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            connect: Duration::from_millis(300),
-            rest: Duration::from_secs(4),
-            margin: Duration::from_millis(500),
-            kept: 16,
+            connect_timeout: Duration::from_millis(300),
+            idle_timeout: Duration::from_secs(4),
+            idle_margin: Duration::from_millis(500),
+            max_idle_per_host: 16,
         }
     }
 }
@@ -205,7 +205,7 @@
         let mut shelf = self.shelf.borrow_mut();
         let resting = shelf.entry(to).or_default();
         resting.retain(|old| now < old.until && !old.connection.sender.is_closed());
-        if resting.len() < self.settings.kept {
+        if resting.len() < self.settings.max_idle_per_host {
             resting.push(Resting { connection, until: now + rest });
         }
     }
@@ -230,7 +230,7 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> std::io::Result<TcpStream> {
-        let connect = tokio::time::timeout(self.settings.connect, TcpStream::connect(to));
+        let connect = tokio::time::timeout(self.settings.connect_timeout, TcpStream::connect(to));
         connect.await.unwrap_or_else(|_| {
             Err(std::io::Error::new(ErrorKind::TimedOut, "took no connection in time"))
         })
@@ -275,8 +275,8 @@
         timeout.next().and_then(|(_, seconds)| seconds.trim().parse::<u64>().ok())
     });
     match told {
-        None => Some(settings.rest),
-        Some(seconds) => Duration::from_secs(seconds).checked_sub(settings.margin),
+        None => Some(settings.idle_timeout),
+        Some(seconds) => Duration::from_secs(seconds).checked_sub(settings.idle_margin),
     }
 }
 
