--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -21,7 +21,7 @@
         let platform = serve::start(any, Platform::default()).expect("the platform");
         let engine = serve::start(any, Engine::new(Config::default())).expect("an engine");
         let settings = Settings {
-            platform: platform.address,
+            platform_address: platform.address,
             commit: Duration::from_millis(10),
             report: Duration::from_millis(100),
             ..Settings::default()
--- a/crates/daemon/examples/trial.rs
+++ b/crates/daemon/examples/trial.rs
@@ -44,7 +44,7 @@
     for centre in CENTRES {
         let settings = Settings {
             data_centre: centre.into(),
-            platform: platform.address,
+            platform_address: platform.address,
             platform_rate: 1000.0,
             seeds: daemons.iter().map(|daemon| daemon.peer).collect(),
             stop_grace: Duration::from_millis(200),
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -52,10 +52,10 @@
     settings.suspended.iter().for_each(|file| clock::pretend(file.clone()));
     let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
     let mut reload = signal(SignalKind::hangup()).context("SIGHUP")?;
-    let front = bind(settings.front)?;
-    let ready = settings.ready.map(bind).transpose()?;
+    let front = bind(settings.front_address)?;
+    let ready = settings.ready_address.map(bind).transpose()?;
     let metrics = settings.metrics_listen.map(bind).transpose()?;
-    let peer = bind(settings.peer)?;
+    let peer = bind(settings.peer_address)?;
     let me = start::member(&settings, front.local_addr()?, peer.local_addr()?);
     let cut = Cut::new(settings.cut.clone());
     let traffic = Arc::new(Traffic::default());
@@ -63,7 +63,7 @@
     let node = Node::new(settings, log, me, pool);
     slog::info!(node.log, "started"; "id" => format!("{:x}", node.id()),
         "front" => front.local_addr()?.to_string(), "peers" => peer.local_addr()?.to_string(),
-        "platform" => %node.settings.platform);
+        "platform" => %node.settings.platform_address);
     let stop = CancellationToken::new();
     let front_stop = CancellationToken::new();
     spawn_local(serve(peer, PeerHandler { node: node.clone() }, traffic, stop.clone()));
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -51,7 +51,7 @@
     pub fn new(settings: &Settings, log: Logger) -> PlatformStore {
         let lapse = settings.entry_heartbeat.mul_f64(EXPIRY_HEARTBEATS);
         PlatformStore {
-            store: Store::new(settings.platform, settings.platform_timeout),
+            store: Store::new(settings.platform_address, settings.platform_timeout),
             calls: RefCell::default(),
             breaker: RefCell::default(),
             contact: RefCell::new(Tracker::new(Policy { expiry: lapse, ..Policy::default() })),
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -60,12 +60,12 @@
         .enable_all()
         .build()?;
     let peer_runtime = single()?;
-    let front = bind(&front_runtime, settings.front)?;
-    let peer = bind(&peer_runtime, settings.peer)?;
+    let front = bind(&front_runtime, settings.front_address)?;
+    let peer = bind(&peer_runtime, settings.peer_address)?;
     let me = member(&settings, front.1, peer.1);
     let cut = Cut::new(settings.cut.clone());
     let (store, platform) = store::duty(store::Config {
-        address: settings.platform,
+        address: settings.platform_address,
         timeout: settings.platform_timeout,
         rate: settings.platform_rate,
         cut: cut.clone(),
@@ -73,7 +73,7 @@
     let (shards, items) = shards::duty(&settings);
     let (peers, calls) = peers::duty();
     let batch = batch::Handle::default();
-    let telemetry = Telemetry::new(settings.metrics)?;
+    let telemetry = Telemetry::new(settings.metrics_address)?;
     let shared =
         Arc::new(Parts { settings, log, me, store, shards, peers, batch, telemetry }.join());
     let tokens = Tokens::default();
--- a/crates/daemon/tests/view_never_goes_back.rs
+++ b/crates/daemon/tests/view_never_goes_back.rs
@@ -18,8 +18,12 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = standin::serve::start(any, standin::platform::Platform::default());
     let platform = platform.expect("the platform");
-    let settings =
-        Settings { platform: platform.address, front: any, peer: any, ..Settings::default() };
+    let settings = Settings {
+        platform_address: platform.address,
+        front_address: any,
+        peer_address: any,
+        ..Settings::default()
+    };
     let daemon = daemon::start(settings, daemon::logging::discard()).expect("a daemon");
     let end = Instant::now() + Duration::from_secs(30);
     while !daemon.shared().view().ready {
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -79,9 +79,9 @@
     /// `[instance] data`: folder of the small disk, if there is one.
     pub data: Option<PathBuf>,
     /// `[front] listen`: address for callers and operators.
-    pub front: SocketAddr,
+    pub front_address: SocketAddr,
     /// `[front] ready`: address of the readiness check, if it has its own.
-    pub ready: Option<SocketAddr>,
+    pub ready_address: Option<SocketAddr>,
     /// `[front] body_limit`: most bytes of an online request.
     pub body_limit: usize,
     /// `[front] body_timeout_ms`: how long a caller may take to send a body.
@@ -91,7 +91,7 @@
     /// `[front] admin`: whether operators' calls are served here.
     pub admin: bool,
     /// `[peers] listen`: address for other daemons.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     /// `[peers] seeds`: daemons to ask first.
     pub seeds: Vec<SocketAddr>,
     /// `[peers] ping_ms`: time between heartbeats.
@@ -99,7 +99,7 @@
     /// `[peers] suspect_ms`: silence after which a daemon counts as dead.
     pub suspect: Duration,
     /// `[platform] address`: the object API.
-    pub platform: SocketAddr,
+    pub platform_address: SocketAddr,
     /// `[platform] timeout_ms`: longest wait for one call.
     pub platform_timeout: Duration,
     /// `[platform] entry_heartbeat_ms`: time between the writes by which a target
@@ -150,7 +150,7 @@
     /// `[metrics] listen`: where metrics are served as text over HTTP.
     pub metrics_listen: Option<SocketAddr>,
     /// `[metrics] address`: where metrics go over UDP.
-    pub metrics: Option<SocketAddr>,
+    pub metrics_address: Option<SocketAddr>,
     /// `[log_lines] level`: `debug`, `info`, `warning` or `error`.
     pub log_level: String,
     /// `[policy]`: what the gateway decides by.
@@ -173,17 +173,17 @@
             processor: 1.0,
             data_centre: String::from("local"),
             data: None,
-            front: any,
-            ready: None,
+            front_address: any,
+            ready_address: None,
             body_limit: 1 << 20,
             body_timeout: Duration::from_secs(10),
             front_threads: 2,
             admin: true,
-            peer: any,
+            peer_address: any,
             seeds: Vec::new(),
             ping: Duration::from_millis(500),
             suspect: Duration::from_secs(3),
-            platform: SocketAddr::from(([127, 0, 0, 1], 7700)),
+            platform_address: SocketAddr::from(([127, 0, 0, 1], 7700)),
             platform_timeout: Duration::from_secs(2),
             entry_heartbeat: Duration::from_millis(1_200),
             value_bytes: 1 << 20,
@@ -208,7 +208,7 @@
             stop_grace: Duration::from_secs(2),
             stop_bound: Duration::from_secs(30),
             metrics_listen: None,
-            metrics: None,
+            metrics_address: None,
             log_level: String::from("info"),
             policy: Policy::default(),
             cut: None,
@@ -258,24 +258,24 @@
         s.text("instance", "data_centre", &mut self.data_centre);
         s.value("instance", "processor", "a number of cores", &mut self.processor)?;
         s.option("instance", "data", "a path", &mut self.data)?;
-        s.value("front", "listen", "an IP number and port", &mut self.front)?;
-        s.option("front", "ready", "an IP number and port", &mut self.ready)?;
+        s.value("front", "listen", "an IP number and port", &mut self.front_address)?;
+        s.option("front", "ready", "an IP number and port", &mut self.ready_address)?;
         s.value("front", "body_limit", "a number of bytes", &mut self.body_limit)?;
         s.millis("front", "body_timeout_ms", &mut self.body_timeout)?;
         s.value("front", "threads", "a number of threads", &mut self.front_threads)?;
         s.value("front", "admin", "true or false", &mut self.admin)?;
-        s.value("peers", "listen", "an IP number and port", &mut self.peer)?;
+        s.value("peers", "listen", "an IP number and port", &mut self.peer_address)?;
         s.list("peers", "seeds", "IP numbers and ports, with commas", &mut self.seeds)?;
         s.millis("peers", "ping_ms", &mut self.ping)?;
         s.millis("peers", "suspect_ms", &mut self.suspect)?;
-        s.value("platform", "address", "an IP number and port", &mut self.platform)?;
+        s.value("platform", "address", "an IP number and port", &mut self.platform_address)?;
         s.millis("platform", "timeout_ms", &mut self.platform_timeout)?;
         s.millis("platform", "entry_heartbeat_ms", &mut self.entry_heartbeat)?;
         s.value("platform", "value_bytes", "a whole number", &mut self.value_bytes)?;
         s.value("platform", "calls_per_second", "a number", &mut self.platform_rate)?;
         s.millis("platform", "poll_ms", &mut self.platform_poll)?;
         s.option("metrics", "listen", "an IP number and port", &mut self.metrics_listen)?;
-        s.option("metrics", "address", "an IP number and port", &mut self.metrics)?;
+        s.option("metrics", "address", "an IP number and port", &mut self.metrics_address)?;
         s.text("log_lines", "level", &mut self.log_level);
         s.option("faults", "cut", "a path", &mut self.cut)?;
         s.option("faults", "suspended", "a path", &mut self.suspended)?;
