--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -22,8 +22,8 @@
         let engine = serve::start(any, Engine::new(Config::default())).expect("an engine");
         let settings = Settings {
             platform_address: platform.address,
-            commit: Duration::from_millis(10),
-            report: Duration::from_millis(100),
+            commit_interval: Duration::from_millis(10),
+            report_interval: Duration::from_millis(100),
             ..Settings::default()
         };
         let daemon = daemon::start(settings, daemon::logging::discard()).expect("a daemon");
--- a/crates/daemon/src/batch/mod.rs
+++ b/crates/daemon/src/batch/mod.rs
@@ -109,5 +109,5 @@
 /// Whether this instance may claim and start batch work.
 fn is_open(shared: &Shared) -> bool {
     let stopping = crate::fleet::lock(&shared.stopping).is_some();
-    shared.settings.batch && !stopping
+    shared.settings.batch_enabled && !stopping
 }
--- a/crates/daemon/src/batch/report.rs
+++ b/crates/daemon/src/batch/report.rs
@@ -70,7 +70,7 @@
         let key = object_key::part(&work.job, work.chunk, part.attempt, part.part);
         progress.apply(read::<ResultPart>(shared, &key).await?);
     }
-    let most = shared.settings.attempts;
+    let most = shared.settings.max_attempts;
     Ok(Some(Chunk::new(work, items, &progress, most, Instant::now())))
 }
 
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -118,7 +118,7 @@
     }
 
     fn drop_cancelled(&mut self) {
-        if self.shared.settings.is_unguarded("cancel") {
+        if self.shared.settings.is_guard_disabled("cancel") {
             return;
         }
         let batch = self.shared.batch.clone();
@@ -157,7 +157,7 @@
     /// its charge for a while. A chunk in the hands of a live holder never lapses,
     /// so one that can't be run here would wait for ever.
     fn give_back_stranded(&mut self, free: &HashMap<String, usize>, now: Instant) {
-        if self.shared.settings.is_unguarded("strand") {
+        if self.shared.settings.is_guard_disabled("strand") {
             return;
         }
         for chunk in self.chunks.values_mut() {
@@ -184,7 +184,7 @@
         let room = self.room(node, count, now);
         let starts = match admission::decide(room) {
             Decision::Hold => 0,
-            Decision::Stop(_) if self.shared.settings.is_unguarded("yield") => 0,
+            Decision::Stop(_) if self.shared.settings.is_guard_disabled("yield") => 0,
             Decision::Stop(most) => {
                 self.park(name, most);
                 0
@@ -202,8 +202,8 @@
         let online = known.max(state.load.online(now));
         state.pressure.note(online, now);
         let peak = state.pressure.peak(now);
-        let reserve = state.pressure.reserve(self.shared.settings.reserve, now);
-        let unyielding = self.shared.settings.is_unguarded("yield");
+        let reserve = state.pressure.reserve(self.shared.settings.reserved_slots, now);
+        let unyielding = self.shared.settings.is_guard_disabled("yield");
         if unyielding {
             return Capacity { slots: node.target.slots, reserve, online: 0, peak: 0, batch };
         }
@@ -261,7 +261,7 @@
             service: work.service.clone(),
             key: format!("{}/{}/{}", work.job, work.chunk, waiting.index),
             attempt: rand::random(),
-            as_online: self.shared.settings.is_unguarded("priority"),
+            as_online: self.shared.settings.is_guard_disabled("priority"),
             park: park.clone(),
         };
         let index = waiting.index;
@@ -302,12 +302,12 @@
         };
         self.shared.telemetry.count(name);
         if let Some(held) = self.chunks.get_mut(&chunk) {
-            held.on_end(index, end, self.shared.settings.attempts);
+            held.on_end(index, end, self.shared.settings.max_attempts);
         }
     }
 
     fn send_reports(&mut self, now: Instant) {
-        let every = self.shared.settings.report;
+        let every = self.shared.settings.report_interval;
         for (key, chunk) in &mut self.chunks {
             if chunk.sending || !chunk.is_due(every, now) {
                 continue;
@@ -338,7 +338,7 @@
                 }
             }
             // Test only: a holder that doesn't listen.
-            Sent::Stopped if self.shared.settings.is_unguarded("cancel") => {
+            Sent::Stopped if self.shared.settings.is_guard_disabled("cancel") => {
                 chunk.on_recorded(Instant::now());
             }
             Sent::Stopped => {
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -246,7 +246,7 @@
     let mut revision = None;
     let mut polled: Option<Instant> = None;
     while !stop.is_cancelled() {
-        if shared.settings.is_unguarded("revert") {
+        if shared.settings.is_guard_disabled("revert") {
             drop(read_unguarded(&shared).await);
             tokio::time::sleep(shared.settings.platform_poll).await;
             continue;
--- a/crates/daemon/src/front/answer.rs
+++ b/crates/daemon/src/front/answer.rs
@@ -110,7 +110,7 @@
                     return Ok(end);
                 }
                 Ok(Err(fault)) => {
-                    if self.shared.settings.is_unguarded("whole") {
+                    if self.shared.settings.is_guard_disabled("whole") {
                         return Ok(Piece::End("stop".into()));
                     }
                     let hold = self.stream.take().map(|(hold, _)| hold);
@@ -223,7 +223,7 @@
         }
         let ran = fault.failure == Failure::Unknown;
         self.sent |= ran;
-        let unguarded = self.shared.settings.is_unguarded("retry");
+        let unguarded = self.shared.settings.is_guard_disabled("retry");
         let may = retry::may_retry(self.terms.repeatable || unguarded, fault.failure);
         let in_time = !self.terms.left(now).is_zero();
         if may && in_time && self.tries < MOST_TRIES && lock(&self.shared.budget).take() {
@@ -237,7 +237,7 @@
 
     fn final_error(&self, fault: &AttemptError) -> Error {
         let kind = match fault.failure {
-            _ if self.shared.settings.is_unguarded("refusal") => Kind::NoTarget,
+            _ if self.shared.settings.is_guard_disabled("refusal") => Kind::NoTarget,
             _ if self.tokens > 0 => Kind::Truncated,
             _ if self.sent => Kind::TargetFailed,
             Failure::Refused => Kind::Overloaded,
--- a/crates/daemon/src/front/chat.rs
+++ b/crates/daemon/src/front/chat.rs
@@ -145,7 +145,7 @@
     /// What a failure means for the claim of a request that may run once: given
     /// back when nothing was sent, the final outcome otherwise.
     async fn settle(&self, error: Error) -> Error {
-        let guarded = !self.front.shared.settings.is_unguarded("refusal");
+        let guarded = !self.front.shared.settings.is_guard_disabled("refusal");
         match &self.terms.key {
             Some(key) if !self.terms.repeatable && guarded => {
                 if self.answer.was_sent() {
--- a/crates/daemon/src/front/keyed.rs
+++ b/crates/daemon/src/front/keyed.rs
@@ -88,7 +88,7 @@
         issued: key.issued,
         outcome,
     };
-    if shared.settings.is_unguarded("durable") {
+    if shared.settings.is_guard_disabled("durable") {
         // Measurement only: the answer doesn't wait for its record.
         shared.late.push(command);
         return Ok(Recorded::Now);
--- a/crates/daemon/src/front/plain.rs
+++ b/crates/daemon/src/front/plain.rs
@@ -144,7 +144,7 @@
         hold.on_failure(Instant::now());
         tried.push(hold.node.target.name.clone());
         sent |= fault.failure == Failure::Unknown;
-        let unguarded = front.shared.settings.is_unguarded("retry");
+        let unguarded = front.shared.settings.is_guard_disabled("retry");
         let may = retry::may_retry(terms.repeatable || unguarded, fault.failure);
         if !may || attempt >= MOST_TRIES || terms.left(Instant::now()).is_zero() {
             let kind = if sent { Kind::TargetFailed } else { Kind::NoTarget };
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -124,10 +124,14 @@
 impl Node {
     /// An instance that knows nothing yet.
     pub fn new(settings: Settings, log: Logger, me: Member, peers: Peers) -> Rc<Node> {
-        let policy = Policy { ping: settings.ping, suspect: settings.suspect, ..Policy::default() };
+        let policy = Policy {
+            ping: settings.heartbeat_interval,
+            suspect: settings.suspect_timeout,
+            ..Policy::default()
+        };
         let now = clock::now();
         let connections = upstream::Settings {
-            connect_timeout: settings.connect,
+            connect_timeout: settings.connect_timeout,
             ..upstream::Settings::default()
         };
         Rc::new(Node {
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -217,7 +217,7 @@
     spawn_local(run_until(join(node.clone()), stop.clone()));
     // Independent of the news: were each piece of news to put the heartbeat off,
     // a member that can't be reached would never be found out.
-    let mut heartbeat = tokio::time::interval(node.settings.ping);
+    let mut heartbeat = tokio::time::interval(node.settings.heartbeat_interval);
     heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -49,7 +49,7 @@
 }
 
 async fn serve_all(settings: Settings, file: &Path, log: Logger) -> anyhow::Result<()> {
-    settings.suspended.iter().for_each(|file| clock::pretend(file.clone()));
+    settings.suspension_file.iter().for_each(|file| clock::pretend(file.clone()));
     let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
     let mut reload = signal(SignalKind::hangup()).context("SIGHUP")?;
     let front = bind(settings.front_address)?;
@@ -57,7 +57,7 @@
     let metrics = settings.metrics_listen.map(bind).transpose()?;
     let peer = bind(settings.peer_address)?;
     let me = start::member(&settings, front.local_addr()?, peer.local_addr()?);
-    let cut = Cut::new(settings.cut.clone());
+    let cut = Cut::new(settings.partition_file.clone());
     let traffic = Arc::new(Traffic::default());
     let pool = Pool::new(HEARTBEAT_TIMEOUT, cut, traffic.clone());
     let node = Node::new(settings, log, me, pool);
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -115,7 +115,7 @@
 
     /// Takes the target's lease and one of the service's load slots.
     async fn enter(&mut self, shared: &Shared, view: &View, node: &Node) -> bool {
-        if shared.settings.is_unguarded("lease") {
+        if shared.settings.is_guard_disabled("lease") {
             return true;
         }
         let key = object_key::lease(&node.target.name);
@@ -143,7 +143,7 @@
     }
 
     async fn order(&self, shared: &Shared, client: &Client, node: &Node, order: Desired) {
-        let unguarded = shared.settings.is_unguarded("lease");
+        let unguarded = shared.settings.is_guard_disabled("lease");
         let lifetime = shared.settings.order_lifetime;
         let held = self.lease.held;
         let may = held.is_some_and(|held| held.may_order(lifetime, Instant::now()));
@@ -214,7 +214,7 @@
     }
 
     async fn take(&mut self, shared: &Shared, key: &str) -> bool {
-        let length = shared.settings.lease;
+        let length = shared.settings.controller_lease;
         let margin = shared.settings.order_lifetime;
         let now = Instant::now();
         let claim = lease::claim(self.holder, self.sight, length, margin, now);
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -195,7 +195,7 @@
     }
 
     async fn gossip(self, stop: CancellationToken) {
-        let mut ticks = tokio::time::interval(self.shared.settings.ping);
+        let mut ticks = tokio::time::interval(self.shared.settings.heartbeat_interval);
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
--- a/crates/daemon/src/shards.rs
+++ b/crates/daemon/src/shards.rs
@@ -46,7 +46,7 @@
 pub fn duty(settings: &Settings) -> (Handle, RequestReceiver<Item>) {
     let (sender, receiver) = channel::channel("log", CAPACITY);
     // Two platform calls and a read-back fit into this.
-    let limit = settings.platform_timeout * 3 + settings.commit;
+    let limit = settings.platform_timeout * 3 + settings.commit_interval;
     (Handle { sender, shards: settings.shards, limit }, receiver)
 }
 
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -70,9 +70,9 @@
         let settings = &shared.settings;
         let policy = Policy {
             retention: settings.retention,
-            claim: settings.claim,
-            unfenced: settings.is_unguarded("fence"),
-            unclaimed: settings.is_unguarded("claim"),
+            claim: settings.claim_timeout,
+            unfenced: settings.is_guard_disabled("fence"),
+            unclaimed: settings.is_guard_disabled("claim"),
         };
         let now = Instant::now();
         Committer {
@@ -83,7 +83,7 @@
             open: None,
             queue: VecDeque::new(),
             verified: None,
-            committed: now.checked_sub(settings.commit).unwrap_or(now),
+            committed: now.checked_sub(settings.commit_interval).unwrap_or(now),
             failures: 0,
             sequence: 0,
             swept: now,
@@ -125,7 +125,7 @@
     /// Waits until the last commit is long enough ago; what arrives meanwhile
     /// shares the next append.
     async fn pace(&self) {
-        let wait = self.shared.settings.commit.saturating_sub(self.committed.elapsed());
+        let wait = self.shared.settings.commit_interval.saturating_sub(self.committed.elapsed());
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
@@ -221,7 +221,7 @@
             if item.answer.is_closed() {
                 continue;
             }
-            let ungrouped = self.shared.settings.is_unguarded("group") && !waiting.is_empty();
+            let ungrouped = self.shared.settings.is_guard_disabled("group") && !waiting.is_empty();
             if bytes > object_key::MAX_VALUE_BYTES / 2 || ungrouped {
                 deferred.push_back(item);
                 continue;
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -105,14 +105,14 @@
         let place = Place {
             me: self.id,
             here: self.settings.data_centre.clone(),
-            subset: self.settings.subset,
+            subset: self.settings.max_polled_targets,
         };
         let ready = self.configured.load(std::sync::atomic::Ordering::Relaxed);
         *view = Arc::new(self.fleet.view(document, leaving, &place, ready));
     }
 
     fn leaving(&self) -> HashSet<TargetId> {
-        if self.settings.is_unguarded("leaving") {
+        if self.settings.is_guard_disabled("leaving") {
             return HashSet::new();
         }
         let mut leaving: HashSet<TargetId> = lock(&self.board).all().into_iter().collect();
@@ -268,8 +268,8 @@
     /// Joins the parts.
     pub fn join(self) -> Shared {
         let policy = coordination::membership::Policy {
-            ping: self.settings.ping,
-            suspect: self.settings.suspect,
+            ping: self.settings.heartbeat_interval,
+            suspect: self.settings.suspect_timeout,
             ..Default::default()
         };
         Shared {
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -63,7 +63,7 @@
     let front = bind(&front_runtime, settings.front_address)?;
     let peer = bind(&peer_runtime, settings.peer_address)?;
     let me = member(&settings, front.1, peer.1);
-    let cut = Cut::new(settings.cut.clone());
+    let cut = Cut::new(settings.partition_file.clone());
     let (store, platform) = store::duty(store::Config {
         address: settings.platform_address,
         timeout: settings.platform_timeout,
@@ -81,7 +81,13 @@
     let (log, stop) = (shared.log.clone(), tokens.rest.clone());
     duties.spawn_local("platform", single()?, move || platform.run(log, stop))?;
     duties.spawn("log", single()?, shards::run(shared.clone(), items, tokens.rest.clone()))?;
-    let client = || Client::new(shared.settings.connect, shared.settings.idle, cut.clone());
+    let client = || {
+        Client::new(
+            shared.settings.connect_timeout,
+            shared.settings.stream_idle_timeout,
+            cut.clone(),
+        )
+    };
     duties.spawn("batch", single()?, batch::run(shared.clone(), client(), tokens.rest.clone()))?;
     let control = control::run(shared.clone(), client(), tokens.rest.clone());
     duties.spawn("control", single()?, control)?;
@@ -115,7 +121,7 @@
 /// This start of an instance, as other members know it.
 pub(crate) fn member(settings: &Settings, front: SocketAddr, peer: SocketAddr) -> Member {
     Member {
-        id: capacity::tag_id(rand::random::<u64>() | LEAST_ID, settings.processor),
+        id: capacity::tag_id(rand::random::<u64>() | LEAST_ID, settings.cpu_cores),
         peer,
         http: front,
         data_centre: settings.data_centre.clone(),
@@ -197,7 +203,7 @@
             let running = self.shared.running.load(Ordering::Relaxed)
                 + self.shared.batch.in_hand()
                 + self.shared.late.len();
-            let unguarded = settings.is_unguarded("drain");
+            let unguarded = settings.is_guard_disabled("drain");
             let is_closed = self.shared.refusing.load(Ordering::Relaxed);
             match drain::phase(plan, since, running, is_closed, Instant::now()) {
                 Phase::Exit => break,
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -73,11 +73,11 @@
     /// `[instance] duty`: `own`, `gateway` or `standby`.
     pub role: Role,
     /// `[instance] processor`: cores that this daemon gets; it may be a part of one.
-    pub processor: f64,
+    pub cpu_cores: f64,
     /// `[instance] data_centre`: where this daemon stands.
     pub data_centre: DataCentreId,
     /// `[instance] data`: folder of the small disk, if there is one.
-    pub data: Option<PathBuf>,
+    pub data_dir: Option<PathBuf>,
     /// `[front] listen`: address for callers and operators.
     pub front_address: SocketAddr,
     /// `[front] ready`: address of the readiness check, if it has its own.
@@ -95,9 +95,9 @@
     /// `[peers] seeds`: daemons to ask first.
     pub seeds: Vec<SocketAddr>,
     /// `[peers] ping_ms`: time between heartbeats.
-    pub ping: Duration,
+    pub heartbeat_interval: Duration,
     /// `[peers] suspect_ms`: silence after which a daemon counts as dead.
-    pub suspect: Duration,
+    pub suspect_timeout: Duration,
     /// `[platform] address`: the object API.
     pub platform_address: SocketAddr,
     /// `[platform] timeout_ms`: longest wait for one call.
@@ -114,7 +114,7 @@
     /// `[log] shards`: shards of the durable log; the same on every daemon.
     pub shards: u32,
     /// `[log] commit_ms`: shortest time between two commits of a shard.
-    pub commit: Duration,
+    pub commit_interval: Duration,
     /// `[log] retention_s`: how long outcomes stay readable.
     pub retention: Duration,
     /// `[log] snapshot_entries`: entries between snapshots of a shard.
@@ -122,25 +122,25 @@
     /// `[batch] chunk_items`: most items of a chunk.
     pub chunk_items: usize,
     /// `[batch] claim_ms`: silence after which a chunk goes out again.
-    pub claim: Duration,
+    pub claim_timeout: Duration,
     /// `[batch] report_ms`: time between progress reports of a chunk.
-    pub report: Duration,
+    pub report_interval: Duration,
     /// `[batch] attempts`: tries of an item before it fails for good.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// `[batch] reserve`: slots of a target that batch leaves free.
-    pub reserve: u32,
+    pub reserved_slots: u32,
     /// `[batch] enabled`: whether this daemon runs batch items.
-    pub batch: bool,
+    pub batch_enabled: bool,
     /// `[targets] subset`: most targets that one daemon polls.
-    pub subset: usize,
+    pub max_polled_targets: usize,
     /// `[targets] poll_ms`: time between load reports asked of a target.
     pub target_poll: Duration,
     /// `[targets] connect_ms`: longest wait for a connection to a target.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// `[targets] idle_ms`: silence of a stream after which it counts as cut.
-    pub idle: Duration,
+    pub stream_idle_timeout: Duration,
     /// `[orders] lease_ms`: how long a controller holds a target.
-    pub lease: Duration,
+    pub controller_lease: Duration,
     /// `[orders] lifetime_ms`: how long an order may be on its way.
     pub order_lifetime: Duration,
     /// `[stop] grace_ms`: time from SIGTERM until no call is accepted.
@@ -156,12 +156,12 @@
     /// `[policy]`: what the gateway decides by.
     pub policy: Policy,
     /// `[faults] cut`: addresses this daemon treats as unreachable (tests).
-    pub cut: Option<PathBuf>,
+    pub partition_file: Option<PathBuf>,
     /// `[faults] suspended`: a file with the milliseconds for which the machine counts as
     /// suspended so far (tests).
-    pub suspended: Option<PathBuf>,
+    pub suspension_file: Option<PathBuf>,
     /// `[faults] unguarded`: guards switched off (tests).
-    pub unguarded: Vec<String>,
+    pub disabled_guards: Vec<String>,
 }
 
 impl Default for Settings {
@@ -170,9 +170,9 @@
         Settings {
             name: String::from("local"),
             role: Role::default(),
-            processor: 1.0,
+            cpu_cores: 1.0,
             data_centre: String::from("local"),
-            data: None,
+            data_dir: None,
             front_address: any,
             ready_address: None,
             body_limit: 1 << 20,
@@ -181,8 +181,8 @@
             admin: true,
             peer_address: any,
             seeds: Vec::new(),
-            ping: Duration::from_millis(500),
-            suspect: Duration::from_secs(3),
+            heartbeat_interval: Duration::from_millis(500),
+            suspect_timeout: Duration::from_secs(3),
             platform_address: SocketAddr::from(([127, 0, 0, 1], 7700)),
             platform_timeout: Duration::from_secs(2),
             entry_heartbeat: Duration::from_millis(1_200),
@@ -190,20 +190,20 @@
             platform_rate: 100.0,
             platform_poll: Duration::from_secs(2),
             shards: 8,
-            commit: Duration::from_millis(50),
+            commit_interval: Duration::from_millis(50),
             retention: Duration::from_secs(86_400),
             snapshot_entries: 256,
             chunk_items: 256,
-            claim: Duration::from_secs(15),
-            report: Duration::from_secs(2),
-            attempts: 3,
-            reserve: 0,
-            batch: true,
-            subset: 64,
+            claim_timeout: Duration::from_secs(15),
+            report_interval: Duration::from_secs(2),
+            max_attempts: 3,
+            reserved_slots: 0,
+            batch_enabled: true,
+            max_polled_targets: 64,
             target_poll: Duration::from_millis(500),
-            connect: Duration::from_millis(500),
-            idle: Duration::from_secs(5),
-            lease: Duration::from_secs(6),
+            connect_timeout: Duration::from_millis(500),
+            stream_idle_timeout: Duration::from_secs(5),
+            controller_lease: Duration::from_secs(6),
             order_lifetime: Duration::from_secs(2),
             stop_grace: Duration::from_secs(2),
             stop_bound: Duration::from_secs(30),
@@ -211,9 +211,9 @@
             metrics_address: None,
             log_level: String::from("info"),
             policy: Policy::default(),
-            cut: None,
-            suspended: None,
-            unguarded: Vec::new(),
+            partition_file: None,
+            suspension_file: None,
+            disabled_guards: Vec::new(),
         }
     }
 }
@@ -256,8 +256,8 @@
         s.text("instance", "name", &mut self.name);
         s.value("instance", "duty", "own, gateway or standby", &mut self.role)?;
         s.text("instance", "data_centre", &mut self.data_centre);
-        s.value("instance", "processor", "a number of cores", &mut self.processor)?;
-        s.option("instance", "data", "a path", &mut self.data)?;
+        s.value("instance", "processor", "a number of cores", &mut self.cpu_cores)?;
+        s.option("instance", "data", "a path", &mut self.data_dir)?;
         s.value("front", "listen", "an IP number and port", &mut self.front_address)?;
         s.option("front", "ready", "an IP number and port", &mut self.ready_address)?;
         s.value("front", "body_limit", "a number of bytes", &mut self.body_limit)?;
@@ -266,8 +266,8 @@
         s.value("front", "admin", "true or false", &mut self.admin)?;
         s.value("peers", "listen", "an IP number and port", &mut self.peer_address)?;
         s.list("peers", "seeds", "IP numbers and ports, with commas", &mut self.seeds)?;
-        s.millis("peers", "ping_ms", &mut self.ping)?;
-        s.millis("peers", "suspect_ms", &mut self.suspect)?;
+        s.millis("peers", "ping_ms", &mut self.heartbeat_interval)?;
+        s.millis("peers", "suspect_ms", &mut self.suspect_timeout)?;
         s.value("platform", "address", "an IP number and port", &mut self.platform_address)?;
         s.millis("platform", "timeout_ms", &mut self.platform_timeout)?;
         s.millis("platform", "entry_heartbeat_ms", &mut self.entry_heartbeat)?;
@@ -277,30 +277,30 @@
         s.option("metrics", "listen", "an IP number and port", &mut self.metrics_listen)?;
         s.option("metrics", "address", "an IP number and port", &mut self.metrics_address)?;
         s.text("log_lines", "level", &mut self.log_level);
-        s.option("faults", "cut", "a path", &mut self.cut)?;
-        s.option("faults", "suspended", "a path", &mut self.suspended)?;
-        s.list("faults", "unguarded", "names with commas", &mut self.unguarded)
+        s.option("faults", "cut", "a path", &mut self.partition_file)?;
+        s.option("faults", "suspended", "a path", &mut self.suspension_file)?;
+        s.list("faults", "unguarded", "names with commas", &mut self.disabled_guards)
     }
 
     fn fill_log(&mut self, s: &mut Source) -> Result<(), SettingsError> {
         s.value("log", "shards", "a number of shards", &mut self.shards)?;
-        s.millis("log", "commit_ms", &mut self.commit)?;
+        s.millis("log", "commit_ms", &mut self.commit_interval)?;
         s.seconds("log", "retention_s", &mut self.retention)?;
         s.value("log", "snapshot_entries", "a number of entries", &mut self.snapshot_entries)
     }
 
     fn fill_work(&mut self, s: &mut Source) -> Result<(), SettingsError> {
         s.value("batch", "chunk_items", "a number of items", &mut self.chunk_items)?;
-        s.millis("batch", "claim_ms", &mut self.claim)?;
-        s.millis("batch", "report_ms", &mut self.report)?;
-        s.value("batch", "attempts", "a number of tries", &mut self.attempts)?;
-        s.value("batch", "reserve", "a number of slots", &mut self.reserve)?;
-        s.value("batch", "enabled", "true or false", &mut self.batch)?;
-        s.value("targets", "subset", "a number of targets", &mut self.subset)?;
+        s.millis("batch", "claim_ms", &mut self.claim_timeout)?;
+        s.millis("batch", "report_ms", &mut self.report_interval)?;
+        s.value("batch", "attempts", "a number of tries", &mut self.max_attempts)?;
+        s.value("batch", "reserve", "a number of slots", &mut self.reserved_slots)?;
+        s.value("batch", "enabled", "true or false", &mut self.batch_enabled)?;
+        s.value("targets", "subset", "a number of targets", &mut self.max_polled_targets)?;
         s.millis("targets", "poll_ms", &mut self.target_poll)?;
-        s.millis("targets", "connect_ms", &mut self.connect)?;
-        s.millis("targets", "idle_ms", &mut self.idle)?;
-        s.millis("orders", "lease_ms", &mut self.lease)?;
+        s.millis("targets", "connect_ms", &mut self.connect_timeout)?;
+        s.millis("targets", "idle_ms", &mut self.stream_idle_timeout)?;
+        s.millis("orders", "lease_ms", &mut self.controller_lease)?;
         s.millis("orders", "lifetime_ms", &mut self.order_lifetime)?;
         s.millis("stop", "grace_ms", &mut self.stop_grace)?;
         s.millis("stop", "bound_ms", &mut self.stop_bound)?;
@@ -309,17 +309,22 @@
 
     fn check(&self, file: &str) -> Result<(), SettingsError> {
         let rules = [
-            (self.processor > 0.0, "instance", "processor", "above 0"),
+            (self.cpu_cores > 0.0, "instance", "processor", "above 0"),
             (self.shards >= 1, "log", "shards", "at least 1"),
             (self.chunk_items >= 1, "batch", "chunk_items", "at least 1"),
-            (self.attempts >= 1, "batch", "attempts", "at least 1"),
+            (self.max_attempts >= 1, "batch", "attempts", "at least 1"),
             (self.front_threads >= 1, "front", "threads", "at least 1"),
             (self.platform_rate > 0.0, "platform", "calls_per_second", "above 0"),
             (self.value_bytes >= 1_000, "platform", "value_bytes", "at least 1000"),
-            (self.claim > self.report * 2, "batch", "claim_ms", "over twice report_ms"),
-            (self.lease > self.order_lifetime, "orders", "lease_ms", "over lifetime_ms"),
+            (
+                self.claim_timeout > self.report_interval * 2,
+                "batch",
+                "claim_ms",
+                "over twice report_ms",
+            ),
+            (self.controller_lease > self.order_lifetime, "orders", "lease_ms", "over lifetime_ms"),
             (self.stop_bound > self.stop_grace, "stop", "bound_ms", "over grace_ms"),
-            (self.suspect > self.ping, "peers", "suspect_ms", "over ping_ms"),
+            (self.suspect_timeout > self.heartbeat_interval, "peers", "suspect_ms", "over ping_ms"),
         ];
         let failed = rules.iter().find(|(met, ..)| !met);
         let failed = failed.map(|(_, section, key, expected)| (*section, *key, *expected));
@@ -336,7 +341,7 @@
     }
 
     /// Whether a guard is switched off by a test.
-    pub fn is_unguarded(&self, guard: &str) -> bool {
-        self.unguarded.iter().any(|name| name == guard)
+    pub fn is_guard_disabled(&self, guard: &str) -> bool {
+        self.disabled_guards.iter().any(|name| name == guard)
     }
 }
