--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -70,7 +70,7 @@
     let made = state.next_event_count().unwrap_or_default();
     let span = node.jobs.run_time.borrow();
     let before_due = |time: Duration| state.job().due.saturating_sub(time.as_millis() as Millis);
-    let spare = node.settings.policy.spare;
+    let spare = node.settings.policy.slack_factor;
     (before_due(span.upper_bound(made, spare)), before_due(span.remaining(made)))
 }
 
@@ -83,7 +83,7 @@
 fn priority(node: &Node, state: &JobState, now: Millis) -> Priority {
     let (sure, in_time) = latest_starts(node, state);
     let is_begun = state.next_event_count().unwrap_or_default() > 0;
-    let is_fresh = node.settings.policy.begun_first && !is_begun;
+    let is_fresh = node.settings.policy.started_first && !is_begun;
     (Feasibility::at(now, sure, in_time), is_fresh, state.job().due)
 }
 
@@ -110,7 +110,7 @@
     };
     let first = waiting.first().map(class);
     let of_class = waiting.iter().filter(|held| Some(class(held)) == first);
-    let is_begun = node.settings.policy.begun_first && matches!(first, Some((_, false)));
+    let is_begun = node.settings.policy.started_first && matches!(first, Some((_, false)));
     let items = |held: &Rc<HeldJob>| {
         let state = held.state.borrow();
         if is_begun { state.started() } else { state.runnable() }
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -115,7 +115,7 @@
         is_last: is_end || state.is_done(),
     };
     let policy =
-        flush::Policy { max_delay: node.settings.policy.gather, ..flush::Policy::default() };
+        flush::Policy { max_delay: node.settings.policy.write_delay, ..flush::Policy::default() };
     flush::flush_at(policy, fresh).saturating_duration_since(now)
 }
 
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -182,7 +182,7 @@
         return Outcome::Refused(AcquireError::NoTarget);
     }
     // Messages grow with the requests that wait, not with the data centres.
-    names.truncate(node.settings.policy.accounts);
+    names.truncate(node.settings.policy.max_allocators);
     let nearest = names.remove(0);
     match ask(node.clone(), AllocatorCall::look(node, query, &nearest)).await.1 {
         AllocatorReply::Lease(lease) => return Outcome::Lease(lease),
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -324,20 +324,20 @@
 fn slot_policy(policy: &settings::Policy) -> slots::Policy {
     let default = slots::Policy::default();
     slots::Policy {
-        started_first: policy.begun_first,
+        started_first: policy.started_first,
         headroom: policy.headroom,
-        preemption_cost: policy.stop_cost,
+        preemption_cost: policy.preemption_cost,
         late_last: policy.late_last,
         slow_factor: if policy.slow_last { default.slow_factor } else { f64::INFINITY },
         failing_last: policy.failing_last,
-        overdue_last: policy.doubt,
+        overdue_last: policy.overdue_last,
         ..default
     }
 }
 
 /// When requests are held by the settings.
 fn quarantine_policy(policy: &settings::Policy) -> quarantine::Policy {
-    quarantine::Policy { crashes: policy.crashes, ..quarantine::Policy::default() }
+    quarantine::Policy { crashes: policy.max_crashes, ..quarantine::Policy::default() }
 }
 
 /// The time of day in milliseconds, for what is kept on the platform.
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -283,7 +283,7 @@
             // Its objective is counted from the first time it came: it is late.
             return (start, leaves(start));
         }
-        let own_share = self.node.settings.policy.own_share;
+        let own_share = self.node.settings.policy.target_share;
         (start + route.objective.mul_f64(1.0 - own_share), leaves(start))
     }
 
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -25,8 +25,8 @@
         }
         let request = self.request(&lease, left, after).map_err(RetryReason::NotSent)?;
         let policy = &self.node.settings.policy;
-        let overdue = self.route.objective.mul_f64(policy.overdue);
-        let give_up = self.route.objective.mul_f64(policy.give_up);
+        let overdue = self.route.objective.mul_f64(policy.overdue_factor);
+        let give_up = self.route.objective.mul_f64(policy.reroute_factor);
         let sent = self.node.targets.send(lease.grant.address, request);
         let mut sent = std::pin::pin!(sent);
         let mut limit = left;
