--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -101,7 +101,7 @@
     let host = host(&parts.headers).to_owned();
     let path = parts.uri.path();
     let id = header::text(&parts.headers, header::REQUEST_ID).to_owned();
-    let Some(route) = config.table.find(&host, path) else {
+    let Some(route) = config.table.route_for(&host, path) else {
         let query = parts.uri.query().unwrap_or_default();
         let call = job::Call::read(parts.method.as_str(), path, query);
         return match call {
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -162,14 +162,14 @@
 /// The route of a job in the configuration in force.
 pub fn route_of(node: &Node, job: &Job) -> Option<Route> {
     let config = node.config()?;
-    config.table.find(&job.host, &job.path).cloned()
+    config.table.route_for(&job.host, &job.path).cloned()
 }
 
 /// Puts a job into memory and, unless it is settled, begins to run it.
 pub fn hold(node: &Rc<Node>, stored_job: StoredJob) -> Rc<HeldJob> {
     let StoredJob { job, progress, overflow, revision } = stored_job;
     let id = job.id.clone();
-    let attempts = route_of(node, &job).map_or(DEFAULT_MAX_ATTEMPTS, |route| route.attempts);
+    let attempts = route_of(node, &job).map_or(DEFAULT_MAX_ATTEMPTS, |route| route.max_attempts);
     let state = JobState::new(job, progress, attempts);
     let is_read_only = state.is_finished();
     let held = Rc::new(HeldJob {
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -209,7 +209,7 @@
 
     /// Whether the request may be sent to another target.
     pub fn may_send_again(&self) -> bool {
-        self.route.is_repeatable() && self.sent < self.route.attempts
+        self.route.is_repeatable() && self.sent < self.route.max_attempts
     }
 
     /// Gets the head of an answer; `after` is the last event known of a stream
@@ -232,7 +232,7 @@
             slog::info!(self.node.log, "try failed"; "request" => &self.call.id,
                 "content" => hex(self.call.content()),
                 "target" => &target, "how" => again.name(), "text" => again.text(),
-                "sent" => self.sent, "attempts" => self.route.attempts,
+                "sent" => self.sent, "attempts" => self.route.max_attempts,
                 "registry" => self.registry,
                 "age_ms" => clock::since(self.call.started).as_millis() as u64);
             self.avoid.push(target);
@@ -244,7 +244,7 @@
                     }
                 }
                 RetryReason::NotRun => {
-                    if self.sent >= self.route.attempts {
+                    if self.sent >= self.route.max_attempts {
                         return Err(self.refused(AcquireError::Full(COME_BACK)));
                     }
                 }
@@ -273,11 +273,12 @@
         let route = &self.route;
         let start = self.call.started;
         let last = self.call.until.min(start + route.timeout);
-        let leaves =
-            |since: Instant| route.silence.map_or(last, |silence| last.min(since + silence));
+        let leaves = |since: Instant| {
+            route.caller_idle_timeout.map_or(last, |silence| last.min(since + silence))
+        };
         if is_resumed {
             // A reader waits in the middle of the stream.
-            return (now + route.gap, leaves(now));
+            return (now + route.max_event_gap, leaves(now));
         }
         if self.call.is_retry {
             // Its objective is counted from the first time it came: it is late.
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -30,7 +30,7 @@
         let sent = self.node.targets.send(lease.grant.address, request);
         let mut sent = std::pin::pin!(sent);
         let mut limit = left;
-        if self.route.is_repeatable() && self.sent + 1 < self.route.attempts {
+        if self.route.is_repeatable() && self.sent + 1 < self.route.max_attempts {
             limit = limit.min(give_up);
         }
         let first = tokio::time::timeout(overdue.min(limit), sent.as_mut()).await;
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -240,7 +240,7 @@
 
     fn max_gap(&self) -> Duration {
         let route = &self.forward.route;
-        if self.stats.chunks == 0 { route.objective } else { route.gap * IDLE_GAP_FACTOR }
+        if self.stats.chunks == 0 { route.objective } else { route.max_event_gap * IDLE_GAP_FACTOR }
     }
 
     fn call(&self) -> &Rc<CallerRequest> {
@@ -268,7 +268,7 @@
         let first = self.stats.first_after(call.started);
         first.into_iter().for_each(|first| node.metrics.time("stream.first", first));
         let is_in_time = first.is_some_and(|first| first <= route.objective);
-        let is_good = fault.is_empty() && is_in_time && self.stats.slowest <= route.gap;
+        let is_good = fault.is_empty() && is_in_time && self.stats.slowest <= route.max_event_gap;
         node.metrics.record_request(&route.name, is_good, clock::now());
         slog::info!(node.log, "{}", what; "request" => &call.id, "target" => target,
             "content" => hex(call.content()),
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -80,7 +80,7 @@
     let Some(config) = node.config() else {
         return SubmitOutcome::Refused;
     };
-    let Some(route) = config.table.find(host, path) else {
+    let Some(route) = config.table.route_for(host, path) else {
         return SubmitOutcome::Refused;
     };
     let now = clock::now();
@@ -145,7 +145,7 @@
     if node.jobs.held_job(id).is_some() || node.jobs.directory.borrow().contains_key(id) {
         return SubmitOutcome::Accepted;
     }
-    let Some(terms) = route.terms else {
+    let Some(terms) = route.batch else {
         return SubmitOutcome::Malformed;
     };
     let items = match job::decode(&call.body) {
@@ -163,7 +163,7 @@
         path: call.target.split('?').next().unwrap_or_default().to_owned(),
         accepted: now,
         due: now + terms.due.as_millis() as u64,
-        expires: now + terms.give_up.as_millis() as u64,
+        expires: now + terms.expire_after.as_millis() as u64,
         accepted_by: node.as_holder(),
         items,
     };
--- a/crates/protocol/src/routing.rs
+++ b/crates/protocol/src/routing.rs
@@ -28,7 +28,8 @@
     Repeatable,
     /// One answer; the request runs once for each call at most.
     #[default]
-    Once,
+    #[serde(rename = "Once")]
+    AtMostOnce,
     /// A series of events.
     Stream,
     /// Jobs of many items that run later.
@@ -37,11 +38,12 @@
 
 /// Terms of a batch route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct BatchTerms {
     /// Time from the first submission in which every result is due.
     pub due: Duration,
     /// Time after which an item may be given up.
-    pub give_up: Duration,
+    #[serde(rename = "give_up")]
+    pub expire_after: Duration,
     /// Most tokens that may wait on the route over all instances; 0 is no limit.
     pub waiting_tokens: u64,
 }
@@ -62,20 +64,25 @@
     /// Latency objective: the whole answer, or the first event of a stream.
     pub objective: Duration,
     /// Longest pause between events that keeps a stream within its objective.
-    pub gap: Duration,
+    #[serde(rename = "gap")]
+    pub max_event_gap: Duration,
     /// Silence after which callers leave a stream, its first event included;
     /// `None` if they wait as long as they said.
-    pub silence: Option<Duration>,
+    #[serde(rename = "silence")]
+    pub caller_idle_timeout: Option<Duration>,
     /// Rank; 0 is the most urgent.
-    pub rank: u32,
+    #[serde(rename = "rank")]
+    pub priority: u32,
     /// Services with their weights; the weights need not add up to anything.
     pub services: Vec<(ServiceId, u32)>,
     /// Most targets that one call may be sent to.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// Whether a stream that broke may go on at another target.
     pub resumable: bool,
     /// Terms of a batch route.
-    pub terms: Option<Terms>,
+    #[serde(rename = "terms")]
+    pub batch: Option<BatchTerms>,
 }
 
 impl Default for Route {
@@ -87,13 +94,13 @@
             class: Class::default(),
             timeout: Duration::from_secs(30),
             objective: Duration::from_secs(1),
-            gap: Duration::from_secs(1),
-            silence: None,
-            rank: 0,
+            max_event_gap: Duration::from_secs(1),
+            caller_idle_timeout: None,
+            priority: 0,
             services: Vec::new(),
-            attempts: 1,
+            max_attempts: 1,
             resumable: false,
-            terms: None,
+            batch: None,
         }
     }
 }
@@ -103,7 +110,7 @@
     pub fn is_repeatable(&self) -> bool {
         match self.class {
             Class::Repeatable | Class::Batch => true,
-            Class::Once => false,
+            Class::AtMostOnce => false,
             Class::Stream => self.resumable,
         }
     }
@@ -148,9 +155,11 @@
     /// Most bytes of a request's body.
     pub body_bytes: usize,
     /// Longest time to send a head.
-    pub head_time: Duration,
+    #[serde(rename = "head_time")]
+    pub head_timeout: Duration,
     /// Longest rest of a connection between requests.
-    pub idle: Duration,
+    #[serde(rename = "idle")]
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
@@ -158,8 +167,8 @@
         Limits {
             head_bytes: 16 << 10,
             body_bytes: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -180,7 +189,7 @@
 impl Table {
     /// The route of a request: of the host's routes, the one with the longest
     /// prefix of the path.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
+    pub fn route_for(&self, host: &str, path: &str) -> Option<&Route> {
         let of_host = self.routes.iter().filter(|route| route.host.eq_ignore_ascii_case(host));
         let fits = of_host.filter(|route| path.starts_with(&route.prefix));
         fits.max_by_key(|route| route.prefix.len())
