--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -97,7 +97,8 @@
     pub fn set_targets<'a>(&mut self, targets: impl IntoIterator<Item = &'a Target>) {
         let mut old = std::mem::take(&mut self.targets);
         for target in targets {
-            let known = old.remove(&target.id).filter(|row| row.target.born == target.born);
+            let known =
+                old.remove(&target.id).filter(|row| row.target.started_at == target.started_at);
             let is_kept = known.is_some();
             let mut row = known.unwrap_or_else(|| TargetState::new(target.clone()));
             if !is_kept {
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -7,7 +7,7 @@
 pub fn targets(count: u16, slots: u32) -> Vec<Target> {
     let target = |n: u16| Target {
         id: format!("t{n}"),
-        born: 0,
+        started_at: 0,
         service: String::from("llm"),
         address: SocketAddr::from(([127, 0, 0, 1], 1_000 + n)),
         data_centre: String::from("east"),
--- a/crates/coordination/tests/registry.rs
+++ b/crates/coordination/tests/registry.rs
@@ -9,7 +9,7 @@
 fn target(id: &str, revision: u64, leaving: bool) -> Target {
     Target {
         id: id.to_owned(),
-        born: 0,
+        started_at: 0,
         service: String::from("llm"),
         address: SocketAddr::from(([127, 0, 0, 1], 80)),
         data_centre: String::from("east"),
--- a/crates/coordination/tests/slots/health.rs
+++ b/crates/coordination/tests/slots/health.rs
@@ -122,7 +122,7 @@
     ledger.on_release(lost.lease, silent, now);
     let verdict = ledger.on_request(ask(Purpose::Online, now), now);
     assert!(matches!(verdict, Decision::Full(_)), "out of use: {verdict:?}");
-    ledger.set_targets(&[Target { born: 7, revision: 2, ..target(0, 2) }]);
+    ledger.set_targets(&[Target { started_at: 7, revision: 2, ..target(0, 2) }]);
     for _ in 0..2 {
         grant(&mut ledger, ask(Purpose::Online, now), now);
     }
--- a/crates/coordination/tests/slots/main.rs
+++ b/crates/coordination/tests/slots/main.rs
@@ -17,7 +17,7 @@
 fn target(n: u16, slots: u32) -> Target {
     Target {
         id: format!("t{n}"),
-        born: 0,
+        started_at: 0,
         service: String::from("llm"),
         address: SocketAddr::from(([127, 0, 0, 1], 1_000 + n)),
         data_centre: String::from("east"),
--- a/crates/daemon/src/gateway/crash.rs
+++ b/crates/daemon/src/gateway/crash.rs
@@ -61,7 +61,7 @@
         "presence" => ?probe, "has_left" => has_left,
         "is_crash" => is_crash, "requests" => ?ids, "contents" => ?contents);
     if is_crash {
-        let born = node.registry.borrow().get(&target).map_or(0, |target| target.born);
+        let born = node.registry.borrow().get(&target).map_or(0, |target| target.started_at);
         let contents: Vec<RequestFingerprint> =
             broken.iter().map(|broken| broken.content).collect();
         quarantine::on_crash(&node, &Boot { target, born }, &contents);
--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -107,10 +107,10 @@
     for change in news {
         match change {
             Change::Present(target) => {
-                let before = births.insert(target.id.clone(), target.born);
-                if before.is_some_and(|before| before != target.born) {
+                let before = births.insert(target.id.clone(), target.started_at);
+                if before.is_some_and(|before| before != target.started_at) {
                     slog::info!(node.log, "target started again"; "target" => &target.id,
-                        "born" => target.born, "before" => before);
+                        "born" => target.started_at, "before" => before);
                     node.targets.close_idle(target.address);
                 }
             }
--- a/crates/protocol/src/routing.rs
+++ b/crates/protocol/src/routing.rs
@@ -207,7 +207,8 @@
     /// Its id; it may start again under it.
     pub id: TargetId,
     /// Its start, in milliseconds since the Unix epoch; 0 if it doesn't tell.
-    pub born: Millis,
+    #[serde(rename = "born")]
+    pub started_at: Millis,
     /// Service it runs.
     pub service: ServiceId,
     /// Where it is reached.
