--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -35,7 +35,7 @@
         eprintln!("gatespool: {error:#}");
         match error.downcast_ref::<Refused>() {
             None => Exit::Failed,
-            Some(refused) => match refused.detail.kind.row().retry {
+            Some(refused) => match refused.detail.kind.properties().retry {
                 Retry::Never => Exit::Refused,
                 Retry::After(_) => Exit::Later,
             },
--- a/crates/daemon/src/front/answer.rs
+++ b/crates/daemon/src/front/answer.rs
@@ -201,13 +201,14 @@
     fn full(&self, bound: &Bound, after: Duration) -> Error {
         if self.sent {
             // A try was sent before; "not run" would be a lie.
-            return Error::new(Kind::TargetFailed, "no other target is free").after(after);
+            return Error::new(Kind::TargetFailed, "no other target is free")
+                .with_retry_after(after);
         }
         if self.terms.left(Instant::now()).is_zero() {
             return Error::new(Kind::DeadlinePassed, "no target was free in time");
         }
         let text = format!("every target of `{}` is busy", bound.service.name);
-        Error::new(Kind::Overloaded, text).after(after)
+        Error::new(Kind::Overloaded, text).with_retry_after(after)
     }
 
     /// Decides what follows a failed try: another one, or the final answer.
--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -127,7 +127,8 @@
         let bucket = buckets.entry(caller.to_owned()).or_insert_with(fresh);
         bucket.set(limit.rate, limit.burst);
         bucket.take(now).map_err(|wait| {
-            Error::new(Kind::CallerLimit, format!("caller `{caller}` is over its rate")).after(wait)
+            Error::new(Kind::CallerLimit, format!("caller `{caller}` is over its rate"))
+                .with_retry_after(wait)
         })
     }
 
--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -166,7 +166,7 @@
 
 /// The answer that the table of errors gives, for the request `id`.
 pub fn refusal(node: &Node, id: &str, error: &Error) -> Response<Body> {
-    let status = error.kind.row().status;
+    let status = error.kind.properties().status;
     node.metrics.count(&format!("refused.{status}"));
     let mut response = text(status, &error.message);
     if let Some(after) = error.retry_after {
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -273,8 +273,8 @@
             End::Open => {
                 self.failures += 1;
                 let wait = self.backoff();
-                let error =
-                    Error::new(Kind::Undetermined, "the platform gave no answer").after(wait);
+                let error = Error::new(Kind::Undetermined, "the platform gave no answer")
+                    .with_retry_after(wait);
                 self.open = Some(Open { append, entry, next: Instant::now() + wait });
                 answer_all(waiting, |_| Err(error.clone()));
             }
@@ -345,7 +345,7 @@
 }
 
 fn away(text: &str, wait: Duration) -> Error {
-    Error::new(Kind::PlatformUnavailable, text).after(wait)
+    Error::new(Kind::PlatformUnavailable, text).with_retry_after(wait)
 }
 
 fn answer_all(waiting: Vec<Waiting>, answer: impl Fn(&Waiting) -> Answer) {
--- a/crates/daemon/tests/contract.rs
+++ b/crates/daemon/tests/contract.rs
@@ -38,10 +38,10 @@
 /// An error answer: the schema, the status of its row, and when to come back.
 #[track_caller]
 fn check_error(reply: &Reply, kind: Kind) {
-    check(reply, kind.row().status, "Error");
+    check(reply, kind.properties().status, "Error");
     assert_eq!(reply.kind(), Some(kind));
     let says_when = !reply.header("retry-after").is_empty();
-    assert_eq!(says_when, kind.row().retry != Retry::Never, "{reply:?}");
+    assert_eq!(says_when, kind.properties().retry != Retry::Never, "{reply:?}");
 }
 
 #[test]
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -1,6 +1,6 @@
 //! An error as it leaves a daemon: a kind, a reason, and when to come back.
 
-use crate::kind::{Kind, Ran, Retry};
+use crate::kind::{Execution, Kind, Retry};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::time::Duration;
@@ -24,14 +24,14 @@
     }
 
     /// The same error with a measured time to come back.
-    pub fn after(self, retry_after: Duration) -> Error {
+    pub fn with_retry_after(self, retry_after: Duration) -> Error {
         Error { retry_after: Some(retry_after), ..self }
     }
 
     /// Whole seconds to wait before trying again, rounded up; `None` when
     /// trying again can't help.
-    pub fn retry_seconds(&self) -> Option<u64> {
-        let Retry::After(default) = self.kind.row().retry else {
+    pub fn retry_after_seconds(&self) -> Option<u64> {
+        let Retry::After(default) = self.kind.properties().retry else {
             return None;
         };
         let wait = self.retry_after.unwrap_or(default);
@@ -64,7 +64,7 @@
     #[serde(rename = "type")]
     pub kind: Kind,
     /// Whether the work ran.
-    pub ran: Ran,
+    pub ran: Execution,
     /// Seconds after which to come back; absent when there is no use in it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u64>,
@@ -76,8 +76,8 @@
             error: Detail {
                 message: error.message.clone(),
                 kind: error.kind,
-                ran: error.kind.row().ran,
-                retry_after: error.retry_seconds(),
+                ran: error.kind.properties().ran,
+                retry_after: error.retry_after_seconds(),
             },
         }
     }
--- a/crates/protocol/src/kind.rs
+++ b/crates/protocol/src/kind.rs
@@ -9,7 +9,7 @@
 /// went to a target on the caller's behalf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum Execution {
     /// No target was given the work.
     NotRun,
     /// A target may have run it; nobody knows.
@@ -29,11 +29,11 @@
 
 /// One row of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct Properties {
     /// HTTP status of the answer.
     pub status: u16,
     /// Whether the work ran.
-    pub ran: Ran,
+    pub ran: Execution,
     /// What the caller should do.
     pub retry: Retry,
 }
@@ -141,8 +141,8 @@
     ];
 
     /// The table: status, whether the work ran, and what to do next.
-    pub fn row(self) -> Row {
-        use Ran::{MayHaveRun, NotRun};
+    pub fn properties(self) -> Properties {
+        use Execution::{MayHaveRun, NotRun};
         use Retry::Never;
         let (status, ran, retry) = match self {
             Kind::Malformed => (400, NotRun, Never),
@@ -172,10 +172,10 @@
             Kind::StaleRevision => (412, NotRun, Never),
             Kind::InvalidConfig => (422, NotRun, Never),
             Kind::Cancelled => (409, NotRun, Never),
-            Kind::AttemptsExhausted => (502, Ran::Ran, Never),
+            Kind::AttemptsExhausted => (502, Execution::Ran, Never),
             Kind::Internal => (500, MayHaveRun, SOON),
         };
-        Row { status, ran, retry }
+        Properties { status, ran, retry }
     }
 
     /// The name that travels in answers and logs.
--- a/crates/state/src/shard/refusal.rs
+++ b/crates/state/src/shard/refusal.rs
@@ -20,7 +20,7 @@
 pub(super) fn in_progress(deadline: Millis, now: Millis) -> Answer {
     let left = Duration::from_millis(deadline.saturating_sub(now));
     let wait = left.min(Duration::from_secs(1));
-    Err(Error::new(Kind::InProgress, "a request with this key is running").after(wait))
+    Err(Error::new(Kind::InProgress, "a request with this key is running").with_retry_after(wait))
 }
 
 /// A claim without an outcome: while its answer is awaited, come back; after
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -219,8 +219,8 @@
 
 /// The answer that the table gives for an error.
 pub fn error(error: &Error) -> Response {
-    let mut response = json(error.kind.row().status, &Body::from(error));
-    if let Some(seconds) = error.retry_seconds() {
+    let mut response = json(error.kind.properties().status, &Body::from(error));
+    if let Some(seconds) = error.retry_after_seconds() {
         set(&mut response, RETRY_AFTER.as_str(), &seconds.to_string());
     }
     response
