--- a/crates/cli/src/job.rs
+++ b/crates/cli/src/job.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use indicatif::{ProgressBar, ProgressStyle};
 use protocol::header;
-use protocol::job::{Page, Phase, Status};
+use protocol::job::{Phase, ResultPage, Status};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const LOOK: Duration = Duration::from_millis(200);
@@ -58,7 +58,7 @@
     let mut from = 0;
     loop {
         let path = format!("/v1/jobs/{}/results?from={from}&limit={PAGE}", args.job);
-        let page: Page = context.client.get(&path).await?;
+        let page: ResultPage = context.client.get(&path).await?;
         for line in &page.results {
             println!("{}", serde_json::to_string(line)?);
         }
--- a/crates/cli/src/replay/events.rs
+++ b/crates/cli/src/replay/events.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use protocol::chat::{self, Chunk, Completion, DONE};
 use protocol::error::Body;
-use protocol::job::{Line, Outcome, Page, Phase, Status};
+use protocol::job::{Outcome, Phase, ResultLine, ResultPage, Status};
 use protocol::trace::{Event, Fault, Job, Request};
 use protocol::{Kind, header};
 use std::net::SocketAddr;
@@ -132,7 +132,12 @@
         }
     }
 
-    async fn job(&self, daemon: &Client, job: &Job, start: Instant) -> (Option<Status>, Vec<Line>) {
+    async fn job(
+        &self,
+        daemon: &Client,
+        job: &Job,
+        start: Instant,
+    ) -> (Option<Status>, Vec<ResultLine>) {
         let Some(accepted) = self.submit(daemon, job).await else {
             return (None, Vec::new());
         };
@@ -185,13 +190,13 @@
         None
     }
 
-    async fn results(&self, daemon: &Client, status: &Status) -> Vec<Line> {
+    async fn results(&self, daemon: &Client, status: &Status) -> Vec<ResultLine> {
         let mut lines = Vec::new();
         let mut from = Some(0);
         let end = Instant::now() + self.patience;
         while let Some(start) = from {
             let path = format!("/v1/jobs/{}/results?from={start}&limit={PAGE}", status.job);
-            match daemon.get::<Page>(&path).await {
+            match daemon.get::<ResultPage>(&path).await {
                 Ok(page) => {
                     lines.extend(page.results);
                     from = page.next;
@@ -205,7 +210,7 @@
 }
 
 /// Outcomes of a job that failed.
-pub fn failed(lines: &[Line]) -> u64 {
+pub fn failed(lines: &[ResultLine]) -> u64 {
     lines.iter().filter(|line| matches!(line.outcome, Outcome::Failed { .. })).count() as u64
 }
 
--- a/crates/cli/src/replay/report.rs
+++ b/crates/cli/src/replay/report.rs
@@ -3,7 +3,7 @@
 use super::events::{self, Got};
 use crate::print::table;
 use hdrhistogram::Histogram;
-use protocol::job::{Line, Outcome, Phase, Status};
+use protocol::job::{Outcome, Phase, ResultLine, Status};
 use protocol::trace::{Expect, Fault, Job, Request};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -51,7 +51,7 @@
     }
 
     /// A job and its outcomes.
-    pub fn job(job: Job, status: Option<Status>, lines: Vec<Line>, took: Duration) -> Played {
+    pub fn job(job: Job, status: Option<Status>, lines: Vec<ResultLine>, took: Duration) -> Played {
         let items = job.items + job.extra.len() as u64;
         let failed = events::failed(&lines);
         let phase = status.as_ref().map(|status| status.phase);
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -8,7 +8,7 @@
 use coordination::membership::Note;
 use platform::keyed::Condition;
 use protocol::config::Protocol;
-use protocol::job::{Header, Item, Line, Outcome, Page, Phase, Status};
+use protocol::job::{Item, JobHeader, Outcome, Phase, ResultLine, ResultPage, Status};
 use protocol::{Error, JobId, Kind, header};
 use state::command::{ChunkResults, Command, Reply};
 use state::object_key;
@@ -113,7 +113,7 @@
     async fn read<B: BodyStream>(&mut self, mut lines: Lines<B>) -> Result<JobSpec, Error> {
         let first = lines.next().await?;
         let first = first.ok_or_else(|| Error::new(Kind::Malformed, "the body is empty"))?;
-        let header: Header = parse(&first, 1)?;
+        let header: JobHeader = parse(&first, 1)?;
         self.check_service(&header.service)?;
         self.digest.update(&first);
         while let Some(line) = lines.next().await? {
@@ -273,14 +273,14 @@
     let until = from.saturating_add(most);
     lines.retain(|line| line.item >= from && line.item < until);
     let next = Some(until).filter(|next| *next < status.items);
-    Ok(http::json(200, &Page { results: lines, next }))
+    Ok(http::json(200, &ResultPage { results: lines, next }))
 }
 
 async fn lines_of(
     shared: &Shared,
     status: &Status,
     place: &ChunkResults,
-) -> Result<Vec<Line>, Error> {
+) -> Result<Vec<ResultLine>, Error> {
     let mut progress = ChunkProgress::default();
     for part in &place.parts {
         let key = object_key::part(&status.job, place.chunk, part.attempt, part.part);
@@ -290,7 +290,7 @@
     let outcome = |item: u64| {
         let found = progress.outcomes.get(&((item - place.start) as u32)).cloned();
         let ended = status.phase == Phase::Cancelled;
-        found.or(ended.then_some(Outcome::Cancelled)).map(|outcome| Line { item, outcome })
+        found.or(ended.then_some(Outcome::Cancelled)).map(|outcome| ResultLine { item, outcome })
     };
     Ok(items.filter_map(outcome).collect())
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -6,7 +6,7 @@
 /// First line of a job's body; items follow, one on a line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Header {
+pub struct JobHeader {
     /// Service that runs the items.
     pub service: String,
     /// When the job should be ready, in Unix milliseconds; earlier goes first.
@@ -91,7 +91,7 @@
 
 /// One line of the results.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct ResultLine {
     /// Position of the item in the job, from 0.
     pub item: u64,
     /// Its outcome.
@@ -101,9 +101,9 @@
 
 /// A page of results.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Page {
+pub struct ResultPage {
     /// Outcomes in item order; items without one are left out.
-    pub results: Vec<Line>,
+    pub results: Vec<ResultLine>,
     /// Where the next page starts; absent on the last.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub next: Option<u64>,
