--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::print::Context;
 use anyhow::Context as _;
 use coordination::burn_rate::Counts;
-use protocol::config::{Change, Document, Entry};
+use protocol::config::{Change, ConfigEntry, Document};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -67,9 +67,9 @@
 ///
 /// The refusal.
 pub async fn history(context: &Context) -> anyhow::Result<Exit> {
-    let entries: Vec<Entry> = context.client.get("/v1/config/history").await?;
+    let entries: Vec<ConfigEntry> = context.client.get("/v1/config/history").await?;
     context.show(&entries, &["GENERATION", "AT", "AUTHOR", "PUT", "DELETED"], || {
-        let row = |e: &Entry| {
+        let row = |e: &ConfigEntry| {
             vec![
                 e.generation.to_string(),
                 e.at.to_string(),
--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -180,7 +180,7 @@
     );
     for targets in [375usize, 750, 1500, 3000] {
         let before = resident();
-        let document = Document::default().changed(&change(targets)).expect("valid");
+        let document = Document::default().with_change(&change(targets)).expect("valid");
         let fleet = Fleet::default();
         let place = Place { me: 7, here: "dc1".into(), subset: 64 };
         let view = fleet.view(document.clone(), HashSet::new(), &place, true);
@@ -190,7 +190,7 @@
         ] }))
         .expect("a change");
         let began = Instant::now();
-        (0..20).for_each(|_| drop(black_box(document.changed(&one))));
+        (0..20).for_each(|_| drop(black_box(document.with_change(&one))));
         let changed = began.elapsed().as_secs_f64() * 50.0;
         let began = Instant::now();
         for _ in 0..20 {
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -11,7 +11,7 @@
 use coordination::retry::Failure;
 use platform::keyed::Condition;
 use platform::store::Fault;
-use protocol::config::{Change, Document, Entry};
+use protocol::config::{Change, ConfigEntry, Document};
 use protocol::{Error, Generation, Kind};
 use state::object_key;
 use std::collections::HashSet;
@@ -57,7 +57,7 @@
         let Some(found) = shared.store.get(&object_key::config(next)).await? else {
             return Ok(());
         };
-        let entry: Entry =
+        let entry: ConfigEntry =
             serde_json::from_slice(&found.bytes).map_err(|e| Fault::Lost(e.to_string()))?;
         if shared.offer(entry) == EntryOrder::Gap {
             return Ok(());
@@ -74,7 +74,7 @@
     let mut entries = Vec::new();
     for key in keys {
         if let Some(found) = shared.store.get(&key).await?
-            && let Ok(entry) = serde_json::from_slice::<Entry>(&found.bytes)
+            && let Ok(entry) = serde_json::from_slice::<ConfigEntry>(&found.bytes)
         {
             entries.push(entry);
         }
@@ -91,7 +91,7 @@
     if generation == 0 || shared.store.get(&object_key::config(generation)).await?.is_some() {
         return Ok(());
     }
-    let entries: Vec<Entry> = lock(&shared.chain).history().cloned().collect();
+    let entries: Vec<ConfigEntry> = lock(&shared.chain).history().cloned().collect();
     for entry in entries {
         let bytes = serde_json::to_vec(&entry).unwrap_or_default().into();
         match shared
@@ -121,7 +121,7 @@
 ) -> Result<Generation, Error> {
     let (document, generation) = {
         let chain = lock(&shared.chain);
-        (chain.document().changed(&change), chain.generation())
+        (chain.document().with_change(&change), chain.generation())
     };
     if revision != generation {
         return Err(stale(revision, generation));
@@ -131,16 +131,17 @@
     // force; they must be back before another change takes their place.
     heal(shared).await.map_err(away)?;
     let token = format!("{:016x}-{:016x}", shared.id, rand::random::<u64>());
-    let entry = Entry { generation: generation + 1, token, author, at: clock::millis(), change };
+    let entry =
+        ConfigEntry { generation: generation + 1, token, author, at: clock::millis(), change };
     settle(shared, entry).await
 }
 
-async fn settle(shared: &Shared, entry: Entry) -> Result<Generation, Error> {
+async fn settle(shared: &Shared, entry: ConfigEntry) -> Result<Generation, Error> {
     let append = Append::new(entry.generation, entry.token.clone());
     let key = object_key::config(entry.generation);
     let value = bytes::Bytes::from(serde_json::to_vec(&entry).unwrap_or_default());
     let token = |bytes: &[u8]| {
-        serde_json::from_slice::<Entry>(bytes).map(|entry| entry.token).unwrap_or_default()
+        serde_json::from_slice::<ConfigEntry>(bytes).map(|entry| entry.token).unwrap_or_default()
     };
     match append::drive(&shared.store, &append, &key, value, SETTLE_TRIES, token).await {
         End::Committed => {
--- a/crates/daemon/src/front/admin.rs
+++ b/crates/daemon/src/front/admin.rs
@@ -5,7 +5,7 @@
 use crate::control;
 use crate::fleet::lock;
 use coordination::leaving::{Witness, Word};
-use protocol::config::{Change, Document, Entry};
+use protocol::config::{Change, ConfigEntry, Document};
 use protocol::{Error, Generation, Kind};
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::Ordering;
@@ -56,7 +56,7 @@
 /// The latest accepted changes, newest first.
 pub fn history(front: &Front) -> Response {
     let chain = lock(&front.shared.chain);
-    let entries: Vec<&Entry> = chain.history().rev().take(HISTORY).collect();
+    let entries: Vec<&ConfigEntry> = chain.history().rev().take(HISTORY).collect();
     http::json(200, &entries)
 }
 
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -10,7 +10,7 @@
 use coordination::append_log::EntryOrder;
 use coordination::membership::{Member, Note};
 use platform::instance;
-use protocol::config::{Document, Entry};
+use protocol::config::{ConfigEntry, Document};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -109,7 +109,7 @@
         }
     }
     for bytes in &found.entries {
-        let Ok(entry) = serde_json::from_slice::<Entry>(bytes) else {
+        let Ok(entry) = serde_json::from_slice::<ConfigEntry>(bytes) else {
             return;
         };
         if shared.offer(entry) == EntryOrder::Gap {
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -13,7 +13,7 @@
 use coordination::limit::Bucket;
 use coordination::membership::{Member, Note, Table};
 use coordination::retry::Budget;
-use protocol::config::Entry;
+use protocol::config::ConfigEntry;
 use protocol::settings::Settings;
 use protocol::{Generation, InstanceId, TargetId};
 use slog::Logger;
@@ -184,7 +184,7 @@
     }
 
     /// Takes in a configuration entry from anywhere.
-    pub fn offer(&self, entry: Entry) -> EntryOrder {
+    pub fn offer(&self, entry: ConfigEntry) -> EntryOrder {
         let generation = entry.generation;
         let offer = lock(&self.chain).offer(entry);
         if offer == EntryOrder::Next {
--- a/crates/daemon/tests/view_never_goes_back.rs
+++ b/crates/daemon/tests/view_never_goes_back.rs
@@ -3,7 +3,7 @@
 //! "didn't exist" on an instance that had already told its generation.
 
 use daemon::Daemon;
-use protocol::config::{Change, Entry, Limit, Object};
+use protocol::config::{Change, ConfigEntry, Limit, Object};
 use protocol::settings::Settings;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -33,11 +33,11 @@
     daemon
 }
 
-fn entry(generation: u64) -> Entry {
+fn entry(generation: u64) -> ConfigEntry {
     let limit = Limit { caller: String::from("shop"), rate: generation as f64, burst: 1.0 };
     let change = Change { put: vec![Object::Limit(limit)], delete: Vec::new() };
     let (token, author) = (generation.to_string(), String::from("test"));
-    Entry { generation, token, author, at: 0, change }
+    ConfigEntry { generation, token, author, at: 0, change }
 }
 
 #[test]
--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -19,7 +19,7 @@
 /// A service level that the burn report watches.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Level {
+pub struct ServiceLevel {
     /// Class: `online` or `batch`.
     pub class: String,
     /// Limit for the first token (or the whole answer of a plain call).
@@ -53,7 +53,7 @@
     pub queue: u32,
     /// Service levels.
     #[serde(default)]
-    pub levels: Vec<Level>,
+    pub levels: Vec<ServiceLevel>,
 }
 
 fn default_deadline() -> u64 {
@@ -152,7 +152,7 @@
 /// Sort of object, for deletions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Sort {
+pub enum ObjectKind {
     /// A service.
     Service,
     /// A model version.
@@ -170,7 +170,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Deletion {
     /// Its sort.
-    pub sort: Sort,
+    pub sort: ObjectKind,
     /// Its name.
     pub name: String,
 }
@@ -189,7 +189,7 @@
 
 /// An accepted change, as the chain keeps it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct ConfigEntry {
     /// Generation that it brings into force.
     pub generation: Generation,
     /// Writer token, to know one's own write after a lost answer.
@@ -246,7 +246,7 @@
     /// # Errors
     ///
     /// The first fault found; the document is then as it was.
-    pub fn changed(&self, change: &Change) -> Result<Document, ValidationError> {
+    pub fn with_change(&self, change: &Change) -> Result<Document, ValidationError> {
         let mut next = self.clone();
         for deletion in &change.delete {
             next.delete(deletion);
@@ -272,11 +272,11 @@
 
     fn delete(&mut self, deletion: &Deletion) {
         match deletion.sort {
-            Sort::Service => drop(self.services.remove(&deletion.name)),
-            Sort::Version => drop(self.versions.remove(&deletion.name)),
-            Sort::Adapter => drop(self.adapters.remove(&deletion.name)),
-            Sort::Target => drop(self.targets.remove(&deletion.name)),
-            Sort::Limit => drop(self.limits.remove(&deletion.name)),
+            ObjectKind::Service => drop(self.services.remove(&deletion.name)),
+            ObjectKind::Version => drop(self.versions.remove(&deletion.name)),
+            ObjectKind::Adapter => drop(self.adapters.remove(&deletion.name)),
+            ObjectKind::Target => drop(self.targets.remove(&deletion.name)),
+            ObjectKind::Limit => drop(self.limits.remove(&deletion.name)),
         }
     }
 
--- a/crates/protocol/tests/settings.rs
+++ b/crates/protocol/tests/settings.rs
@@ -59,7 +59,7 @@
                 let text = std::fs::read_to_string(&path).expect("a file");
                 let change = serde_json::from_str(&text).expect("a change");
                 let document = protocol::config::Document::default();
-                document.changed(&change).unwrap_or_else(|fault| panic!("{fault}"));
+                document.with_change(&change).unwrap_or_else(|fault| panic!("{fault}"));
             }
         }
     }
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -2,7 +2,7 @@
 
 use coordination::append_log::{self, EntryOrder};
 use protocol::Generation;
-use protocol::config::{Document, Entry};
+use protocol::config::{ConfigEntry, Document};
 use std::collections::BTreeMap;
 
 /// Entries kept for peers that are behind.
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Chain {
     document: Document,
-    entries: BTreeMap<Generation, Entry>,
+    entries: BTreeMap<Generation, ConfigEntry>,
 }
 
 impl Chain {
@@ -31,12 +31,12 @@
     /// Only the very next generation is applied. An entry that doesn't validate
     /// can't be in the chain (it was validated before it was written), so one
     /// that fails here is reported as a gap and not applied.
-    pub fn offer(&mut self, entry: Entry) -> EntryOrder {
+    pub fn offer(&mut self, entry: ConfigEntry) -> EntryOrder {
         let offer = append_log::classify(self.generation(), entry.generation);
         if offer != EntryOrder::Next {
             return offer;
         }
-        let Ok(document) = self.document.changed(&entry.change) else {
+        let Ok(document) = self.document.with_change(&entry.change) else {
             return EntryOrder::Gap;
         };
         self.document = document;
@@ -59,26 +59,26 @@
     }
 
     /// Test only: the rule without its guard, which takes whatever it is shown.
-    pub fn offer_unguarded(&mut self, entries: &[Entry]) {
+    pub fn offer_unguarded(&mut self, entries: &[ConfigEntry]) {
         let mut document = Document::default();
         for entry in entries {
-            document = document.changed(&entry.change).unwrap_or(document);
+            document = document.with_change(&entry.change).unwrap_or(document);
         }
         self.document = document;
     }
 
     /// Entries after `generation`, at most `most`.
-    pub fn since(&self, generation: Generation, most: usize) -> Vec<Entry> {
+    pub fn since(&self, generation: Generation, most: usize) -> Vec<ConfigEntry> {
         self.entries.range(generation + 1..).take(most).map(|(_, entry)| entry.clone()).collect()
     }
 
     /// The entry that brought `generation` into force, if it is still kept.
-    pub fn entry(&self, generation: Generation) -> Option<&Entry> {
+    pub fn entry(&self, generation: Generation) -> Option<&ConfigEntry> {
         self.entries.get(&generation)
     }
 
     /// Entries kept, latest last.
-    pub fn history(&self) -> impl DoubleEndedIterator<Item = &Entry> {
+    pub fn history(&self) -> impl DoubleEndedIterator<Item = &ConfigEntry> {
         self.entries.values()
     }
 }
