--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -23,7 +23,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
 use tokio_util::sync::CancellationToken;
-use transport::cut::Cut;
+use transport::partition::SimulatedPartition;
 use transport::peer::{Pool, Traffic, serve};
 use transport::{http, listen};
 
@@ -57,9 +57,9 @@
     let metrics = settings.metrics_listen.map(bind).transpose()?;
     let peer = bind(settings.peer_address)?;
     let me = start::member(&settings, front.local_addr()?, peer.local_addr()?);
-    let cut = Cut::new(settings.partition_file.clone());
+    let partition = SimulatedPartition::new(settings.partition_file.clone());
     let traffic = Arc::new(Traffic::default());
-    let pool = Pool::new(HEARTBEAT_TIMEOUT, cut, traffic.clone());
+    let pool = Pool::new(HEARTBEAT_TIMEOUT, partition, traffic.clone());
     let node = Node::new(settings, log, me, pool);
     slog::info!(node.log, "started"; "id" => format!("{:x}", node.id()),
         "front" => front.local_addr()?.to_string(), "peers" => peer.local_addr()?.to_string(),
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 use transport::channel::RequestReceiver;
-use transport::cut::Cut;
+use transport::partition::SimulatedPartition;
 use transport::peer::{Entries, Handler, Pool};
 
 const CAPACITY: usize = 4096;
@@ -348,10 +348,10 @@
     shared: Arc<Shared>,
     listener: TcpListener,
     calls: RequestReceiver<Call>,
-    cut: Cut,
+    partition: SimulatedPartition,
     stop: CancellationToken,
 ) {
-    let pool = Pool::new(PING_TIMEOUT, cut, shared.traffic.clone());
+    let pool = Pool::new(PING_TIMEOUT, partition, shared.traffic.clone());
     let local = Local { shared: shared.clone(), pool };
     let serving =
         transport::peer::serve(listener, local.clone(), shared.traffic.clone(), stop.clone());
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -23,8 +23,8 @@
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Runtime};
 use tokio_util::sync::CancellationToken;
-use transport::cut::Cut;
 use transport::http;
+use transport::partition::SimulatedPartition;
 use transport::target::Client;
 
 const STOP_LOOK: Duration = Duration::from_millis(20);
@@ -63,12 +63,12 @@
     let front = bind(&front_runtime, settings.front_address)?;
     let peer = bind(&peer_runtime, settings.peer_address)?;
     let me = member(&settings, front.1, peer.1);
-    let cut = Cut::new(settings.partition_file.clone());
+    let partition = SimulatedPartition::new(settings.partition_file.clone());
     let (store, platform) = store::duty(store::Config {
         address: settings.platform_address,
         timeout: settings.platform_timeout,
         rate: settings.platform_rate,
-        cut: cut.clone(),
+        partition: partition.clone(),
     });
     let (shards, items) = shards::duty(&settings);
     let (peers, calls) = peers::duty();
@@ -85,16 +85,16 @@
         Client::new(
             shared.settings.connect_timeout,
             shared.settings.stream_idle_timeout,
-            cut.clone(),
+            partition.clone(),
         )
     };
     duties.spawn("batch", single()?, batch::run(shared.clone(), client(), tokens.rest.clone()))?;
     let control = control::run(shared.clone(), client(), tokens.rest.clone());
     duties.spawn("control", single()?, control)?;
     let stop = tokens.rest.clone();
-    let (of_peers, cut_of_peers) = (shared.clone(), cut.clone());
+    let (of_peers, partition_of_peers) = (shared.clone(), partition.clone());
     duties.spawn_local("peers", peer_runtime, move || {
-        peers::run(of_peers, peer.0, calls, cut_of_peers, stop)
+        peers::run(of_peers, peer.0, calls, partition_of_peers, stop)
     })?;
     let service = Front { shared: shared.clone(), client: client() };
     duties.spawn("front", front_runtime, http::serve(front.0, service, tokens.front.clone()))?;
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -23,7 +23,7 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 use transport::channel::{self, ReplySender, RequestReceiver, RequestSender};
-use transport::cut::Cut;
+use transport::partition::SimulatedPartition;
 
 /// Calls that may wait for the duty; more fail at once.
 const CAPACITY: usize = 4096;
@@ -38,7 +38,7 @@
     /// Most calls a second.
     pub rate: f64,
     /// Cuts of a test.
-    pub cut: Cut,
+    pub partition: SimulatedPartition,
 }
 
 /// Calls made and failed, for metrics.
@@ -271,7 +271,7 @@
     /// Makes a call, unless a test has cut the platform off, and notes whether the
     /// platform answers.
     async fn note<T>(&self, call: impl Future<Output = Result<T, Fault>>) -> Result<T, Fault> {
-        let result = if self.config.cut.is_cut(self.config.address, Instant::now()) {
+        let result = if self.config.partition.is_unreachable(self.config.address, Instant::now()) {
             Err(Fault::Away("cut off".into()))
         } else {
             call.await
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -9,10 +9,10 @@
 
 pub mod channel;
 pub mod clock;
-pub mod cut;
 pub mod event;
 pub mod http;
 pub mod listen;
+pub mod partition;
 pub mod peer;
 
 pub mod sse;
--- a/crates/transport/src/cut.rs
+++ b/crates/transport/src/partition.rs
@@ -39,25 +39,25 @@
 
 /// Addresses that count as unreachable.
 #[derive(Clone, Debug, Default)]
-pub struct Cut {
+pub struct SimulatedPartition {
     file: Option<PathBuf>,
     known: Arc<Mutex<Known>>,
 }
 
-impl Cut {
+impl SimulatedPartition {
     /// Cuts as `file` lists them, one address a line, `silent ` before it where only the
     /// connections that are open go silent; none without a file.
-    pub fn new(file: Option<PathBuf>) -> Cut {
-        Cut { file, known: Arc::default() }
+    pub fn new(file: Option<PathBuf>) -> SimulatedPartition {
+        SimulatedPartition { file, known: Arc::default() }
     }
 
     /// Whether `address` is cut off now.
-    pub fn is_cut(&self, address: SocketAddr, now: Instant) -> bool {
+    pub fn is_unreachable(&self, address: SocketAddr, now: Instant) -> bool {
         self.look(now, |known| known.addresses.contains(&address))
     }
 
     /// Whether a connection to `address` that was opened at `opened` is silent for good.
-    pub fn is_silent(&self, address: SocketAddr, opened: Instant, now: Instant) -> bool {
+    pub fn is_unresponsive(&self, address: SocketAddr, opened: Instant, now: Instant) -> bool {
         self.look(now, |known| known.silent.get(&address).is_some_and(|since| opened < *since))
     }
 
--- a/crates/transport/src/peer/pool.rs
+++ b/crates/transport/src/peer/pool.rs
@@ -3,7 +3,7 @@
 use super::Entries;
 use super::codec::{read_member, read_notes, write_member, write_notes};
 use super::connection::{Counted, Traffic, network};
-use crate::cut::Cut;
+use crate::partition::SimulatedPartition;
 use crate::peer_capnp::peer;
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp};
 use coordination::membership::{Member, Note};
@@ -40,14 +40,14 @@
 pub struct Pool {
     connections: std::rc::Rc<RefCell<HashMap<SocketAddr, Kept>>>,
     timeout: Duration,
-    cut: Cut,
+    partition: SimulatedPartition,
     traffic: Arc<Traffic>,
 }
 
 impl Pool {
     /// An empty pool; calls wait for `timeout` at most.
-    pub fn new(timeout: Duration, cut: Cut, traffic: Arc<Traffic>) -> Pool {
-        Pool { connections: std::rc::Rc::default(), timeout, cut, traffic }
+    pub fn new(timeout: Duration, partition: SimulatedPartition, traffic: Arc<Traffic>) -> Pool {
+        Pool { connections: std::rc::Rc::default(), timeout, partition, traffic }
     }
 
     /// Sends a heartbeat with news.
@@ -188,12 +188,12 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> Result<peer::Client, PeerError> {
-        if self.cut.is_cut(to, Instant::now()) {
+        if self.partition.is_unreachable(to, Instant::now()) {
             self.connections.borrow_mut().remove(&to);
             return Err(PeerError::NotSent("cut off".into()));
         }
         if let Some(kept) = self.kept(to) {
-            if self.cut.is_silent(to, kept.opened, kept.used) {
+            if self.partition.is_unresponsive(to, kept.opened, kept.used) {
                 tokio::time::sleep(self.timeout).await;
                 self.connections.borrow_mut().remove(&to);
                 return Err(PeerError::OutcomeUnknown("the connection is silent".into()));
--- a/crates/transport/src/target.rs
+++ b/crates/transport/src/target.rs
@@ -1,6 +1,6 @@
 //! Calls to targets: model engines and plain services.
 
-use crate::cut::Cut;
+use crate::partition::SimulatedPartition;
 use crate::sse::Parser;
 use bytes::Bytes;
 use coordination::retry::Failure;
@@ -98,14 +98,14 @@
 #[derive(Clone)]
 pub struct Client {
     http: Http<HttpConnector, Full<Bytes>>,
-    cut: Cut,
+    partition: SimulatedPartition,
     idle: Duration,
 }
 
 impl Client {
     /// A client that gives up on a connection after `connect`, and on a silent
     /// stream after `idle`.
-    pub fn new(connect: Duration, idle: Duration, cut: Cut) -> Client {
+    pub fn new(connect: Duration, idle: Duration, partition: SimulatedPartition) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(connect));
@@ -113,7 +113,7 @@
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(Duration::from_secs(30))
             .build(connector);
-        Client { http, cut, idle }
+        Client { http, partition, idle }
     }
 
     /// Starts a streamed chat completion.
@@ -138,7 +138,7 @@
             parser: Parser::default(),
             idle: self.idle,
             finish: None,
-            cut: self.cut.clone(),
+            partition: self.partition.clone(),
             from: to,
         })
     }
@@ -230,7 +230,7 @@
         limit: Duration,
     ) -> Result<Response<Incoming>, AttemptError> {
         let request = request.map_err(|e| AttemptError::new(Failure::NotSent, e.to_string()))?;
-        if self.cut.is_cut(to, Instant::now()) {
+        if self.partition.is_unreachable(to, Instant::now()) {
             return Err(AttemptError::new(Failure::NotSent, "cut off"));
         }
         match tokio::time::timeout(limit, self.http.request(request)).await {
@@ -286,7 +286,7 @@
     parser: Parser,
     idle: Duration,
     finish: Option<String>,
-    cut: Cut,
+    partition: SimulatedPartition,
     from: SocketAddr,
 }
 
@@ -305,7 +305,7 @@
                     return Ok(piece);
                 }
             }
-            if self.cut.is_cut(self.from, Instant::now()) {
+            if self.partition.is_unreachable(self.from, Instant::now()) {
                 return Err(AttemptError::new(Failure::Unknown, "cut off"));
             }
             self.fill().await?;
