--- a/crates/daemon/src/gateway/cause.rs
+++ b/crates/daemon/src/gateway/call_reason.rs
@@ -2,11 +2,11 @@
 
 /// Why a call was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Cause {
+pub enum CallReason {
     /// A list of what is watched, or a watch.
     Watch,
     /// A sign of life, at a tenth of a call's price.
-    Life,
+    Probe,
     /// This instance's address, or those of others.
     Address,
     /// A job is accepted, or looked for because it may have been.
@@ -14,9 +14,9 @@
     /// What has happened to a held job is written.
     Progress,
     /// A held job is looked at: it may have been taken over or ended elsewhere.
-    Check,
+    Verify,
     /// A caller asks for a job whose holder can't be asked.
-    Find,
+    Lookup,
     /// A caller ends a job whose holder can't be asked.
     End,
     /// A job is taken over.
@@ -31,23 +31,23 @@
     Quarantine,
 }
 
-impl Cause {
+impl CallReason {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Cause::Watch => "watch",
-            Cause::Life => "life",
-            Cause::Address => "address",
-            Cause::Submission => "submission",
-            Cause::Progress => "progress",
-            Cause::Check => "check",
-            Cause::Find => "find",
-            Cause::End => "end",
-            Cause::Takeover => "takeover",
-            Cause::Sweep => "sweep",
-            Cause::Expiry => "expiry",
-            Cause::Retirement => "retirement",
-            Cause::Quarantine => "quarantine",
+            CallReason::Watch => "watch",
+            CallReason::Probe => "life",
+            CallReason::Address => "address",
+            CallReason::Submission => "submission",
+            CallReason::Progress => "progress",
+            CallReason::Verify => "check",
+            CallReason::Lookup => "find",
+            CallReason::End => "end",
+            CallReason::Takeover => "takeover",
+            CallReason::Sweep => "sweep",
+            CallReason::Expiry => "expiry",
+            CallReason::Retirement => "retirement",
+            CallReason::Quarantine => "quarantine",
         }
     }
 }
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -6,7 +6,7 @@
 //! told at once, since a page takes long on a slow link.
 
 use super::broadcast;
-use super::cause::Cause;
+use super::call_reason::CallReason;
 use super::job_store::{self, JobSummary};
 use super::job_table::{self, HeldJob};
 use super::message::{JobStatus, Update};
@@ -111,7 +111,7 @@
     let mut is_done = true;
     let (mut jobs, mut orphans) = (0, 0);
     loop {
-        let page = match node.store.list(Cause::Sweep, job::KIND, after.as_deref()).await {
+        let page = match node.store.list(CallReason::Sweep, job::KIND, after.as_deref()).await {
             Ok(page) => page,
             Err(fault) => {
                 slog::info!(node.log, "jobs not listed"; "fault" => %fault);
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -6,7 +6,7 @@
 //! created, and the first results of a long progress. Only overflow that the job's
 //! own object names count; others were left by a writer that came too late.
 
-use super::cause::Cause;
+use super::call_reason::CallReason;
 use super::node::Node;
 use coordination::hash;
 use platform::job;
@@ -151,12 +151,16 @@
 /// # Errors
 ///
 /// Why it can't be read now.
-pub async fn read(node: &Node, cause: Cause, object: &Object) -> Result<StoredJob, LoadError> {
+pub async fn read(
+    node: &Node,
+    reason: CallReason,
+    object: &Object,
+) -> Result<StoredJob, LoadError> {
     let (spec, status) = decode(object)?;
     let (mut job, mut progress) = (spec.job, status.progress);
-    job.items.extend(fetch::<Item>(node, cause, &spec.overflow).await?);
+    job.items.extend(fetch::<Item>(node, reason, &spec.overflow).await?);
     if !status.overflow.is_empty() {
-        let mut outcomes = fetch::<Outcome>(node, cause, &status.overflow).await?;
+        let mut outcomes = fetch::<Outcome>(node, reason, &status.overflow).await?;
         outcomes.append(&mut progress.outcomes);
         progress.outcomes = outcomes;
     }
@@ -169,22 +173,29 @@
 /// # Errors
 ///
 /// Why it can't be read now.
-pub async fn load(node: &Node, cause: Cause, id: &str) -> Result<Option<StoredJob>, LoadError> {
-    match node.store.get(cause, job::KIND, id).await.map_err(LoadError::Fault)? {
-        Some(object) => read(node, cause, &object).await.map(Some),
+pub async fn load(
+    node: &Node,
+    reason: CallReason,
+    id: &str,
+) -> Result<Option<StoredJob>, LoadError> {
+    match node.store.get(reason, job::KIND, id).await.map_err(LoadError::Fault)? {
+        Some(object) => read(node, reason, &object).await.map(Some),
         None => Ok(None),
     }
 }
 
 async fn fetch<T: for<'a> Deserialize<'a>>(
     node: &Node,
-    cause: Cause,
+    reason: CallReason,
     overflow: &[OverflowObject],
 ) -> Result<Vec<T>, LoadError> {
     let mut all = Vec::new();
     for object in overflow {
-        let found =
-            node.store.get(cause, job::PIECE_KIND, &object.name).await.map_err(LoadError::Fault)?;
+        let found = node
+            .store
+            .get(reason, job::PIECE_KIND, &object.name)
+            .await
+            .map_err(LoadError::Fault)?;
         let Some(object) = found else {
             return Err(LoadError::Malformed(format!("piece `{}` is missing", object.name)));
         };
@@ -203,12 +214,12 @@
     let most = share(node, SPEC_BYTES_RATIO);
     let runs = runs(&job.items, most);
     let Some((first, rest)) = runs.split_first().filter(|(_, rest)| !rest.is_empty()) else {
-        let object = node.store.create(Cause::Submission, job::KIND, &job.id, job).await?;
+        let object = node.store.create(CallReason::Submission, job::KIND, &job.id, job).await?;
         return Ok((object, Overflow::default()));
     };
     let mut items = Vec::new();
     for run in rest {
-        items.push(write_overflow(node, Cause::Submission, &job.id, run).await?);
+        items.push(write_overflow(node, CallReason::Submission, &job.id, run).await?);
     }
     let overflow_tokens = rest.iter().flat_map(|run| run.iter()).map(|item| item.tokens).sum();
     let spec = Spec {
@@ -216,7 +227,7 @@
         overflow: items.clone(),
         overflow_tokens,
     };
-    let object = node.store.create(Cause::Submission, job::KIND, &job.id, &spec).await?;
+    let object = node.store.create(CallReason::Submission, job::KIND, &job.id, &spec).await?;
     slog::info!(node.log, "long job kept in overflow"; "job" => &job.id,
         "items" => job.items.len(), "pieces" => items.len());
     Ok((object, Overflow { items, results: Vec::new() }))
@@ -230,7 +241,7 @@
 /// [`Fault::Conflict`] when it has another revision, else how a call failed.
 pub async fn write(
     node: &Node,
-    cause: Cause,
+    reason: CallReason,
     id: &str,
     revision: u64,
     progress: &Progress,
@@ -242,7 +253,7 @@
     let most = share(node, STATUS_BYTES_RATIO);
     let runs = runs(left, most);
     for run in runs.split_last().map(|(_, early)| early).unwrap_or_default() {
-        overflow.results.push(write_overflow(node, cause, id, run).await?);
+        overflow.results.push(write_overflow(node, reason, id, run).await?);
         left = &left[run.len()..];
     }
     let progress = Progress {
@@ -252,19 +263,19 @@
         ended: progress.ended,
     };
     let status = Status { progress, overflow: overflow.results.clone() };
-    let object = node.store.set_status(cause, job::KIND, id, revision, &status).await?;
+    let object = node.store.set_status(reason, job::KIND, id, revision, &status).await?;
     Ok((object, overflow))
 }
 
 /// Deletes a job and its overflow.
 pub async fn delete(node: &Node, id: &str, revision: u64, overflow: &Overflow) {
-    if let Err(fault) = node.store.delete(Cause::Expiry, job::KIND, id, Some(revision)).await {
+    if let Err(fault) = node.store.delete(CallReason::Expiry, job::KIND, id, Some(revision)).await {
         slog::info!(node.log, "job not deleted"; "job" => id, "fault" => %fault);
         return;
     }
     for object in overflow.items.iter().chain(&overflow.results) {
         if let Err(fault) =
-            node.store.delete(Cause::Expiry, job::PIECE_KIND, &object.name, None).await
+            node.store.delete(CallReason::Expiry, job::PIECE_KIND, &object.name, None).await
         {
             slog::info!(node.log, "piece not deleted"; "piece" => &object.name, "fault" => %fault);
         }
@@ -300,13 +311,13 @@
 /// finds it there and two writers never share one by mistake.
 async fn write_overflow<T: Serialize>(
     node: &Node,
-    cause: Cause,
+    reason: CallReason,
     id: &str,
     run: &[T],
 ) -> Result<OverflowObject, Fault> {
     let text = serde_json::to_vec(run).map_err(|error| Fault::Away(error.to_string()))?;
     let name = format!("{id}.{:016x}", hash::of(&text));
-    match node.store.create(cause, job::PIECE_KIND, &name, &run).await {
+    match node.store.create(reason, job::PIECE_KIND, &name, &run).await {
         Ok(_) | Err(Fault::Conflict(_)) => Ok(OverflowObject { name, count: run.len() }),
         Err(fault) => Err(fault),
     }
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -1,7 +1,7 @@
 //! Makes what happens to a held job durable, and finds out whether it is still
 //! held here.
 
-use super::cause::Cause;
+use super::call_reason::CallReason;
 use super::job_store::{self, LoadError, StoredJob};
 use super::job_table::{self, HeldJob};
 use super::node::{Node, millis};
@@ -37,7 +37,7 @@
 /// Looks whether a job is still held here.
 pub async fn verify(node: &Rc<Node>, held: &Rc<HeldJob>) {
     let id = held.state.borrow().job().id.clone();
-    match node.store.get(Cause::Check, job::KIND, &id).await {
+    match node.store.get(CallReason::Verify, job::KIND, &id).await {
         Ok(Some(object)) if object.revision > held.revision.get() => {
             let draft = held.state.borrow().to_progress();
             // Not read now, it is met again with the next write.
@@ -127,7 +127,8 @@
     };
     let revision = held.revision.get();
     let overflow = held.overflow.borrow().clone();
-    let result = job_store::write(node, Cause::Progress, &id, revision, &draft, &overflow).await;
+    let result =
+        job_store::write(node, CallReason::Progress, &id, revision, &draft, &overflow).await;
     match result {
         Ok((object, overflow)) => {
             *held.overflow.borrow_mut() = overflow;
@@ -137,7 +138,7 @@
         Err(Fault::Conflict(found)) => {
             let found = match found {
                 Some(object) => Ok(Some(*object)),
-                None => node.store.get(Cause::Progress, job::KIND, &id).await,
+                None => node.store.get(CallReason::Progress, job::KIND, &id).await,
             };
             match found {
                 Ok(Some(object)) => return on_newer_object(node, held, &draft, &object).await,
@@ -194,7 +195,7 @@
     object: &Object,
 ) -> bool {
     let StoredJob { progress, overflow, .. } =
-        match job_store::read(node, Cause::Check, object).await {
+        match job_store::read(node, CallReason::Verify, object).await {
             Ok(stored_job) => stored_job,
             Err(error @ LoadError::Malformed(_)) => {
                 slog::error!(node.log, "job not read"; "job" => &object.name,
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -1,6 +1,6 @@
 //! Calls of batch jobs: submission, results, an item's body, the end.
 
-use super::cause::Cause;
+use super::call_reason::CallReason;
 use super::front::{refusal, set, text};
 use super::job_store::{self, LoadError, StoredJob};
 use super::job_table::{self, HeldJob};
@@ -176,7 +176,7 @@
 /// finds it with its next write; whoever can be reached is told besides.
 async fn end_stored(node: &Rc<Node>, id: &str) -> bool {
     for _ in 0..MAX_END_ATTEMPTS {
-        let mut stored_job = match job_store::load(node, Cause::End, id).await {
+        let mut stored_job = match job_store::load(node, CallReason::End, id).await {
             Ok(Some(stored_job)) => stored_job,
             Ok(None) => return false,
             Err(error) => {
@@ -189,7 +189,8 @@
         }
         stored_job.progress.ended = true;
         let StoredJob { progress, overflow, revision, .. } = &stored_job;
-        let written = job_store::write(node, Cause::End, id, *revision, progress, overflow).await;
+        let written =
+            job_store::write(node, CallReason::End, id, *revision, progress, overflow).await;
         slog::info!(node.log, "end written for a holder that is silent"; "job" => id,
             "revision" => *revision, "written" => written.is_ok());
         match written {
@@ -316,7 +317,7 @@
     if let Some((_, stored_job)) = known.filter(|(read, _)| now < *read + JOB_CACHE_TTL) {
         return Ok(Some(stored_job));
     }
-    let stored_job = job_store::load(node, Cause::Find, id).await?;
+    let stored_job = job_store::load(node, CallReason::Lookup, id).await?;
     let mut cache = node.jobs.cache.borrow_mut();
     cache.retain(|_, (read, _)| now < *read + JOB_CACHE_TTL);
     if let Some(stored_job) = &stored_job {
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -26,7 +26,7 @@
 pub mod allocator;
 pub mod anti_entropy;
 pub mod broadcast;
-pub mod cause;
+pub mod call_reason;
 pub mod crash;
 pub mod discovery;
 pub mod front;
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -11,7 +11,7 @@
 //! after 1.2 s instead of 6.7 s where the platform is silent to all that watch. A
 //! sign of life costs a tenth of a call.
 
-use super::cause::Cause;
+use super::call_reason::CallReason;
 use super::message::{Connectivity, PeerRequest};
 use super::node::Node;
 use crate::clock;
@@ -68,9 +68,9 @@
 }
 
 /// Logs which calls of the platform were made since it was done last.
-fn log_calls(node: &Node, last_report: &mut BTreeMap<Cause, u64>) {
+fn log_calls(node: &Node, last_report: &mut BTreeMap<CallReason, u64>) {
     let calls = node.store.calls();
-    let new = |(cause, count): (&Cause, &u64)| {
+    let new = |(cause, count): (&CallReason, &u64)| {
         let before = last_report.get(cause).copied().unwrap_or_default();
         (*count > before).then(|| format!("{} {}", cause.name(), count - before))
     };
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -5,7 +5,7 @@
 //! held also lies on the platform: the memory of all instances may go at one moment.
 
 use super::broadcast;
-use super::cause::Cause;
+use super::call_reason::CallReason;
 use super::crash::hex;
 use super::message::{PeerReply, PeerRequest, Update};
 use super::node::{Node, millis};
@@ -202,9 +202,11 @@
     let strikes = node.quarantine.borrow().strikes_of(content, clock::now());
     let entry = Entry { written: millis(), strikes };
     let name = hex(content);
-    let created = node.store.create(Cause::Quarantine, KIND, &name, &entry).await;
+    let created = node.store.create(CallReason::Quarantine, KIND, &name, &entry).await;
     let result = match created {
-        Err(Fault::Conflict(_)) => node.store.replace(Cause::Quarantine, KIND, &name, &entry).await,
+        Err(Fault::Conflict(_)) => {
+            node.store.replace(CallReason::Quarantine, KIND, &name, &entry).await
+        }
         result => result,
     };
     slog::info!(node.log, "held request written down"; "content" => &name,
@@ -216,7 +218,7 @@
 /// held once more after all instances were gone, until its trial.
 async fn erase(node: Rc<Node>, content: RequestFingerprint) {
     let name = hex(content);
-    if let Err(fault) = node.store.delete(Cause::Quarantine, KIND, &name, None).await {
+    if let Err(fault) = node.store.delete(CallReason::Quarantine, KIND, &name, None).await {
         slog::info!(node.log, "held request not erased"; "content" => &name, "fault" => %fault);
     }
 }
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -3,7 +3,7 @@
 //! Every call is paid for, refused ones too, and a store that is away answers
 //! none: after a failure, calls fail here at once until a back-off has passed.
 
-use super::cause::Cause;
+use super::call_reason::CallReason;
 use crate::clock;
 use coordination::connectivity::{Policy, Tracker, Uptime};
 use coordination::retry;
@@ -38,7 +38,7 @@
 pub struct PlatformStore {
     store: Store,
     /// Calls made, by cause.
-    calls: RefCell<BTreeMap<Cause, u64>>,
+    calls: RefCell<BTreeMap<CallReason, u64>>,
     breaker: RefCell<Breaker>,
     contact: RefCell<Tracker>,
     /// Told when the store counts as lost.
@@ -177,12 +177,12 @@
     }
 
     /// A call is made.
-    pub fn count_call(&self, cause: Cause) {
-        *self.calls.borrow_mut().entry(cause).or_default() += 1;
+    pub fn count_call(&self, reason: CallReason) {
+        *self.calls.borrow_mut().entry(reason).or_default() += 1;
     }
 
     /// Calls made so far, by cause.
-    pub fn calls(&self) -> BTreeMap<Cause, u64> {
+    pub fn calls(&self) -> BTreeMap<CallReason, u64> {
         self.calls.borrow().clone()
     }
 
@@ -195,11 +195,11 @@
         }
     }
 
-    fn check_breaker(&self, cause: Cause) -> Result<(), Fault> {
+    fn check_breaker(&self, reason: CallReason) -> Result<(), Fault> {
         if self.is_backing_off(clock::now()) {
             return Err(Fault::Away(String::from("backing off")));
         }
-        self.count_call(cause);
+        self.count_call(reason);
         Ok(())
     }
 
@@ -210,7 +210,7 @@
     ///
     /// As [`Store::touch`].
     pub async fn probe(&self, kind: &str, name: &str) -> Result<(), Fault> {
-        self.count_call(Cause::Life);
+        self.count_call(CallReason::Probe);
         self.record_result(self.store.touch(kind, name).await)
     }
 
@@ -219,8 +219,13 @@
     /// # Errors
     ///
     /// As [`Store::get`], and [`Fault::Away`] while calls back off.
-    pub async fn get(&self, cause: Cause, kind: &str, name: &str) -> Result<Option<Object>, Fault> {
-        self.check_breaker(cause)?;
+    pub async fn get(
+        &self,
+        reason: CallReason,
+        kind: &str,
+        name: &str,
+    ) -> Result<Option<Object>, Fault> {
+        self.check_breaker(reason)?;
         self.record_result(self.store.get(kind, name).await)
     }
 
@@ -229,8 +234,8 @@
     /// # Errors
     ///
     /// As [`Store::list_all`], and [`Fault::Away`] while calls back off.
-    pub async fn list_all(&self, cause: Cause, kind: &str) -> Result<Vec<Object>, Fault> {
-        self.check_breaker(cause)?;
+    pub async fn list_all(&self, reason: CallReason, kind: &str) -> Result<Vec<Object>, Fault> {
+        self.check_breaker(reason)?;
         let listing = self.record_result(self.store.list_all(kind).await)?;
         self.log_undecodable(kind, &listing.unreadable);
         Ok(listing.objects)
@@ -241,8 +246,13 @@
     /// # Errors
     ///
     /// As [`Store::list`], and [`Fault::Away`] while calls back off.
-    pub async fn list(&self, cause: Cause, kind: &str, after: Option<&str>) -> Result<Page, Fault> {
-        self.check_breaker(cause)?;
+    pub async fn list(
+        &self,
+        reason: CallReason,
+        kind: &str,
+        after: Option<&str>,
+    ) -> Result<Page, Fault> {
+        self.check_breaker(reason)?;
         let page = self.record_result(self.store.list(kind, after).await)?;
         self.log_undecodable(kind, &page.unreadable);
         Ok(page)
@@ -255,12 +265,12 @@
     /// As [`Store::create`], and [`Fault::Away`] while calls back off.
     pub async fn create<T: Serialize>(
         &self,
-        cause: Cause,
+        reason: CallReason,
         kind: &str,
         name: &str,
         spec: &T,
     ) -> Result<Object, Fault> {
-        self.check_breaker(cause)?;
+        self.check_breaker(reason)?;
         self.record_result(self.store.create(kind, name, spec).await)
     }
 
@@ -271,12 +281,12 @@
     /// As [`Store::replace`], and [`Fault::Away`] while calls back off.
     pub async fn replace<T: Serialize>(
         &self,
-        cause: Cause,
+        reason: CallReason,
         kind: &str,
         name: &str,
         spec: &T,
     ) -> Result<Object, Fault> {
-        self.check_breaker(cause)?;
+        self.check_breaker(reason)?;
         self.record_result(self.store.replace(kind, name, None, spec).await)
     }
 
@@ -287,13 +297,13 @@
     /// As [`Store::set_status`], and [`Fault::Away`] while calls back off.
     pub async fn set_status<T: Serialize>(
         &self,
-        cause: Cause,
+        reason: CallReason,
         kind: &str,
         name: &str,
         revision: u64,
         status: &T,
     ) -> Result<Object, Fault> {
-        self.check_breaker(cause)?;
+        self.check_breaker(reason)?;
         self.record_result(self.store.set_status(kind, name, revision, status).await)
     }
 
@@ -304,12 +314,12 @@
     /// As [`Store::delete`], and [`Fault::Away`] while calls back off.
     pub async fn delete(
         &self,
-        cause: Cause,
+        reason: CallReason,
         kind: &str,
         name: &str,
         revision: Option<u64>,
     ) -> Result<(), Fault> {
-        self.check_breaker(cause)?;
+        self.check_breaker(reason)?;
         self.record_result(self.store.delete(kind, name, revision).await)
     }
 }
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -1,6 +1,6 @@
 //! Submissions of batch jobs: kept on the platform before they are acknowledged.
 
-use super::cause::Cause;
+use super::call_reason::CallReason;
 use super::front::{CallerRequest, refusal, text};
 use super::job_store::{self, StoredJob};
 use super::message::{PeerReply, PeerRequest, SubmitOutcome};
@@ -178,7 +178,7 @@
 
 /// A job that doesn't fit may have been kept before, when it did.
 async fn is_stored(node: &Rc<Node>, id: &str) -> SubmitOutcome {
-    match node.store.get(Cause::Submission, job::KIND, id).await {
+    match node.store.get(CallReason::Submission, job::KIND, id).await {
         Ok(Some(_)) => SubmitOutcome::Accepted,
         Ok(None) => SubmitOutcome::Full,
         Err(fault) => {
@@ -247,7 +247,7 @@
 async fn try_notify_holder(node: &Rc<Node>, id: &str) -> Result<(), String> {
     let found = node
         .store
-        .get(Cause::Submission, job::KIND, id)
+        .get(CallReason::Submission, job::KIND, id)
         .await
         .map_err(|fault| fault.to_string())?;
     let Some(object) = found else {
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -5,7 +5,7 @@
 //! was only cut off is double work on its items, so a whole data centre that
 //! falls silent at once is given more time than a single instance.
 
-use super::cause::Cause;
+use super::call_reason::CallReason;
 use super::job_store::{self, LoadError, StoredJob};
 use super::job_table::{self, HeldJob};
 use super::job_writer;
@@ -271,7 +271,7 @@
             merge_handoff(node, &held, learnt.clone());
             return Ok(Some(held));
         }
-        let Some(object) = node.store.get(Cause::Takeover, job::KIND, id).await? else {
+        let Some(object) = node.store.get(CallReason::Takeover, job::KIND, id).await? else {
             return Ok(None);
         };
         match claim(node, &object).await {
@@ -290,7 +290,7 @@
 /// Writes this instance down as the holder; `None` when another is, or nobody can
 /// read the job.
 async fn claim(node: &Rc<Node>, object: &Object) -> Result<Option<Rc<HeldJob>>, Fault> {
-    let mut stored_job = match job_store::read(node, Cause::Takeover, object).await {
+    let mut stored_job = match job_store::read(node, CallReason::Takeover, object).await {
         Ok(stored_job) => stored_job,
         Err(LoadError::Fault(fault)) => return Err(fault),
         Err(error @ LoadError::Malformed(_)) => {
@@ -322,7 +322,8 @@
     stored_job.progress.holder = Some(node.as_holder());
     let StoredJob { progress, overflow, revision, .. } = &stored_job;
     let written =
-        job_store::write(node, Cause::Takeover, &object.name, *revision, progress, overflow).await;
+        job_store::write(node, CallReason::Takeover, &object.name, *revision, progress, overflow)
+            .await;
     let (written, overflow) = written?;
     if let Some(held) = node.jobs.held_job(&object.name) {
         return Ok(Some(held));
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -5,7 +5,7 @@
 //! watcher lists once and watches from there; after a watch that broke it lists
 //! again. What it learns goes to [`super::discovery`].
 
-use super::cause::Cause;
+use super::call_reason::CallReason;
 use super::discovery;
 use super::node::Node;
 use super::platform_health::{PROBE_TIMEOUT, is_disconnected};
@@ -251,7 +251,7 @@
 ) -> Result<Revision, Fault> {
     let store = node.store.without_breaker();
     let Some(revision) = revision else {
-        node.store.count_call(Cause::Watch);
+        node.store.count_call(CallReason::Watch);
         let listing = store.list_all(topic.kind()).await?;
         node.store.on_response(clock::now());
         node.store.log_undecodable(topic.kind(), &listing.unreadable);
@@ -260,7 +260,7 @@
         return Ok(revision);
     };
     let wait = topic.longest_wait();
-    node.store.count_call(Cause::Watch);
+    node.store.count_call(CallReason::Watch);
     let watch = store.watch(topic.kind(), revision, wait);
     let changes = tokio::time::timeout(wait + PROBE_TIMEOUT, watch)
         .await
@@ -320,7 +320,7 @@
     let status = &retirement::Status::EMPTY;
     let result = node
         .store
-        .set_status(Cause::Retirement, retirement::KIND, &object.name, object.revision, status)
+        .set_status(CallReason::Retirement, retirement::KIND, &object.name, object.revision, status)
         .await;
     slog::info!(node.log, "machine emptied"; "machine" => &object.name,
         "revision" => object.revision, "written" => result.is_ok());
@@ -337,7 +337,7 @@
     let name = &node.settings.name;
     let peer = node.as_holder().address;
     let entry = instance::Entry { peer, data_centre: node.data_centre().clone() };
-    match node.store.create(Cause::Address, instance::KIND, name, &entry).await {
+    match node.store.create(CallReason::Address, instance::KIND, name, &entry).await {
         Ok(_) | Err(Fault::Conflict(_)) => true,
         Err(fault) => {
             slog::info!(node.log, "not registered"; "fault" => %fault);
@@ -348,7 +348,7 @@
 
 /// Addresses that instances have left on the platform.
 pub async fn registered_addresses(node: &Rc<Node>) -> Vec<SocketAddr> {
-    let objects = match node.store.list_all(Cause::Address, instance::KIND).await {
+    let objects = match node.store.list_all(CallReason::Address, instance::KIND).await {
         Ok(objects) => objects,
         Err(fault) => {
             slog::info!(node.log, "no instances from the platform"; "fault" => %fault);
