--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -72,7 +72,7 @@
             let wanted = job_table::open_jobs_filter(&node);
             job_table::fetch_statuses_from(&node, others[at].peer, wanted).await;
         }
-        if let Some(digest) = digest.strikes {
+        if let Some(digest) = digest.crash_reports {
             compare_strikes(&node, &others[at], digest).await;
         }
         if let Some((version, text)) = config {
@@ -91,11 +91,11 @@
 /// Learns the strikes of an instance that knows which requests are held.
 async fn compare_strikes(node: &Node, other: &Member, digest: u64) {
     if node.quarantine.borrow().digest() != digest {
-        let reply = node.request(other.peer, &PeerRequest::Strikes, SYNC_TIMEOUT).await;
-        let Ok(PeerReply::Strikes(strikes)) = reply else {
+        let reply = node.request(other.peer, &PeerRequest::CrashReports, SYNC_TIMEOUT).await;
+        let Ok(PeerReply::CrashReports(strikes)) = reply else {
             return;
         };
-        quarantine::on_strikes(node, strikes, "compared");
+        quarantine::on_crash_reports(node, strikes, "compared");
     }
-    node.knows_strikes.set(true);
+    node.has_crash_reports.set(true);
 }
--- a/crates/daemon/src/gateway/broadcast.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -141,7 +141,9 @@
             jobs::on_ended(node, &job);
             true
         }
-        Update::Strikes(strikes) => !quarantine::on_strikes(node, strikes, "peer").is_empty(),
+        Update::CrashReports(strikes) => {
+            !quarantine::on_crash_reports(node, strikes, "peer").is_empty()
+        }
     }
 }
 
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -91,7 +91,8 @@
     pub jobs: u64,
     /// Digest of the strikes of requests that crash their targets; `None` if it doesn't
     /// know yet which are held.
-    pub strikes: Option<u64>,
+    #[serde(rename = "strikes")]
+    pub crash_reports: Option<u64>,
 }
 
 /// Whether an instance reaches the platform.
@@ -126,7 +127,8 @@
     /// A job was ended on the platform while its holder was silent.
     Ended(JobId),
     /// Requests ran on targets that crashed, or have come to their end since.
-    Strikes(Vec<Strike>),
+    #[serde(rename = "Strikes")]
+    CrashReports(Vec<Strike>),
 }
 
 /// Jobs that are asked for.
@@ -204,7 +206,8 @@
     /// May a held request be tried? The receiver decides for it.
     Trial(RequestFingerprint),
     /// Strikes of requests that have several.
-    Strikes,
+    #[serde(rename = "Strikes")]
+    CrashReports,
 }
 
 /// A reply.
@@ -244,7 +247,8 @@
     /// Whether a held request may be tried.
     Trial(bool),
     /// Strikes of requests that have several.
-    Strikes(Vec<Strike>),
+    #[serde(rename = "Strikes")]
+    CrashReports(Vec<Strike>),
     /// It can't be done now.
     #[serde(rename = "Away")]
     Unavailable,
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -98,9 +98,9 @@
     /// Requests that crash their targets.
     pub quarantine: RefCell<quarantine::Table>,
     /// The strikes of some request have changed.
-    pub strikes_changed: Notify,
+    pub crash_reports_changed: Notify,
     /// Whether this instance has learnt since its start which requests are held.
-    pub knows_strikes: Cell<bool>,
+    pub has_crash_reports: Cell<bool>,
     /// Targets whose answers broke off, and are looked into.
     pub crash_checks: CrashChecks,
     /// How long the machine was suspended, as far as that was noticed.
@@ -154,8 +154,8 @@
                 quarantine_policy(&settings.policy),
                 now,
             )),
-            strikes_changed: Notify::new(),
-            knows_strikes: Cell::new(false),
+            crash_reports_changed: Notify::new(),
+            has_crash_reports: Cell::new(false),
             crash_checks: CrashChecks::default(),
             suspended_for: Cell::default(),
             resumed: Notify::new(),
@@ -198,7 +198,7 @@
     /// a start.
     pub fn is_initialized(&self) -> bool {
         let knows_targets = self.registry.borrow().revision() > 0;
-        self.config.borrow().is_some() && knows_targets && self.knows_strikes.get()
+        self.config.borrow().is_some() && knows_targets && self.has_crash_reports.get()
     }
 
     /// Whether a stop was ordered.
@@ -210,9 +210,9 @@
     pub fn state_digest(&self) -> StateDigest {
         let config = self.config.borrow().as_ref().map_or(0, |config| config.table.version);
         let jobs = super::job_table::digest(self);
-        let knows_strikes = self.knows_strikes.get();
-        let strikes = knows_strikes.then(|| self.quarantine.borrow().digest());
-        StateDigest { config, targets: self.registry.borrow().digest(), jobs, strikes }
+        let has_crash_reports = self.has_crash_reports.get();
+        let crash_reports = has_crash_reports.then(|| self.quarantine.borrow().digest());
+        StateDigest { config, targets: self.registry.borrow().digest(), jobs, crash_reports }
     }
 
     /// Whether this instance reaches the platform, as it tells the others.
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -138,7 +138,7 @@
             PeerReply::Done
         }
         PeerRequest::Trial(content) => PeerReply::Trial(quarantine::on_trial(node, content)),
-        PeerRequest::Strikes => PeerReply::Strikes(quarantine::strikes(node)),
+        PeerRequest::CrashReports => PeerReply::CrashReports(quarantine::crash_reports(node)),
     }
 }
 
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -24,15 +24,15 @@
 use tokio_util::sync::CancellationToken;
 
 /// Longest wait for the owner's word on a trial.
-const TRIAL_LIMIT: Duration = Duration::from_millis(100);
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(100);
 /// When to ask again whose owner granted no trial: another one goes on, or it can't tell.
-const NO_TRIAL: Duration = Duration::from_secs(2);
+const TRIAL_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Crashes from which a request that others saw gets a line: all that ran on a target that
 /// crashed has one.
-const LOGGED_FROM: usize = 2;
+const MIN_LOGGED_CRASHES: usize = 2;
 /// Time between looks for what is held and not written down: a write may have failed, or
 /// the instance gone that was to make it.
-const KEEP_EVERY: Duration = Duration::from_secs(1);
+const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What is kept of a held request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
 pub fn on_crash(node: &Rc<Node>, boot: &Boot, contents: &[RequestFingerprint]) {
     let strikes: Vec<Strike> =
         contents.iter().map(|content| Strike::new(*content, boot.clone())).collect();
-    let news = on_strikes(node, strikes, "own");
+    let news = on_crash_reports(node, strikes, "own");
     tell(node, news);
 }
 
@@ -82,14 +82,14 @@
 }
 
 /// Takes in strikes; gives those that were news.
-pub fn on_strikes(node: &Node, strikes: Vec<Strike>, from: &str) -> Vec<Strike> {
+pub fn on_crash_reports(node: &Node, strikes: Vec<Strike>, from: &str) -> Vec<Strike> {
     let now = clock::now();
     let mut table = node.quarantine.borrow_mut();
     let news: Vec<Strike> =
         strikes.into_iter().filter(|strike| table.on_strike(strike.clone(), now)).collect();
     for strike in &news {
         let crashes = table.crashes(strike.content);
-        if crashes < LOGGED_FROM && from != "own" {
+        if crashes < MIN_LOGGED_CRASHES && from != "own" {
             continue;
         }
         let verdict = table.verdict(strike.content, now);
@@ -99,14 +99,14 @@
             "crashes" => crashes, "verdict" => ?verdict);
     }
     if !news.is_empty() {
-        node.strikes_changed.notify_one();
+        node.crash_reports_changed.notify_one();
     }
     news
 }
 
 fn tell(node: &Rc<Node>, strikes: Vec<Strike>) {
     if !strikes.is_empty() {
-        broadcast::send(node, Update::Strikes(strikes));
+        broadcast::send(node, Update::CrashReports(strikes));
     }
 }
 
@@ -124,7 +124,7 @@
             slog::info!(node.log, "trial of a held request"; "content" => hex(content));
             Admission::Trial
         }
-        Verdict::TrialDue => Admission::Held(NO_TRIAL),
+        Verdict::TrialDue => Admission::Held(TRIAL_RETRY_DELAY),
     }
 }
 
@@ -137,7 +137,7 @@
     match table.verdict(content(), clock::now()) {
         Verdict::Free => None,
         Verdict::Held(left) => Some(left),
-        Verdict::TrialDue => Some(NO_TRIAL),
+        Verdict::TrialDue => Some(TRIAL_RETRY_DELAY),
     }
 }
 
@@ -156,7 +156,7 @@
 async fn is_granted(node: &Node, content: RequestFingerprint) -> bool {
     match owner(node, content) {
         Some(owner) if owner.id != node.id() => {
-            let reply = node.request(owner.peer, &PeerRequest::Trial(content), TRIAL_LIMIT).await;
+            let reply = node.request(owner.peer, &PeerRequest::Trial(content), TRIAL_TIMEOUT).await;
             matches!(reply, Ok(PeerReply::Trial(true)))
         }
         Some(_) => on_trial(node, content),
@@ -170,7 +170,7 @@
 }
 
 /// All strikes of requests that have several, for an instance that knows others.
-pub fn strikes(node: &Node) -> Vec<Strike> {
+pub fn crash_reports(node: &Node) -> Vec<Strike> {
     node.quarantine.borrow().strikes(clock::now())
 }
 
@@ -179,8 +179,8 @@
     let mut written: HashMap<RequestFingerprint, usize> = HashMap::new();
     loop {
         tokio::select! {
-            () = node.strikes_changed.notified() => {}
-            () = tokio::time::sleep(KEEP_EVERY) => {}
+            () = node.crash_reports_changed.notified() => {}
+            () = tokio::time::sleep(WRITE_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
         let held = node.quarantine.borrow().held_requests();
@@ -237,6 +237,6 @@
                 "content" => &object.name, "error" => %error),
         }
     }
-    let news = on_strikes(node, strikes, "platform");
+    let news = on_crash_reports(node, strikes, "platform");
     tell(node, news);
 }
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -306,7 +306,7 @@
         Topic::Targets => discovery::on_entries(node, &listing),
         Topic::Quarantine => {
             quarantine::on_objects(node, objects);
-            node.knows_strikes.set(true);
+            node.has_crash_reports.set(true);
         }
     }
     Ok(())
