--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -4,7 +4,7 @@
 
 use super::job_table::{HeldJob, route_of};
 use super::leases::{self, Lease};
-use super::node::{Node, millis};
+use super::node::{Node, unix_millis};
 use super::{job_writer, takeover};
 use coordination::hash;
 use coordination::slots::Feasibility;
@@ -89,7 +89,7 @@
 
 /// HeldJob jobs with items that wait for the service, the most urgent first.
 fn waiting(node: &Node, service: &str) -> Vec<Rc<HeldJob>> {
-    let now = millis();
+    let now = unix_millis();
     let held_jobs = node.jobs.held.borrow();
     let fits = |held: &&Rc<HeldJob>| {
         let state = held.state.borrow();
@@ -103,7 +103,7 @@
 /// Items that wait whose priority is no later than that of the first job's, but for when
 /// they are due: others must wait for a priority of their own.
 fn items_of_first_class(node: &Node, waiting: &[Rc<HeldJob>]) -> usize {
-    let now = millis();
+    let now = unix_millis();
     let class = |held: &Rc<HeldJob>| {
         let (chance, is_fresh, _) = priority(node, &held.state.borrow(), now);
         (chance, is_fresh)
@@ -126,7 +126,7 @@
     held: &HeldJob,
     most: usize,
 ) -> leases::BatchQuery<'a> {
-    let now = millis();
+    let now = unix_millis();
     let state = held.state.borrow();
     let made = state.next_event_count().unwrap_or_default();
     let until = |at: Millis| Duration::from_millis(at.saturating_sub(now));
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -4,7 +4,7 @@
 use crate::gateway::crash::{self, BrokenRequest, hex};
 use crate::gateway::job_table::HeldJob;
 use crate::gateway::leases::Lease;
-use crate::gateway::node::{Node, millis};
+use crate::gateway::node::{Node, unix_millis};
 use crate::gateway::online::{is_not_run, is_own, refusal_of};
 use crate::gateway::quarantine::{self, Admission};
 use bytes::Bytes;
@@ -125,7 +125,7 @@
         "job" => &held.state.borrow().job().id, "for_ms" => left.as_millis() as u64);
     let give_up = held.state.borrow().job().expires;
     held.state.borrow_mut().withhold(&item.id);
-    let left = left.min(Duration::from_millis(give_up.saturating_sub(millis())));
+    let left = left.min(Duration::from_millis(give_up.saturating_sub(unix_millis())));
     tokio::select! {
         () = tokio::time::sleep(left) => {}
         () = held.released.cancelled() => {}
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -10,7 +10,7 @@
 use super::job_store::{self, JobSummary};
 use super::job_table::{self, HeldJob};
 use super::message::{JobStatus, Update};
-use super::node::{Node, millis};
+use super::node::{Node, unix_millis};
 use super::takeover::{self, MEMBERSHIP_WARM_UP};
 use crate::clock;
 use coordination::membership::State;
@@ -197,7 +197,7 @@
 
 /// Drops what is past its retention, here and on the platform.
 fn expire(node: &Rc<Node>) {
-    let now = millis();
+    let now = unix_millis();
     let retention = node.settings.retention.as_millis() as u64;
     let held_jobs: Vec<Rc<HeldJob>> = node.jobs.held.borrow().values().cloned().collect();
     for held in held_jobs {
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -4,7 +4,7 @@
 use super::call_reason::CallReason;
 use super::job_store::{self, LoadError, StoredJob};
 use super::job_table::{self, HeldJob};
-use super::node::{Node, millis};
+use super::node::{Node, unix_millis};
 use super::takeover;
 use crate::clock;
 use coordination::flush;
@@ -64,7 +64,7 @@
             verify(&node, &held).await;
         }
         looked = clock::now();
-        held.state.borrow_mut().on_time(millis());
+        held.state.borrow_mut().on_time(unix_millis());
         if node.is_isolated() {
             isolated = Some(looked);
         }
@@ -90,7 +90,7 @@
             slog::info!(node.log, "job settled"; "job" => &state.job().id,
                 "results" => state.durable_results().len(), "items" => state.job().items.len(),
                 "ended" => state.is_ended(),
-                "age_ms" => millis().saturating_sub(state.job().accepted));
+                "age_ms" => unix_millis().saturating_sub(state.job().accepted));
             drop(state);
             job_table::announce(&node, &held);
             return;
@@ -104,7 +104,7 @@
     if !state.has_unwritten() {
         return Duration::MAX;
     }
-    let (due, at) = (state.job().due, millis());
+    let (due, at) = (state.job().due, unix_millis());
     let overdue = Duration::from_millis(at.saturating_sub(due));
     let due_in = Duration::from_millis(due.saturating_sub(at));
     let is_end = state.is_ended() && !state.is_end_durable();
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -341,6 +341,6 @@
 }
 
 /// The time of day in milliseconds, for what is kept on the platform.
-pub fn millis() -> Millis {
+pub fn unix_millis() -> Millis {
     crate::clock::millis()
 }
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -8,7 +8,7 @@
 use super::call_reason::CallReason;
 use super::crash::hex;
 use super::message::{PeerReply, PeerRequest, Update};
-use super::node::{Node, millis};
+use super::node::{Node, unix_millis};
 use crate::clock;
 use coordination::hash;
 use coordination::membership::Member;
@@ -200,7 +200,7 @@
 /// Writes down what is known of a held request.
 async fn write(node: &Node, content: RequestFingerprint) -> bool {
     let strikes = node.quarantine.borrow().strikes_of(content, clock::now());
-    let entry = Entry { written: millis(), strikes };
+    let entry = Entry { written: unix_millis(), strikes };
     let name = hex(content);
     let created = node.store.create(CallReason::Quarantine, KIND, &name, &entry).await;
     let result = match created {
@@ -225,7 +225,7 @@
 
 /// Held requests were read from the platform.
 pub fn on_objects(node: &Rc<Node>, objects: &[Object]) {
-    let now = millis();
+    let now = unix_millis();
     let mut strikes = Vec::new();
     for object in objects {
         match serde_json::from_str::<Entry>(object.spec.get()) {
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -4,7 +4,7 @@
 use super::front::{CallerRequest, refusal, text};
 use super::job_store::{self, StoredJob};
 use super::message::{PeerReply, PeerRequest, SubmitOutcome};
-use super::node::{Node, millis};
+use super::node::{Node, unix_millis};
 use super::takeover;
 use super::{job_table, platform_health};
 use crate::clock;
@@ -156,7 +156,7 @@
             return SubmitOutcome::Malformed;
         }
     };
-    let now = millis();
+    let now = unix_millis();
     let job = Job {
         id: id.clone(),
         host: call.host.clone(),
