--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -18,7 +18,7 @@
     "stop ordered",
     "reload",
     "members",
-    "keeps accounts",
+    "slot allocators changed",
     "configuration in force",
     "platform lost",
     "platform contact lost",
--- a/crates/daemon/src/gateway/allocator.rs
+++ b/crates/daemon/src/gateway/allocator.rs
@@ -158,7 +158,7 @@
     let mut allocator = leases.allocator.borrow_mut();
     let is_new = |name: &DataCentreId| !leases.owned.borrow().contains(name);
     if owned.iter().any(is_new) {
-        slog::info!(node.log, "keeps accounts"; "data_centres" => ?owned, "members" => versions.0);
+        slog::info!(node.log, "slot allocators changed"; "data_centres" => ?owned, "members" => versions.0);
         allocator.start_settling(clock::now());
     }
     // Members change often when a fleet starts, and there may be many targets.
