--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -182,7 +182,7 @@
         revision: object.revision,
         route: job_table::route_of(node, &job).map_or_else(String::new, |route| route.name),
         waiting_tokens: tokens,
-        is_settled: false,
+        is_finished: false,
     }))
 }
 
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -139,7 +139,7 @@
             .sum();
         let directory = self.directory.borrow();
         let others = directory.values().filter(|status| {
-            status.route == route && !status.is_settled && !held_jobs.contains_key(&status.job)
+            status.route == route && !status.is_finished && !held_jobs.contains_key(&status.job)
         });
         here + others.map(|status| status.waiting_tokens).sum::<u64>()
     }
@@ -212,7 +212,7 @@
         revision: held.revision.get(),
         route: route_of(node, state.job()).map_or_else(String::new, |route| route.name),
         waiting_tokens: state.waiting_tokens(),
-        is_settled: state.is_finished(),
+        is_finished: state.is_finished(),
     }
 }
 
@@ -270,7 +270,7 @@
     let mut statuses = all_statuses(node);
     if let JobFilter::Open(ids) = filter {
         let ids: HashSet<&JobId> = ids.iter().collect();
-        statuses.retain(|status| !status.is_settled || ids.contains(&status.job));
+        statuses.retain(|status| !status.is_finished || ids.contains(&status.job));
     }
     statuses
 }
@@ -291,7 +291,7 @@
 }
 
 fn open_statuses(node: &Node) -> Vec<JobStatus> {
-    all_statuses(node).into_iter().filter(|status| !status.is_settled).collect()
+    all_statuses(node).into_iter().filter(|status| !status.is_finished).collect()
 }
 
 /// What to ask another instance for whose open jobs differ: a job may have been
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -77,7 +77,8 @@
     /// Tokens of its items without a result.
     pub waiting_tokens: u64,
     /// Whether nothing is left to run.
-    pub is_settled: bool,
+    #[serde(rename = "is_settled")]
+    pub is_finished: bool,
 }
 
 /// How far an instance is.
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -110,7 +110,7 @@
     let directory = node.jobs.directory.borrow();
     let held_jobs = node.jobs.held.borrow();
     let orphaned = directory.values().filter(|status| {
-        !status.is_settled
+        !status.is_finished
             && !held_jobs.contains_key(&status.job)
             && is_gone(node, status.holder, is_warmed_up)
     });
@@ -315,7 +315,7 @@
             route: job_table::route_of(node, &stored_job.job)
                 .map_or_else(String::new, |route| route.name),
             waiting_tokens: stored_job.job.tokens(),
-            is_settled: false,
+            is_finished: false,
         });
         return Ok(None);
     }
