--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -135,11 +135,11 @@
         data_centre,
         service,
         due: until(state.job().due),
-        in_time: until(in_time),
-        sure: until(sure),
-        left: node.jobs.run_time.borrow().remaining(made),
-        is_begun: made > 0,
-        most,
+        latest_start: until(in_time),
+        safe_start: until(sure),
+        remaining: node.jobs.run_time.borrow().remaining(made),
+        is_started: made > 0,
+        limit: most,
         wait: SLOT_TIMEOUT,
     }
 }
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -41,11 +41,11 @@
     /// Service.
     pub service: String,
     /// Until when a slot brings the answer within its objective.
-    pub in_time_until: Instant,
+    pub latest_start: Instant,
     /// Until when the caller waits.
-    pub until: Instant,
+    pub expires: Instant,
     /// Targets that won't do.
-    pub avoid: Vec<String>,
+    pub excluded: Vec<String>,
 }
 
 /// Why there is no lease.
@@ -215,14 +215,14 @@
             data_centre: data_centre.to_owned(),
             service: query.service.clone(),
             purpose: Purpose::Online,
-            due: query.until,
+            due: query.expires,
             remaining: Duration::ZERO,
             is_started: false,
-            latest_start: query.in_time_until,
-            safe_start: query.in_time_until,
-            expires: query.until,
+            latest_start: query.latest_start,
+            safe_start: query.latest_start,
+            expires: query.expires,
             total_slots: 0,
-            excluded: query.avoid.clone(),
+            excluded: query.excluded.clone(),
             may_wait: false,
         };
         let id = node.leases.next_request_id();
@@ -318,7 +318,7 @@
     let active = node.leases.active.borrow();
     let own = |id: &str| active.values().filter(|lease| lease.held.target == id).count();
     let fits = |target: &&protocol::routing::Target| {
-        target.service == query.service && !query.avoid.contains(&target.id)
+        target.service == query.service && !query.excluded.contains(&target.id)
     };
     let rank = |target: &&protocol::routing::Target| {
         let is_far = target.data_centre != *node.data_centre();
--- a/crates/daemon/src/gateway/leases/batch.rs
+++ b/crates/daemon/src/gateway/leases/batch.rs
@@ -19,22 +19,32 @@
     /// Time until the most urgent item is due.
     pub due: Duration,
     /// Time in which it must go on to be done by then.
-    pub in_time: Duration,
+    pub latest_start: Duration,
     /// The same for it to be done for sure.
-    pub sure: Duration,
+    pub safe_start: Duration,
     /// Slot time that it needs.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Whether an earlier run has done a part of it.
-    pub is_begun: bool,
+    pub is_started: bool,
     /// Most slots.
-    pub most: usize,
+    pub limit: usize,
     /// Longest wait for the first one.
     pub wait: Duration,
 }
 
 /// Asks the account of a data centre for slots for batch, and waits for them.
 pub async fn acquire_batch(node: &Rc<Node>, query: BatchQuery<'_>) -> Option<Vec<Lease>> {
-    let BatchQuery { data_centre, service, due, in_time, sure, left, is_begun, most, wait } = query;
+    let BatchQuery {
+        data_centre,
+        service,
+        due,
+        latest_start,
+        safe_start,
+        remaining,
+        is_started,
+        limit,
+        wait,
+    } = query;
     let owner = allocator_owner(node, data_centre)?;
     let now = clock::now();
     let request = SlotRequest {
@@ -44,14 +54,14 @@
         purpose: Purpose::Batch,
         id: node.leases.next_request_id(),
         due_ms: due.as_millis() as u64,
-        remaining_ms: left.as_millis() as u64,
-        is_started: is_begun,
-        latest_start_ms: in_time.as_millis() as u64,
-        safe_start_ms: sure.as_millis() as u64,
+        remaining_ms: remaining.as_millis() as u64,
+        is_started,
+        latest_start_ms: latest_start.as_millis() as u64,
+        safe_start_ms: safe_start.as_millis() as u64,
         expires_ms: wait.as_millis() as u64,
         total_slots: 0,
         wait_ms: wait.as_millis() as u64,
-        limit: most,
+        limit,
         excluded: Vec::new(),
     };
     let at = owner.peer;
--- a/crates/daemon/src/gateway/leases/wait.rs
+++ b/crates/daemon/src/gateway/leases/wait.rs
@@ -92,7 +92,7 @@
     }
 
     fn left(&self) -> Duration {
-        self.query.until.saturating_duration_since(clock::now())
+        self.query.expires.saturating_duration_since(clock::now())
     }
 
     /// Looks at one data centre after the other, so that no two give a slot, then
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -54,7 +54,7 @@
     /// Highest revision of the registry known here when it last got a slot.
     pub registry: Revision,
     /// Targets that it shouldn't be sent to again.
-    pub avoid: Vec<String>,
+    pub excluded: Vec<String>,
 }
 
 /// An answer that has begun.
@@ -120,7 +120,7 @@
         may_have_run: false,
         slot_wait: Cell::default(),
         registry: 0,
-        avoid: Vec::new(),
+        excluded: Vec::new(),
     };
     match forward.begin(None).await {
         Ok(begun) => answer(forward, begun, in_flight).await,
@@ -161,7 +161,7 @@
             Ok(Err(fault)) => fault,
             Err(_) => return Ok(forward.fail(&ForwardError::DeadlineExceeded)),
         };
-        forward.avoid.push(begun.lease.grant.target.clone());
+        forward.excluded.push(begun.lease.grant.target.clone());
         forward.may_have_run = true;
         forward.on_interrupted(&begun.lease.grant);
         begun.lease.end(LeaseOutcome::Interrupted);
@@ -235,7 +235,7 @@
                 "sent" => self.sent, "attempts" => self.route.max_attempts,
                 "registry" => self.registry,
                 "age_ms" => clock::since(self.call.started).as_millis() as u64);
-            self.avoid.push(target);
+            self.excluded.push(target);
             match again {
                 RetryReason::NotSent(_) => {
                     unreached += 1;
@@ -304,12 +304,12 @@
     }
 
     async fn lease(&self, after: Option<u64>) -> Result<Lease, AcquireError> {
-        let (in_time_until, until) = self.window(after.is_some(), clock::now());
+        let (latest_start, expires) = self.window(after.is_some(), clock::now());
         let want = SlotQuery {
             service: self.service.clone(),
-            in_time_until,
-            until,
-            avoid: self.avoid.clone(),
+            latest_start,
+            expires,
+            excluded: self.excluded.clone(),
         };
         let result = leases::acquire(&self.node, &want).await;
         self.slot_wait.set(clock::since(self.call.started));
@@ -333,7 +333,7 @@
             "content" => hex(call.content()),
             "status" => status, "route" => &self.route.name, "service" => &self.service,
             "config" => self.version, "registry" => self.registry, "sent" => self.sent,
-            "avoided" => ?self.avoid,
+            "avoided" => ?self.excluded,
             "slot_ms" => self.slot_wait.get().as_millis() as u64, "again" => call.is_retry,
             "age_ms" => age.as_millis() as u64, "repeatable" => is_repeatable);
         match failed {
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -105,7 +105,7 @@
                 StreamEnd::Interrupted(fault) => fault,
                 StreamEnd::Idle => String::from("silent"),
             };
-            self.forward.avoid.push(target.clone());
+            self.forward.excluded.push(target.clone());
             if !self.forward.may_send_again() {
                 return self.abort(&target, &fault).await;
             }
