--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -96,7 +96,7 @@
     let (parts, mut body) = request.into_parts();
     let Some(config) = config(node).await else {
         let error = Error::new(Kind::NotReady, "no configuration yet");
-        return Ok(refusal(node, "", &error));
+        return Ok(error_response(node, "", &error));
     };
     let host = host(&parts.headers).to_owned();
     let path = parts.uri.path();
@@ -111,7 +111,7 @@
             _ => {
                 slog::info!(node.log, "no route"; "request" => &id, "host" => &host,
                     "path" => path, "config" => config.table.version);
-                Ok(refusal(node, &id, &Error::new(Kind::UnknownPath, "no such route")))
+                Ok(error_response(node, &id, &Error::new(Kind::UnknownPath, "no such route")))
             }
         };
     };
@@ -123,12 +123,16 @@
     let body = match tokio::time::timeout(body_timeout, listen::read(&mut body, limit)).await {
         Ok(read) => read?,
         Err(_) => {
-            return Ok(refusal(node, &id, &Error::new(Kind::SlowCaller, "the body is late")));
+            return Ok(error_response(
+                node,
+                &id,
+                &Error::new(Kind::SlowCaller, "the body is late"),
+            ));
         }
     };
     let Some(body) = body else {
         let error = Error::new(Kind::TooLarge, format!("the body is over {limit} bytes"));
-        return Ok(refusal(node, &id, &error));
+        return Ok(error_response(node, &id, &error));
     };
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
     let headers = header::passed_on(&parts.headers);
@@ -165,29 +169,29 @@
 }
 
 /// The answer that the table of errors gives, for the request `id`.
-pub fn refusal(node: &Node, id: &str, error: &Error) -> Response<Body> {
+pub fn error_response(node: &Node, id: &str, error: &Error) -> Response<Body> {
     let status = error.kind.properties().status;
     node.metrics.count(&format!("refused.{status}"));
-    let mut response = text(status, &error.message);
+    let mut response = text_response(status, &error.message);
     if let Some(after) = error.retry_after {
         let seconds = format!("{:.3}", after.as_secs_f64());
-        set(&mut response, header::COME_BACK, &seconds);
+        set_header(&mut response, header::COME_BACK, &seconds);
     }
     if !id.is_empty() {
-        set(&mut response, header::REQUEST_ID, id);
+        set_header(&mut response, header::REQUEST_ID, id);
     }
     response
 }
 
 /// An answer of our own.
-pub fn text(status: u16, message: &str) -> Response<Body> {
+pub fn text_response(status: u16, message: &str) -> Response<Body> {
     let mut response = Response::new(Body::Whole(Bytes::from(format!("{message}\n"))));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
     response
 }
 
 /// Sets a header; one that can't be sent is left out.
-pub fn set(response: &mut Response<Body>, name: &'static str, value: &str) {
+pub fn set_header(response: &mut Response<Body>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
     }
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -5,7 +5,7 @@
 use crate::gateway::job_table::HeldJob;
 use crate::gateway::leases::Lease;
 use crate::gateway::node::{Node, unix_millis};
-use crate::gateway::online::{is_not_run, is_own, refusal_of};
+use crate::gateway::online::{belongs_to_request, is_not_run, rejection_outcome};
 use crate::gateway::quarantine::{self, Admission};
 use bytes::Bytes;
 use coordination::hash;
@@ -173,9 +173,12 @@
     };
     let head = exchange.head();
     if is_not_run(head) {
-        return RunEnd::Stopped(refusal_of(head), format!("turned away with {}", head.status));
+        return RunEnd::Stopped(
+            rejection_outcome(head),
+            format!("turned away with {}", head.status),
+        );
     }
-    if !is_own(&head.headers, &item.id) {
+    if !belongs_to_request(&head.headers, &item.id) {
         return RunEnd::Stopped(
             LeaseOutcome::Interrupted,
             String::from("an answer to another request"),
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -1,7 +1,7 @@
 //! Calls of batch jobs: submission, results, an item's body, the end.
 
 use super::call_reason::CallReason;
-use super::front::{refusal, set, text};
+use super::front::{error_response, set_header, text_response};
 use super::job_store::{self, LoadError, StoredJob};
 use super::job_table::{self, HeldJob};
 use super::message::{PeerReply, PeerRequest, Update};
@@ -66,7 +66,7 @@
                 }
                 return results_response(job.items.len(), from, outcomes);
             }
-            Location::NotFound => return text(404, "no such job"),
+            Location::NotFound => return text_response(404, "no such job"),
             Location::Reply(_) | Location::Unknown => return unavailable(node, id),
         }
     }
@@ -98,7 +98,7 @@
 
 fn results_response(total: usize, from: usize, outcomes: &[Outcome]) -> Response<Body> {
     let mut response = Response::new(Body::Whole(job::results(total, from, outcomes)));
-    set(&mut response, CONTENT_TYPE, "application/json");
+    set_header(&mut response, CONTENT_TYPE, "application/json");
     response
 }
 
@@ -107,7 +107,7 @@
         "platform_away" => node.store.is_backing_off(clock::now()));
     let mut error = Error::new(Kind::PlatformUnavailable, "the job can't be read now");
     error.retry_after = Some(submit::RETRY_AFTER);
-    refusal(node, "", &error)
+    error_response(node, "", &error)
 }
 
 /// Results of a held job from a position on, waited for if there is none.
@@ -144,10 +144,10 @@
     match found.and_then(|text| job::body_of(&text).ok()) {
         Some(bytes) => {
             let mut response = Response::new(Body::Whole(bytes));
-            set(&mut response, CONTENT_TYPE, "application/octet-stream");
+            set_header(&mut response, CONTENT_TYPE, "application/octet-stream");
             response
         }
-        None => text(404, "no such item"),
+        None => text_response(404, "no such item"),
     }
 }
 
@@ -158,14 +158,14 @@
 async fn end(node: &Rc<Node>, id: &str) -> Response<Body> {
     match find(node, id, PeerRequest::End, END_TIMEOUT).await {
         Location::Local(held) => match end_held(node, &held).await {
-            true => text(200, "ended"),
+            true => text_response(200, "ended"),
             false => unavailable(node, id),
         },
-        Location::Reply(PeerReply::Done) => text(200, "ended"),
-        Location::NotFound => text(404, "no such job"),
+        Location::Reply(PeerReply::Done) => text_response(200, "ended"),
+        Location::NotFound => text_response(404, "no such job"),
         Location::Reply(_) | Location::Stored(..) | Location::Unknown => {
             match end_stored(node, id).await {
-                true => text(200, "ended"),
+                true => text_response(200, "ended"),
                 false => unavailable(node, id),
             }
         }
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -2,16 +2,16 @@
 
 mod attempt;
 
-pub use attempt::{is_not_run, is_own, refusal_of};
+pub use attempt::{belongs_to_request, is_not_run, rejection_outcome};
 
 use super::crash::{self, BrokenRequest, hex};
-use super::front::{CallerRequest, refusal, text};
+use super::front::{CallerRequest, error_response, text_response};
 use super::leases::{self, AcquireError, Lease, SlotQuery};
 use super::node::{Config, Node};
 use super::quarantine::{self, Admission};
 use super::streaming;
 use crate::clock;
-use attempt::{RetryReason, end_of};
+use attempt::{RetryReason, completion_outcome};
 use coordination::hash;
 use coordination::slots::{Grant, LeaseOutcome};
 use hyper::Response;
@@ -107,7 +107,7 @@
     let draw = hash::of(call.id.as_bytes());
     let Some(service) = route.service(draw).cloned() else {
         let error = Error::new(Kind::NoTarget, "the route has no service");
-        return Ok(refusal(node, &call.id, &error));
+        return Ok(error_response(node, &call.id, &error));
     };
     let version = config.table.version;
     let mut forward = ProxiedRequest {
@@ -152,7 +152,7 @@
         let read = tokio::time::timeout(left, begun.exchange.read_to_end(MOST_WHOLE)).await;
         let fault = match read {
             Ok(Ok(body)) => {
-                begun.lease.end(end_of(head.status()));
+                begun.lease.end(completion_outcome(head.status()));
                 forward.on_end(begun.exchange.has_body_framing());
                 let is_good = clock::since(forward.call.started) <= forward.route.objective;
                 forward.node.metrics.record_request(&forward.route.name, is_good, clock::now());
@@ -188,7 +188,7 @@
 }
 
 /// A target's head, to be passed on.
-pub fn head_of(exchange: &Exchange) -> Response<()> {
+pub fn response_head(exchange: &Exchange) -> Response<()> {
     copy(exchange.head())
 }
 
@@ -349,11 +349,11 @@
                 };
                 let mut error = Error::new(kind, cause);
                 error.retry_after = Some(after);
-                refusal(&self.node, &call.id, &error)
+                error_response(&self.node, &call.id, &error)
             }
             ForwardError::MayHaveRun(_) | ForwardError::DeadlineExceeded => {
                 self.node.metrics.count(&format!("failed.{status}"));
-                text(status, cause)
+                text_response(status, cause)
             }
         }
     }
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -103,16 +103,16 @@
     fn check(&self, exchange: Exchange, lease: Lease) -> Result<TargetResponse, RetryReason> {
         let head = exchange.head();
         if is_not_run(head) {
-            lease.end(refusal_of(head));
+            lease.end(rejection_outcome(head));
             return Err(RetryReason::NotRun);
         }
-        if !is_own(&head.headers, &self.call.id) {
+        if !belongs_to_request(&head.headers, &self.call.id) {
             lease.end(LeaseOutcome::Interrupted);
             return Err(RetryReason::MayHaveRun(String::from("an answer to another request")));
         }
         if head.status.is_server_error() && self.may_send_again() {
             let status = head.status;
-            lease.end(end_of(status));
+            lease.end(completion_outcome(status));
             return Err(RetryReason::MayHaveRun(format!("the target answers {status}")));
         }
         Ok(TargetResponse { exchange, lease })
@@ -125,18 +125,18 @@
 }
 
 /// What it says of a target that it didn't run a request.
-pub fn refusal_of(head: &Parts) -> LeaseOutcome {
+pub fn rejection_outcome(head: &Parts) -> LeaseOutcome {
     let is_another = head.status == StatusCode::MISDIRECTED_REQUEST;
     if is_another { LeaseOutcome::Misdirected } else { LeaseOutcome::Rejected }
 }
 
 /// What a whole answer says of its target.
-pub(super) fn end_of(status: StatusCode) -> LeaseOutcome {
+pub(super) fn completion_outcome(status: StatusCode) -> LeaseOutcome {
     if status.is_server_error() { LeaseOutcome::Failed } else { LeaseOutcome::Completed }
 }
 
 /// Whether an answer belongs to the request `id`.
-pub fn is_own(headers: &HeaderMap, id: &str) -> bool {
+pub fn belongs_to_request(headers: &HeaderMap, id: &str) -> bool {
     let echoed = header::text(headers, header::REQUEST_ID);
     echoed.is_empty() || echoed == id
 }
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -6,7 +6,7 @@
 use super::leases::{AcquireError, Lease};
 use super::node::Node;
 use super::online::{
-    ForwardError, InFlightGuard, ProxiedRequest, TargetResponse, head_of, respond,
+    ForwardError, InFlightGuard, ProxiedRequest, TargetResponse, respond, response_head,
 };
 use crate::clock;
 use bytes::{Bytes, BytesMut};
@@ -61,7 +61,7 @@
     begun: TargetResponse,
     in_flight: InFlightGuard,
 ) -> Response<Body> {
-    let head = head_of(&begun.exchange);
+    let head = response_head(&begun.exchange);
     let (sender, body) = listen::stream();
     tokio::task::spawn_local(async move {
         let mut stream = Stream { forward, last_event: None, sender, stats: EventStats::default() };
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -1,7 +1,7 @@
 //! Submissions of batch jobs: kept on the platform before they are acknowledged.
 
 use super::call_reason::CallReason;
-use super::front::{CallerRequest, refusal, text};
+use super::front::{CallerRequest, error_response, text_response};
 use super::job_store::{self, StoredJob};
 use super::message::{PeerReply, PeerRequest, SubmitOutcome};
 use super::node::{Node, unix_millis};
@@ -57,15 +57,15 @@
     let refuse = |kind, message| {
         let mut error = Error::new(kind, message);
         error.retry_after = Some(RETRY_AFTER);
-        refusal(node, id, &error)
+        error_response(node, id, &error)
     };
     match outcome {
-        SubmitOutcome::Accepted => text(202, "accepted"),
+        SubmitOutcome::Accepted => text_response(202, "accepted"),
         SubmitOutcome::Full => refuse(Kind::CallerLimit, "too many tokens wait on the route"),
         SubmitOutcome::Refused => refuse(Kind::PlatformUnavailable, "the platform is away"),
-        SubmitOutcome::Unknown => text(502, "nobody can say whether the job is kept"),
-        SubmitOutcome::Malformed => text(400, "the submission can't be understood"),
-        SubmitOutcome::TooLong => text(413, "the platform can't keep an item that long"),
+        SubmitOutcome::Unknown => text_response(502, "nobody can say whether the job is kept"),
+        SubmitOutcome::Malformed => text_response(400, "the submission can't be understood"),
+        SubmitOutcome::TooLong => text_response(413, "the platform can't keep an item that long"),
     }
 }
 
