--- a/crates/daemon/src/gateway/allocator.rs
+++ b/crates/daemon/src/gateway/allocator.rs
@@ -1,7 +1,7 @@
-//! Keeps the accounts of slots that fall to this instance.
+//! Runs the slot allocators that this instance owns.
 //!
-//! What is decided is decided by [`coordination::slots::Ledger`]; here its
-//! verdicts are carried to those who asked, who wait, or who must give way.
+//! [`coordination::slots::Allocator`] decides; this module delivers its decisions to
+//! requesters, waiters and holders.
 
 use super::leases::allocator_owner;
 use super::message::{PeerReply, PeerRequest, SlotRequest, SlotRequestId};
@@ -19,11 +19,11 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-/// Answers a wish of another instance, or of this one for batch.
+/// Answers a request for slots, from another instance or from this one for batch.
 pub async fn on_slot_request(node: &Rc<Node>, request: SlotRequest) -> PeerReply {
     let now = clock::now();
     let after = |millis: u64| now + Duration::from_millis(millis);
-    let ask = |may_wait| slots::Request {
+    let slot_request = |may_wait| slots::Request {
         holder: request.from,
         data_centre: request.data_centre.clone(),
         service: request.service.clone(),
@@ -41,9 +41,11 @@
     let wait = Duration::from_millis(request.wait_ms);
     let mut grants = Vec::new();
     while grants.len() < request.limit {
-        // The first one may be waited for; more only if they are free now.
+        // Only the first slot may be waited for.
         let may_wait = grants.is_empty() && !wait.is_zero();
-        match acquire_local(node, &request.data_centre, ask(may_wait), request.id, wait).await {
+        match acquire_local(node, &request.data_centre, slot_request(may_wait), request.id, wait)
+            .await
+        {
             AcquireOutcome::Grant(grant) => grants.push(grant),
             AcquireOutcome::NotOwner => return PeerReply::NotOwner,
             AcquireOutcome::Full(after)
@@ -57,52 +59,52 @@
     PeerReply::Slots(grants, node.leases.allocator.borrow().run_time())
 }
 
-/// The answer to one wish.
+/// The outcome of one request.
 pub enum AcquireOutcome {
-    /// A slot.
+    /// A slot was granted.
     Grant(Grant),
-    /// None is free; one is expected after this long.
+    /// No slot is free; one is expected after this delay.
     Full(Duration),
-    /// The wait is over without a slot.
+    /// The wait ended without a slot.
     Pending,
-    /// The account isn't kept here, or has no such service.
+    /// The allocator isn't owned here, or has no target of the service.
     NotOwner,
 }
 
-/// A waiter that leaves the account's queue when whoever waits is dropped.
+/// Removes a waiter from the allocator's queue when dropped.
 struct WaiterGuard {
     node: Rc<Node>,
     id: WaiterId,
-    request: (InstanceId, SlotRequestId),
+    key: (InstanceId, SlotRequestId),
 }
 
 impl Drop for WaiterGuard {
     fn drop(&mut self) {
         let leases = &self.node.leases;
-        leases.pending.borrow_mut().remove(&self.request);
+        leases.pending.borrow_mut().remove(&self.key);
         if leases.waiters.borrow_mut().remove(&self.id).is_some() {
             leases.allocator.borrow_mut().on_waiter_gone(self.id);
         }
     }
 }
 
-/// A wish that waits here is withdrawn; one that was granted meanwhile isn't
-/// found, and its asker gives the lease back.
-pub fn on_cancelled(node: &Node, request: (InstanceId, SlotRequestId)) {
+/// Cancels a waiting request. One that was granted meanwhile isn't found; its requester
+/// releases the lease.
+pub fn on_cancelled(node: &Node, key: (InstanceId, SlotRequestId)) {
     let leases = &node.leases;
-    let Some(id) = leases.pending.borrow_mut().remove(&request) else {
+    let Some(id) = leases.pending.borrow_mut().remove(&key) else {
         return;
     };
     leases.allocator.borrow_mut().on_waiter_gone(id);
-    // Ends the wait: its asker is answered that it got none.
+    // Ends the wait without a grant.
     drop(leases.waiters.borrow_mut().remove(&id));
 }
 
-/// Asks an account kept here; waits up to `wait` if the wish may wait.
+/// Requests a slot from an allocator owned here; waits up to `wait` if the request may wait.
 pub async fn acquire_local(
     node: &Rc<Node>,
     data_centre: &str,
-    ask: slots::Request,
+    request: slots::Request,
     request_id: SlotRequestId,
     wait: Duration,
 ) -> AcquireOutcome {
@@ -110,9 +112,9 @@
     if !node.leases.owned.borrow().contains(data_centre) {
         return AcquireOutcome::NotOwner;
     }
-    let request = (ask.holder, request_id);
-    let verdict = node.leases.allocator.borrow_mut().on_request(ask, clock::now());
-    match verdict {
+    let key = (request.holder, request_id);
+    let decision = node.leases.allocator.borrow_mut().on_request(request, clock::now());
+    match decision {
         Decision::Granted(grant, revocation) => {
             revocation.into_iter().for_each(|revocation| revoke(node, revocation));
             AcquireOutcome::Grant(grant)
@@ -122,12 +124,12 @@
         Decision::Queued(id) => {
             let (sender, receiver) = oneshot::channel();
             node.leases.waiters.borrow_mut().insert(id, sender);
-            node.leases.pending.borrow_mut().insert(request, id);
-            let guard = WaiterGuard { node: node.clone(), id, request };
+            node.leases.pending.borrow_mut().insert(key, id);
+            let guard = WaiterGuard { node: node.clone(), id, key };
             check_waiters(node);
-            let answer = tokio::time::timeout(wait, receiver).await;
+            let reply = tokio::time::timeout(wait, receiver).await;
             drop(guard);
-            match answer {
+            match reply {
                 Ok(Ok(Ok(grant))) => AcquireOutcome::Grant(grant),
                 Ok(Ok(Err(after))) => AcquireOutcome::Full(after),
                 Ok(Err(_)) | Err(_) => AcquireOutcome::Pending,
@@ -136,7 +138,7 @@
     }
 }
 
-/// Sets the accounts for the members and targets known now.
+/// Updates the allocators owned here for the current members and targets.
 pub fn refresh(node: &Rc<Node>) {
     suspension::check(node);
     let versions = (node.members.borrow().version(), node.registry.borrow().version());
@@ -151,17 +153,18 @@
         let names = registry.usable().map(|target| target.data_centre.clone());
         *leases.data_centres.borrow_mut() = names.collect();
     }
-    let is_mine =
+    let is_owned_here =
         |name: &&DataCentreId| allocator_owner(node, name).is_some_and(|m| m.id == node.id());
     let owned: BTreeSet<DataCentreId> =
-        leases.data_centres.borrow().iter().filter(is_mine).cloned().collect();
+        leases.data_centres.borrow().iter().filter(is_owned_here).cloned().collect();
     let mut allocator = leases.allocator.borrow_mut();
     let is_new = |name: &DataCentreId| !leases.owned.borrow().contains(name);
     if owned.iter().any(is_new) {
-        slog::info!(node.log, "slot allocators changed"; "data_centres" => ?owned, "members" => versions.0);
+        slog::info!(node.log, "slot allocators changed"; "data_centres" => ?owned,
+            "members" => versions.0);
         allocator.start_settling(clock::now());
     }
-    // Members change often when a fleet starts, and there may be many targets.
+    // Membership changes often while a fleet starts, and there may be many targets.
     if has_new_targets || *leases.owned.borrow() != owned {
         allocator
             .set_targets(registry.usable().filter(|target| owned.contains(&target.data_centre)));
@@ -186,18 +189,18 @@
     }
 }
 
-/// A lease of an account kept here was given back.
+/// Handles the release of a lease of an allocator owned here.
 pub fn on_release(node: &Rc<Node>, lease: LeaseId, report: LeaseReport) {
     node.leases.allocator.borrow_mut().on_release(lease, report, clock::now());
     grant_waiters(node);
 }
 
-/// Somebody waits in vain for a first event at a target.
+/// Handles a report that the first event of a target is overdue.
 pub fn on_overdue(node: &Rc<Node>, target: &str) {
     node.leases.allocator.borrow_mut().on_overdue(target, clock::now());
 }
 
-/// A holder reports all that it holds.
+/// Handles a holder's report of all its leases.
 pub fn on_lease_report(node: &Rc<Node>, holder: InstanceId, held: &[HeldLease]) {
     refresh(node);
     let revocations = {
@@ -209,7 +212,7 @@
     grant_waiters(node);
 }
 
-/// Hands free slots to those that wait.
+/// Grants free slots to waiters.
 pub fn grant_waiters(node: &Rc<Node>) {
     refresh(node);
     loop {
@@ -223,15 +226,16 @@
             let lease = grant.lease;
             let is_taken = sender.is_some_and(|sender| sender.send(Ok(grant)).is_ok());
             if !is_taken {
-                let unused =
+                let report =
                     LeaseReport { outcome: LeaseOutcome::Unused, ..LeaseReport::default() };
-                node.leases.allocator.borrow_mut().on_release(lease, unused, clock::now());
+                node.leases.allocator.borrow_mut().on_release(lease, report, clock::now());
             }
         }
     }
 }
 
-/// Looks after those that wait until nobody does.
+/// Starts a task that grants slots to waiters and rejects those that can't be served in time,
+/// until none is left. At most one such task runs.
 fn check_waiters(node: &Rc<Node>) {
     if node.leases.is_checking_waiters.replace(true) {
         return;
@@ -241,11 +245,11 @@
         while !node.leases.waiters.borrow().is_empty() {
             tokio::time::sleep(WAITER_CHECK_INTERVAL).await;
             suspension::check(&node);
-            let refused = node.leases.allocator.borrow_mut().take_unserviceable(clock::now());
-            for (waiter, after) in refused {
+            let rejected = node.leases.allocator.borrow_mut().take_unserviceable(clock::now());
+            for (waiter, after) in rejected {
                 if let Some(sender) = node.leases.waiters.borrow_mut().remove(&waiter) {
-                    // Whoever waited may have gone in this moment.
-                    let _gone = sender.send(Err(after));
+                    // The waiter may just have been dropped.
+                    let _dropped = sender.send(Err(after));
                 }
             }
             grant_waiters(&node);
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -1,4 +1,5 @@
-//! Slots: asks for leases, and keeps the accounts that fall to this instance.
+//! Leases on slots that this instance requests and holds, and the state of the slot
+//! allocators that it owns.
 
 mod batch;
 mod lease;
@@ -24,52 +25,52 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Longest wait for an account's immediate answer. Within a region a round trip
-/// takes about 2 ms; a keeper that needs more is slow or gone, and a decision
-/// without it is better than none.
+/// Timeout for the immediate reply of an allocator. A round trip within a region takes
+/// about 2 ms, so an owner that exceeds this is overloaded or gone.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
-/// Slots of targets that have left, after which an account isn't asked again: it
-/// learns of each, and of the others within the 500 ms between comparisons.
-const MAX_LEFT_TARGETS: u32 = 4;
-/// Leases that an instance grants itself while no account answers carry this
-/// bit, so that they never collide with an account's own.
+/// Grants on unusable targets after which a call gives up. The allocator is notified of each
+/// such target, and anti-entropy brings it up to date.
+const MAX_UNUSABLE_GRANTS: u32 = 4;
+/// Set in the ids of leases that an instance grants itself, so that they never collide
+/// with those of an allocator.
 const SELF_GRANTED_BIT: LeaseId = 1 << 63;
 
-/// What is asked of the accounts.
+/// A request for a slot for an online request.
 #[derive(Clone, Debug)]
 pub struct SlotQuery {
-    /// Service.
+    /// Service whose targets qualify.
     pub service: String,
-    /// Until when a slot brings the answer within its objective.
+    /// Latest time at which a slot still lets the response meet its objective.
     pub latest_start: Instant,
-    /// Until when the caller waits.
+    /// When the caller stops waiting.
     pub expires: Instant,
-    /// Targets that won't do.
+    /// Targets that must not be granted.
     pub excluded: Vec<String>,
 }
 
-/// Why there is no lease.
+/// Why no lease was acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireError {
-    /// All slots are taken; one is expected after this long.
+    /// All slots are in use; one is expected to be free after this delay.
     Full(Duration),
-    /// No target of the service is known.
+    /// No usable target of the service is known.
     NoTarget,
-    /// The request crashes its targets, and is held for this long.
+    /// The request has crashed targets and is quarantined for this much longer.
     Quarantined(Duration),
 }
 
-/// Leases that this instance holds, and the accounts that it keeps.
+/// Leases held by this instance, and the slot allocators that it owns.
 pub struct Leases {
     pub(super) allocator: RefCell<Allocator>,
+    /// Data centres whose allocator this instance owns.
     pub(super) owned: RefCell<BTreeSet<DataCentreId>>,
-    /// Versions of members and targets that the ledger was last set for.
+    /// Versions of the membership and the registry that the allocator was last updated for.
     pub(super) seen_versions: Cell<(u64, u64)>,
-    /// Data centres with targets, as of the version seen.
+    /// Data centres with targets, as of `seen_versions`.
     pub(super) data_centres: RefCell<BTreeSet<DataCentreId>>,
     pub(super) waiters: RefCell<HashMap<WaiterId, oneshot::Sender<Result<Grant, Duration>>>>,
     pub(super) is_checking_waiters: Cell<bool>,
-    /// Wishes that wait in the accounts kept here.
+    /// Requests that wait in the allocators owned here.
     pub(super) pending: RefCell<HashMap<(InstanceId, SlotRequestId), WaiterId>>,
     active: RefCell<HashMap<LeaseId, ActiveLease>>,
     next_self_granted: Cell<LeaseId>,
@@ -77,9 +78,9 @@
 }
 
 impl Leases {
-    /// No leases and no accounts.
+    /// State without leases; allocators are owned once members and targets are known.
     pub fn new(id: InstanceId, policy: Policy, now: Instant) -> Leases {
-        // Ids differ between accounts: the upper half comes from the keeper.
+        // The instance id in the upper half keeps lease ids of different owners distinct.
         let seed = (id << 32) & !SELF_GRANTED_BIT;
         Leases {
             allocator: RefCell::new(Allocator::new(policy, seed, now)),
@@ -101,17 +102,17 @@
         id
     }
 
-    /// Leases of the accounts kept here: online and batch.
+    /// Leases granted by the allocators owned here: `[online, batch]`.
     pub fn in_use(&self) -> [u32; 2] {
         self.allocator.borrow().in_use()
     }
 
-    /// Leases that this instance holds.
+    /// Number of leases that this instance holds.
     pub fn held(&self) -> usize {
         self.active.borrow().len()
     }
 
-    /// Asks the holder of a lease here to stop.
+    /// Cancels the work of a lease held here.
     pub fn on_revoked(&self, lease: LeaseId) {
         if let Some(lease) = self.active.borrow().get(&lease) {
             lease.stop.cancel();
@@ -119,12 +120,12 @@
     }
 }
 
-/// The member that keeps the account of a data centre: one of the strongest of that
-/// data centre, or of all if none of its own is left.
+/// The member that owns the slot allocator of a data centre, chosen by capacity among the
+/// members of that data centre, or among all members if it has none. `None` without members.
 pub fn allocator_owner(node: &Node, data_centre: &str) -> Option<Member> {
     let members = node.members.borrow();
-    let choose = |own_only: bool| {
-        let fits = |m: &&Member| !own_only || m.data_centre == data_centre;
+    let choose = |local_only: bool| {
+        let fits = |m: &&Member| !local_only || m.data_centre == data_centre;
         let ids = members.workers().filter(fits).map(|member| member.id);
         capacity::owner(data_centre.as_bytes(), ids)
     };
@@ -132,8 +133,9 @@
     members.workers().find(|member| member.id == id).cloned()
 }
 
-/// Data centres with targets of a service, the own one first; the order of the
-/// others differs between instances, so that they don't all turn to the same.
+/// Data centres with targets of a service, the local one first. The order of the others
+/// differs between instances to spread their load. Recently unreachable data centres are
+/// left out unless there are no others.
 pub fn data_centres(node: &Node, service: &str) -> Vec<DataCentreId> {
     let registry = node.registry.borrow();
     let of_service = registry.usable().filter(|target| target.service == service);
@@ -149,19 +151,19 @@
     names
 }
 
-/// Gets a lease for an online request: a slot that is free now, the own data
-/// centre's first, else the first that comes free in any account.
+/// Acquires a lease for an online request: a slot that is free now, preferably in the local
+/// data centre, or the first that any allocator grants before the query expires.
 ///
 /// # Errors
 ///
-/// Why there is none.
+/// Returns why no slot was granted.
 pub async fn acquire(node: &Rc<Node>, query: &SlotQuery) -> Result<Lease, AcquireError> {
     loop {
         match acquire_once(node, query).await {
             Outcome::Lease(lease) => return Ok(lease),
-            Outcome::Refused(refusal) => return Err(refusal),
-            Outcome::Unanswered => return Err(AcquireError::NoTarget),
-            // Accounts and their keepers may have changed meanwhile.
+            Outcome::Rejected(error) => return Err(error),
+            Outcome::NoReply => return Err(AcquireError::NoTarget),
+            // Allocators and their owners may have changed during the wait.
             Outcome::Pending => {}
         }
     }
@@ -169,48 +171,48 @@
 
 enum Outcome {
     Lease(Lease),
-    Refused(AcquireError),
-    /// Nothing came free so far; there is time left.
+    Rejected(AcquireError),
+    /// No slot was granted so far, and the query has not expired.
     Pending,
-    /// No account answered.
-    Unanswered,
+    /// No allocator replied.
+    NoReply,
 }
 
 async fn acquire_once(node: &Rc<Node>, query: &SlotQuery) -> Outcome {
     let mut names = data_centres(node, &query.service);
     if names.is_empty() {
-        return Outcome::Refused(AcquireError::NoTarget);
+        return Outcome::Rejected(AcquireError::NoTarget);
     }
-    // Messages grow with the requests that wait, not with the data centres.
+    // Bounds the messages per waiting request, however many data centres there are.
     names.truncate(node.settings.policy.max_allocators);
     let nearest = names.remove(0);
-    match ask(node.clone(), AllocatorCall::look(node, query, &nearest)).await.1 {
+    match call_allocator(node.clone(), AllocatorCall::immediate(node, query, &nearest)).await.1 {
         AllocatorReply::Lease(lease) => return Outcome::Lease(lease),
         AllocatorReply::Full(_) | AllocatorReply::Pending => names.insert(0, nearest),
-        AllocatorReply::TargetLeft(_) | AllocatorReply::Unresponsive => {}
+        AllocatorReply::UnusableTarget(_) | AllocatorReply::Unresponsive => {}
     }
-    match wait::first(node, query, names).await {
-        Outcome::Unanswered => {
+    match wait::first_grant(node, query, names).await {
+        Outcome::NoReply => {
             let lease = grant_locally(node, query);
-            lease.map_or(Outcome::Refused(AcquireError::NoTarget), Outcome::Lease)
+            lease.map_or(Outcome::Rejected(AcquireError::NoTarget), Outcome::Lease)
         }
         outcome => outcome,
     }
 }
 
-/// One wish at one account.
+/// One request to one allocator.
 struct AllocatorCall {
     data_centre: DataCentreId,
-    ask: slots::Request,
+    request: slots::Request,
     id: SlotRequestId,
-    /// How long it may wait there; zero if it may not.
+    /// Longest wait in the allocator's queue; zero to be rejected instead of queued.
     wait: Duration,
 }
 
 impl AllocatorCall {
-    /// A look for a slot that is free now.
-    fn look(node: &Node, query: &SlotQuery, data_centre: &str) -> AllocatorCall {
-        let ask = slots::Request {
+    /// A request for a slot that is free now.
+    fn immediate(node: &Node, query: &SlotQuery, data_centre: &str) -> AllocatorCall {
+        let request = slots::Request {
             holder: node.id(),
             data_centre: data_centre.to_owned(),
             service: query.service.clone(),
@@ -226,62 +228,63 @@
             may_wait: false,
         };
         let id = node.leases.next_request_id();
-        AllocatorCall { data_centre: data_centre.to_owned(), ask, id, wait: Duration::ZERO }
+        AllocatorCall { data_centre: data_centre.to_owned(), request, id, wait: Duration::ZERO }
     }
 
-    fn request(&self, now: Instant) -> SlotRequest {
+    fn to_message(&self, now: Instant) -> SlotRequest {
         SlotRequest {
-            from: self.ask.holder,
+            from: self.request.holder,
             data_centre: self.data_centre.clone(),
-            service: self.ask.service.clone(),
-            purpose: self.ask.purpose,
+            service: self.request.service.clone(),
+            purpose: self.request.purpose,
             id: self.id,
-            due_ms: span(self.ask.due, now),
+            due_ms: millis_until(self.request.due, now),
             remaining_ms: 0,
             is_started: false,
-            latest_start_ms: span(self.ask.latest_start, now),
-            safe_start_ms: span(self.ask.safe_start, now),
-            expires_ms: span(self.ask.expires, now),
-            total_slots: self.ask.total_slots,
+            latest_start_ms: millis_until(self.request.latest_start, now),
+            safe_start_ms: millis_until(self.request.safe_start, now),
+            expires_ms: millis_until(self.request.expires, now),
+            total_slots: self.request.total_slots,
             wait_ms: self.wait.as_millis() as u64,
             limit: 1,
-            excluded: self.ask.excluded.clone(),
+            excluded: self.request.excluded.clone(),
         }
     }
 }
 
 enum AllocatorReply {
     Lease(Lease),
-    /// A slot of this target, which has left.
-    TargetLeft(TargetId),
-    /// Nothing is free; a slot is expected after this long.
+    /// The granted slot is on this target, which is unusable.
+    UnusableTarget(TargetId),
+    /// No slot is free; one is expected after this delay.
     Full(Duration),
-    /// The wait there is over without a slot.
+    /// The wait ended without a slot.
     Pending,
     Unresponsive,
 }
 
-/// Makes a wish, and gives it back with its answer.
-async fn ask(node: Rc<Node>, call: AllocatorCall) -> (AllocatorCall, AllocatorReply) {
+/// Calls an allocator; returns the call together with its reply.
+async fn call_allocator(node: Rc<Node>, call: AllocatorCall) -> (AllocatorCall, AllocatorReply) {
     let mut call = call;
-    for _ in 0..MAX_LEFT_TARGETS {
-        match answer(&node, &call).await {
-            AllocatorReply::TargetLeft(target) => call.ask.excluded.push(target),
+    for _ in 0..MAX_UNUSABLE_GRANTS {
+        match try_call(&node, &call).await {
+            AllocatorReply::UnusableTarget(target) => call.request.excluded.push(target),
             reply => return (call, reply),
         }
     }
-    // An account that knows so little is no better than none.
+    // An allocator with such outdated targets is treated as unavailable.
     (call, AllocatorReply::Unresponsive)
 }
 
-async fn answer(node: &Rc<Node>, call: &AllocatorCall) -> AllocatorReply {
+async fn try_call(node: &Rc<Node>, call: &AllocatorCall) -> AllocatorReply {
     let now = clock::now();
     let Some(owner) = allocator_owner(node, &call.data_centre) else {
         return AllocatorReply::Unresponsive;
     };
     if owner.id == node.id() {
-        let AllocatorCall { data_centre, ask, id, wait } = call;
-        return match allocator::acquire_local(node, data_centre, ask.clone(), *id, *wait).await {
+        let AllocatorCall { data_centre, request, id, wait } = call;
+        return match allocator::acquire_local(node, data_centre, request.clone(), *id, *wait).await
+        {
             allocator::AcquireOutcome::Grant(grant) => {
                 AllocatorReply::Lease(activate(node, grant, Purpose::Online, Grantor::Local))
             }
@@ -293,12 +296,12 @@
     if node.is_unresponsive(owner.peer, now) {
         return AllocatorReply::Unresponsive;
     }
-    let request = call.request(now);
-    match node.request(owner.peer, &PeerRequest::Slots(request), call.wait + REPLY_TIMEOUT).await {
+    let message = call.to_message(now);
+    match node.request(owner.peer, &PeerRequest::Slots(message), call.wait + REPLY_TIMEOUT).await {
         Ok(PeerReply::Slots(grants, _)) => match grants.into_iter().next() {
             Some(grant) => match accept_remote_grant(node, grant, Purpose::Online, owner.peer) {
                 Ok(lease) => AllocatorReply::Lease(lease),
-                Err(target) => AllocatorReply::TargetLeft(target),
+                Err(target) => AllocatorReply::UnusableTarget(target),
             },
             None => AllocatorReply::Pending,
         },
@@ -307,29 +310,29 @@
     }
 }
 
-fn span(to: Instant, now: Instant) -> u64 {
+fn millis_until(to: Instant, now: Instant) -> u64 {
     to.saturating_duration_since(now).as_millis() as u64
 }
 
-/// A slot chosen without any account: of the least loaded targets by what this
-/// instance sends them itself, one by lot.
+/// Grants a slot without an allocator: on a random one of the targets with the fewest leases
+/// of this instance, in the local data centre if possible.
 fn grant_locally(node: &Rc<Node>, query: &SlotQuery) -> Option<Lease> {
     let registry = node.registry.borrow();
     let active = node.leases.active.borrow();
-    let own = |id: &str| active.values().filter(|lease| lease.held.target == id).count();
+    let local_leases = |id: &str| active.values().filter(|lease| lease.held.target == id).count();
     let fits = |target: &&protocol::routing::Target| {
         target.service == query.service && !query.excluded.contains(&target.id)
     };
     let rank = |target: &&protocol::routing::Target| {
-        let is_far = target.data_centre != *node.data_centre();
-        (is_far, own(&target.id), rand::random::<u32>())
+        let is_remote = target.data_centre != *node.data_centre();
+        (is_remote, local_leases(&target.id), rand::random::<u32>())
     };
     let target = registry.usable().filter(fits).min_by_key(rank)?;
     let lease = node.leases.next_self_granted.get() + 1;
     node.leases.next_self_granted.set(lease);
     let grant = Grant { lease, target: target.id.clone(), address: target.address };
     drop(active);
-    slog::info!(node.log, "slot without account"; "target" => &grant.target,
+    slog::info!(node.log, "slot granted without allocator"; "target" => &grant.target,
         "service" => &query.service);
     Some(activate(node, grant, Purpose::Online, Grantor::None))
 }
--- a/crates/daemon/src/gateway/leases/batch.rs
+++ b/crates/daemon/src/gateway/leases/batch.rs
@@ -1,4 +1,4 @@
-//! Slots for batch: asked of one account at a time, several at once.
+//! Batch leases: several slots per request, from one allocator at a time.
 
 use super::lease::{Grantor, accept_remote_grant, activate};
 use super::{Lease, REPLY_TIMEOUT, allocator_owner};
@@ -10,29 +10,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What batch asks of one account.
+/// A request for batch slots to one allocator; times count from now.
 pub struct BatchQuery<'a> {
-    /// Data centre of the account.
+    /// Data centre whose allocator is called.
     pub data_centre: &'a str,
-    /// Service.
+    /// Service whose targets qualify.
     pub service: &'a str,
     /// Time until the most urgent item is due.
     pub due: Duration,
-    /// Time in which it must go on to be done by then.
+    /// Time by which it must start to be possibly completed when due.
     pub latest_start: Duration,
-    /// The same for it to be done for sure.
+    /// Time by which it must start to be certainly completed when due.
     pub safe_start: Duration,
-    /// Slot time that it needs.
+    /// Slot time that the item still needs.
     pub remaining: Duration,
-    /// Whether an earlier run has done a part of it.
+    /// Whether an earlier run has completed a part of the item.
     pub is_started: bool,
-    /// Most slots.
+    /// Maximum number of slots.
     pub limit: usize,
-    /// Longest wait for the first one.
+    /// Longest wait for the first slot.
     pub wait: Duration,
 }
 
-/// Asks the account of a data centre for slots for batch, and waits for them.
+/// Acquires leases for batch from the allocator of a data centre. `None` if it can't be reached
+/// or granted only unusable targets; empty if no slot was free in time.
 pub async fn acquire_batch(node: &Rc<Node>, query: BatchQuery<'_>) -> Option<Vec<Lease>> {
     let BatchQuery {
         data_centre,
@@ -64,14 +65,14 @@
         limit,
         excluded: Vec::new(),
     };
-    let at = owner.peer;
-    let is_here = owner.id == node.id();
-    let reply = if is_here {
+    let address = owner.peer;
+    let is_local = owner.id == node.id();
+    let reply = if is_local {
         allocator::on_slot_request(node, request).await
-    } else if node.is_unresponsive(at, now) {
+    } else if node.is_unresponsive(address, now) {
         return None;
     } else {
-        node.request(at, &PeerRequest::Slots(request), wait + REPLY_TIMEOUT * 4).await.ok()?
+        node.request(address, &PeerRequest::Slots(request), wait + REPLY_TIMEOUT * 4).await.ok()?
     };
     let PeerReply::Slots(grants, span) = reply else {
         return None;
@@ -79,13 +80,13 @@
     node.jobs.run_time.borrow_mut().merge(span);
     let granted = grants.len();
     let lease = |grant| {
-        if is_here {
+        if is_local {
             return Some(activate(node, grant, Purpose::Batch, Grantor::Local));
         }
-        accept_remote_grant(node, grant, Purpose::Batch, at).ok()
+        accept_remote_grant(node, grant, Purpose::Batch, address).ok()
     };
     let leases: Vec<Lease> = grants.into_iter().filter_map(lease).collect();
-    // An account that knows only targets that have left is asked again later.
-    let is_vain = granted > 0 && leases.is_empty();
-    (!is_vain).then_some(leases)
+    // All grants were on unusable targets: the caller retries later.
+    let is_outdated = granted > 0 && leases.is_empty();
+    (!is_outdated).then_some(leases)
 }
--- a/crates/daemon/src/gateway/leases/lease.rs
+++ b/crates/daemon/src/gateway/leases/lease.rs
@@ -1,4 +1,4 @@
-//! Leases in use here: each gives itself back to the account that granted it.
+//! Leases in use here. Dropping one releases it at the allocator that granted it.
 
 use crate::clock;
 use crate::gateway::allocator;
@@ -12,48 +12,48 @@
 use std::time::{Duration, Instant};
 use tokio_util::sync::CancellationToken;
 
-/// Where a lease is given back.
+/// The allocator that granted a lease, to which it is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Grantor {
     Local,
     Remote(SocketAddr),
-    /// Nobody: the instance granted it to itself.
+    /// The instance granted the lease to itself.
     None,
 }
 
-/// A lease that is out, as its holder keeps it.
+/// A lease in use, as its holder records it.
 pub(super) struct ActiveLease {
     pub(super) held: HeldLease,
     pub(super) grantor: Grantor,
     pub(super) stop: CancellationToken,
 }
 
-/// A lease on a slot; gives itself back.
+/// A lease on a slot; released when dropped.
 pub struct Lease {
     node: Rc<Node>,
-    /// The slot.
+    /// The leased slot and its target.
     pub grant: Grant,
-    /// Cancelled when the lease must be given back at once.
+    /// Cancelled when the lease is revoked.
     pub stop: CancellationToken,
-    /// How it was used.
+    /// How the lease was used; sent to the allocator on release.
     pub report: LeaseReport,
-    /// Highest revision of the registry known here when it was granted.
+    /// Revision of the registry at this instance when the lease was granted.
     pub registry: Revision,
-    asked: Instant,
+    granted_at: Instant,
 }
 
 impl Lease {
-    /// How long ago it was granted.
+    /// Time since the lease was granted.
     pub fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.asked)
+        now.saturating_duration_since(self.granted_at)
     }
 
-    /// Notes how the use ended.
-    pub fn end(mut self, end: LeaseOutcome) {
-        self.report.outcome = end;
+    /// Releases the lease with its outcome.
+    pub fn end(mut self, outcome: LeaseOutcome) {
+        self.report.outcome = outcome;
     }
 
-    /// Tells the account that a first event is overdue.
+    /// Reports to the allocator that the first event of the target is overdue.
     pub fn report_overdue(&self) {
         let target = self.grant.target.clone();
         let grantor =
@@ -85,24 +85,23 @@
     }
 }
 
-/// Takes a granted slot into use.
+/// Records a granted lease as active.
 pub(super) fn activate(node: &Rc<Node>, grant: Grant, purpose: Purpose, grantor: Grantor) -> Lease {
     let stop = CancellationToken::new();
     let held = HeldLease { lease: grant.lease, target: grant.target.clone(), purpose };
     let lease = ActiveLease { held, grantor, stop: stop.clone() };
     node.leases.active.borrow_mut().insert(grant.lease, lease);
-    // Whoever drops it without a word has not used it to the end.
+    // A lease that is dropped without an outcome counts as unused.
     let report = LeaseReport { outcome: LeaseOutcome::Unused, ..LeaseReport::default() };
     let registry = node.registry.borrow().revision();
-    Lease { node: node.clone(), grant, stop, report, registry, asked: clock::now() }
+    Lease { node: node.clone(), grant, stop, report, registry, granted_at: clock::now() }
 }
 
-/// Takes a granted slot into use, unless its target is known here to have left: the
-/// account may have been cut off and know less. Then the slot goes back, and the
-/// account's keeper is told.
+/// Activates a lease granted by another instance, unless the registry here lists its target as
+/// unusable: an allocator behind a network partition may have an outdated registry. Such a
+/// lease is released, and the allocator's owner receives the registry change.
 ///
-/// Guards against requests that reach a target after its word: up to 3.4 s after it
-/// in replays of cuts of 4 s, where 2 s are allowed.
+/// Guards against requests sent to a target after it has announced that it is leaving.
 pub(super) fn accept_remote_grant(
     node: &Rc<Node>,
     grant: Grant,
@@ -111,16 +110,16 @@
 ) -> Result<Lease, TargetId> {
     let target = grant.target.clone();
     let lease = activate(node, grant, purpose, Grantor::Remote(owner));
-    let known = {
+    let change = {
         let registry = node.registry.borrow();
         if !registry.has_left(&target) {
             return Ok(lease);
         }
         registry.change(&target)
     };
-    slog::info!(node.log, "slot of a target that has left"; "target" => &target,
+    slog::info!(node.log, "granted target is unusable"; "target" => &target,
         "keeper" => %owner, "registry" => lease.registry);
-    let update = Update::Targets(known.into_iter().collect());
+    let update = Update::Targets(change.into_iter().collect());
     node.notify(owner, PeerRequest::Update(node.as_holder().address, update));
     drop(lease);
     Err(target)
--- a/crates/daemon/src/gateway/leases/report.rs
+++ b/crates/daemon/src/gateway/leases/report.rs
@@ -1,4 +1,4 @@
-//! Reports of the leases held here, from which accounts mend what was lost.
+//! Periodic reports of the leases held here, from which allocators recover lost messages.
 
 use super::allocator_owner;
 use crate::clock;
@@ -12,12 +12,12 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// Time between reports of all that is held.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Reports all that is held to the accounts, now and then.
+/// Reports all leases held here to the allocators until `stop`: periodically, and at once to a
+/// new owner.
 pub async fn report(node: Rc<Node>, stop: CancellationToken) {
-    let mut told: HashMap<DataCentreId, InstanceId> = HashMap::new();
+    let mut reported_to: HashMap<DataCentreId, InstanceId> = HashMap::new();
     let mut last = clock::now();
     loop {
         tokio::select! {
@@ -29,11 +29,11 @@
         if is_due {
             last = clock::now();
         }
-        report_once(&node, &mut told, is_due);
+        report_once(&node, &mut reported_to, is_due);
     }
 }
 
-fn report_once(node: &Rc<Node>, told: &mut HashMap<DataCentreId, InstanceId>, is_due: bool) {
+fn report_once(node: &Rc<Node>, reported_to: &mut HashMap<DataCentreId, InstanceId>, is_due: bool) {
     let registry = node.registry.borrow();
     let names: BTreeSet<DataCentreId> =
         registry.usable().map(|target| target.data_centre.clone()).collect();
@@ -41,16 +41,16 @@
         let Some(owner) = allocator_owner(node, &name) else {
             continue;
         };
-        let is_new = told.insert(name.clone(), owner.id) != Some(owner.id);
+        let is_new = reported_to.insert(name.clone(), owner.id) != Some(owner.id);
         if !(is_due || is_new) {
             continue;
         }
         let active = node.leases.active.borrow();
-        let of_this = |held: &&HeldLease| {
+        let is_local = |held: &&HeldLease| {
             registry.get(&held.target).is_some_and(|target| target.data_centre == name)
         };
         let held: Vec<HeldLease> =
-            active.values().map(|lease| &lease.held).filter(of_this).cloned().collect();
+            active.values().map(|lease| &lease.held).filter(is_local).cloned().collect();
         drop(active);
         if owner.id == node.id() {
             node.leases.allocator.borrow_mut().on_lease_report(owner.id, &held, clock::now());
--- a/crates/daemon/src/gateway/leases/wait.rs
+++ b/crates/daemon/src/gateway/leases/wait.rs
@@ -1,9 +1,10 @@
-//! A search in several accounts at once: a wait where nothing was free, looks at
-//! the others, a wait there too. The first slot counts, the other places are given
-//! up.
+//! Acquires a slot from several allocators at once: waits at the nearest, which has no free
+//! slot, tries the others, then waits at all that replied. The first grant is used, and the
+//! other requests are cancelled.
 
 use super::{
-    AcquireError, AllocatorCall, AllocatorReply, Outcome, SlotQuery, allocator_owner, ask,
+    AcquireError, AllocatorCall, AllocatorReply, Outcome, SlotQuery, allocator_owner,
+    call_allocator,
 };
 use crate::clock;
 use crate::gateway::allocator;
@@ -17,40 +18,43 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Longest wait before the accounts are looked up anew: a keeper may have gone,
-/// and others may have slots by now. Turns depend on the request, not on when it
-/// began to wait, so nothing is lost by asking again. Longer than the 250 ms
-/// between heartbeats, and a fifth of the shortest time that callers wait.
+/// Longest wait in the queues before the allocators are looked up again, since an owner may be
+/// gone. A request loses nothing by queueing again: its priority does not depend on when it was
+/// queued. Longer than the heartbeat interval.
 const MAX_QUEUE_WAIT: Duration = Duration::from_millis(400);
 
-/// Searches the accounts of some data centres, the nearest first, which has just
-/// said that nothing is free there.
-pub(super) async fn first(node: &Rc<Node>, query: &SlotQuery, names: Vec<DataCentreId>) -> Outcome {
+/// Acquires the first slot that the allocators of some data centres grant. The first data
+/// centre is the nearest, whose allocator has just reported no free slot.
+pub(super) async fn first_grant(
+    node: &Rc<Node>,
+    query: &SlotQuery,
+    names: Vec<DataCentreId>,
+) -> Outcome {
     let mut names = names.into_iter();
     let Some(nearest) = names.next() else {
-        return Outcome::Unanswered;
+        return Outcome::NoReply;
     };
     let all: Vec<DataCentreId> = std::iter::once(nearest.clone()).chain(names.clone()).collect();
     let mut search = Search {
-        places: Places {
+        calls: PendingCalls {
             node: node.clone(),
-            pending: Vec::new(),
+            queued: Vec::new(),
             requests: FuturesUnordered::new(),
         },
-        start: ask,
+        start: call_allocator,
         query,
-        reach: reach(node, query, &all),
-        answered: Vec::new(),
-        shortest: None,
+        total_slots: total_slots(node, query, &all),
+        rejected: Vec::new(),
+        shortest_wait: None,
         is_pending: false,
     };
-    // A silent account must not hold up the wait at one that answers.
-    search.wait_at(&nearest);
+    // An unresponsive allocator must not delay the wait at the nearest one.
+    search.queue_at(&nearest);
     search.run(names).await
 }
 
-/// Slots of the accounts together.
-fn reach(node: &Node, query: &SlotQuery, names: &[DataCentreId]) -> u32 {
+/// Number of slots of all these allocators.
+fn total_slots(node: &Node, query: &SlotQuery, names: &[DataCentreId]) -> u32 {
     let registry = node.registry.borrow();
     let fits = |target: &&protocol::routing::Target| {
         target.service == query.service && names.contains(&target.data_centre)
@@ -59,14 +63,14 @@
 }
 
 struct Search<'a, S, F: Future<Output = (AllocatorCall, AllocatorReply)> + 'static> {
-    places: Places<F>,
-    /// Makes a wish.
+    calls: PendingCalls<F>,
+    /// Starts a call to an allocator.
     start: S,
     query: &'a SlotQuery,
-    reach: u32,
-    /// Data centres beside the nearest that have answered a look.
-    answered: Vec<DataCentreId>,
-    shortest: Option<Duration>,
+    total_slots: u32,
+    /// Data centres beside the nearest that rejected an immediate request.
+    rejected: Vec<DataCentreId>,
+    shortest_wait: Option<Duration>,
     is_pending: bool,
 }
 
@@ -75,85 +79,86 @@
     S: Fn(Rc<Node>, AllocatorCall) -> F,
     F: Future<Output = (AllocatorCall, AllocatorReply)> + 'static,
 {
-    fn wait_at(&mut self, name: &str) {
-        let node = self.places.node.clone();
-        let mut call = AllocatorCall::look(&node, self.query, name);
-        call.ask.total_slots = self.reach;
-        call.ask.may_wait = true;
-        call.wait = self.left().min(MAX_QUEUE_WAIT);
-        self.places.pending.push((call.data_centre.clone(), call.id));
-        self.places.requests.push((self.start)(node, call));
+    fn queue_at(&mut self, name: &str) {
+        let node = self.calls.node.clone();
+        let mut call = AllocatorCall::immediate(&node, self.query, name);
+        call.request.total_slots = self.total_slots;
+        call.request.may_wait = true;
+        call.wait = self.remaining().min(MAX_QUEUE_WAIT);
+        self.calls.queued.push((call.data_centre.clone(), call.id));
+        self.calls.requests.push((self.start)(node, call));
     }
 
-    fn look_at(&mut self, name: &str) {
-        let node = self.places.node.clone();
-        let call = AllocatorCall::look(&node, self.query, name);
-        self.places.requests.push((self.start)(node, call));
+    fn try_at(&mut self, name: &str) {
+        let node = self.calls.node.clone();
+        let call = AllocatorCall::immediate(&node, self.query, name);
+        self.calls.requests.push((self.start)(node, call));
     }
 
-    fn left(&self) -> Duration {
+    fn remaining(&self) -> Duration {
         self.query.expires.saturating_duration_since(clock::now())
     }
 
-    /// Looks at one data centre after the other, so that no two give a slot, then
-    /// waits at all that answered.
+    /// Tries one data centre after the other, so that no two grant a slot at once, then waits
+    /// at all that replied.
     async fn run(&mut self, mut names: impl Iterator<Item = DataCentreId>) -> Outcome {
-        self.look_at_next(&mut names);
-        while let Some((call, reply)) = self.places.requests.next().await {
-            let is_look = !call.ask.may_wait;
+        self.try_next(&mut names);
+        while let Some((call, reply)) = self.calls.requests.next().await {
+            let is_immediate = !call.request.may_wait;
             match reply {
                 AllocatorReply::Lease(lease) => return Outcome::Lease(lease),
-                AllocatorReply::Full(_) | AllocatorReply::Pending if is_look => {
-                    self.answered.push(call.data_centre);
+                AllocatorReply::Full(_) | AllocatorReply::Pending if is_immediate => {
+                    self.rejected.push(call.data_centre);
                 }
                 AllocatorReply::Full(after) => {
-                    self.shortest = Some(self.shortest.map_or(after, |known| known.min(after)));
+                    self.shortest_wait =
+                        Some(self.shortest_wait.map_or(after, |known| known.min(after)));
                 }
                 AllocatorReply::Pending => self.is_pending = true,
-                AllocatorReply::TargetLeft(_) | AllocatorReply::Unresponsive => {}
+                AllocatorReply::UnusableTarget(_) | AllocatorReply::Unresponsive => {}
             }
-            if is_look {
-                self.look_at_next(&mut names);
+            if is_immediate {
+                self.try_next(&mut names);
             }
         }
         self.outcome()
     }
 
-    fn look_at_next(&mut self, names: &mut impl Iterator<Item = DataCentreId>) {
+    fn try_next(&mut self, names: &mut impl Iterator<Item = DataCentreId>) {
         if let Some(name) = names.next() {
-            self.look_at(&name);
+            self.try_at(&name);
             return;
         }
-        for name in std::mem::take(&mut self.answered) {
-            self.wait_at(&name);
+        for name in std::mem::take(&mut self.rejected) {
+            self.queue_at(&name);
         }
     }
 
     fn outcome(&self) -> Outcome {
-        match self.shortest {
-            _ if self.is_pending && !self.left().is_zero() => Outcome::Pending,
-            Some(after) => Outcome::Refused(AcquireError::Full(after)),
-            None if self.is_pending => Outcome::Refused(AcquireError::Full(MAX_QUEUE_WAIT)),
-            None => Outcome::Unanswered,
+        match self.shortest_wait {
+            _ if self.is_pending && !self.remaining().is_zero() => Outcome::Pending,
+            Some(after) => Outcome::Rejected(AcquireError::Full(after)),
+            None if self.is_pending => Outcome::Rejected(AcquireError::Full(MAX_QUEUE_WAIT)),
+            None => Outcome::NoReply,
         }
     }
 }
 
-/// Wishes under way; those that are left are given up when it is dropped.
-struct Places<F: Future<Output = (AllocatorCall, AllocatorReply)> + 'static> {
+/// Calls in progress; dropping it cancels those that remain.
+struct PendingCalls<F: Future<Output = (AllocatorCall, AllocatorReply)> + 'static> {
     node: Rc<Node>,
-    /// Places in accounts' queues.
-    pending: Vec<(DataCentreId, SlotRequestId)>,
+    /// Requests that may wait in an allocator's queue.
+    queued: Vec<(DataCentreId, SlotRequestId)>,
     requests: FuturesUnordered<F>,
 }
 
-impl<F: Future<Output = (AllocatorCall, AllocatorReply)> + 'static> Drop for Places<F> {
+impl<F: Future<Output = (AllocatorCall, AllocatorReply)> + 'static> Drop for PendingCalls<F> {
     fn drop(&mut self) {
         let requests = std::mem::take(&mut self.requests);
         if requests.is_empty() {
             return;
         }
-        for (data_centre, id) in &self.pending {
+        for (data_centre, id) in &self.queued {
             let request = (self.node.id(), *id);
             match allocator_owner(&self.node, data_centre) {
                 Some(owner) if owner.id == request.0 => {
@@ -165,7 +170,7 @@
                 None => {}
             }
         }
-        // A grant that has crossed the withdrawal is given back as it is dropped.
+        // A lease granted before the cancellation arrived is released when dropped.
         spawn_local(async move { requests.for_each(|reply| async move { drop(reply) }).await });
     }
 }
