--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -7,7 +7,7 @@
 use coordination::leaving::{Board, Witness, Word};
 use coordination::limit::{Bucket, Concurrency};
 use coordination::load::{Load, Report};
-use coordination::queue::{Queue, Verdict, verdict};
+use coordination::queue::{self, Queue};
 use coordination::retry::{self, Budget, Failure};
 use coordination::rollout::{Actual, Desired, Step, step};
 use coordination::route::{Candidate, Policy, pick, subset};
@@ -190,8 +190,8 @@
     #[case] waits: bool,
 ) {
     let queue = Queue { waiting, most: 64, running, mean: Duration::from_millis(mean) };
-    let verdict = verdict(queue, Duration::from_millis(left));
-    assert_eq!(matches!(verdict, Verdict::Wait(_)), waits, "{verdict:?}");
+    let verdict = queue::verdict(queue, Duration::from_millis(left));
+    assert_eq!(matches!(verdict, queue::Verdict::Wait(_)), waits, "{verdict:?}");
 }
 
 #[test]
