--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -24,26 +24,26 @@
 
 /// What a candidate has seen of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sight {
+pub struct Observation {
     /// The record seen last.
     pub record: Record,
     /// When this very record was first seen.
     pub since: Instant,
 }
 
-impl Sight {
+impl Observation {
     /// Folds a new reading into what was seen before.
-    pub fn update(before: Option<Sight>, record: Record, now: Instant) -> Sight {
+    pub fn update(before: Option<Observation>, record: Record, now: Instant) -> Observation {
         match before {
             Some(sight) if sight.record == record => sight,
-            _ => Sight { record, since: now },
+            _ => Observation { record, since: now },
         }
     }
 }
 
 /// What a candidate does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Claim {
+pub enum Action {
     /// Write this record, conditional on the version that was read.
     Write(Record),
     /// Look again after this long.
@@ -56,25 +56,25 @@
 /// to a target that doesn't check fencing numbers.
 pub fn claim(
     me: InstanceId,
-    sight: Option<Sight>,
+    sight: Option<Observation>,
     length: Duration,
     margin: Duration,
     now: Instant,
-) -> Claim {
-    let Some(Sight { record, since }) = sight else {
-        return Claim::Write(Record { holder: me, epoch: 1, renewal: 0 });
+) -> Action {
+    let Some(Observation { record, since }) = sight else {
+        return Action::Write(Record { holder: me, epoch: 1, renewal: 0 });
     };
     if record.holder == me {
-        return Claim::Write(Record { renewal: record.renewal + 1, ..record });
+        return Action::Write(Record { renewal: record.renewal + 1, ..record });
     }
     let next = Record { holder: me, epoch: record.epoch + 1, renewal: 0 };
     if record.holder == 0 {
-        return Claim::Write(next);
+        return Action::Write(next);
     }
     let free_at = since + length + margin;
     match free_at.checked_duration_since(now) {
-        Some(left) if !left.is_zero() => Claim::Wait(left),
-        _ => Claim::Write(next),
+        Some(left) if !left.is_zero() => Action::Wait(left),
+        _ => Action::Write(next),
     }
 }
 
@@ -100,7 +100,7 @@
     }
 
     /// Whether it is time to renew: less than half is left.
-    pub fn is_due(&self, now: Instant) -> bool {
+    pub fn should_renew(&self, now: Instant) -> bool {
         now >= self.since + self.length / 2
     }
 }
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -1,7 +1,7 @@
 //! Leases: an order of a former holder never reaches a target after the first
 //! order of its successor, though no clock is shared.
 
-use coordination::lease::{Claim, Held, Record, Sight, claim};
+use coordination::lease::{Action, Held, Observation, Record, claim};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::time::{Duration, Instant};
@@ -31,13 +31,13 @@
             let mut now = ms(write) + ms(look);
             let mut sight = None;
             let first = loop {
-                sight = Some(Sight::update(sight, record, start + now));
+                sight = Some(Observation::update(sight, record, start + now));
                 match claim(2, sight, LENGTH, LIFETIME, start + now) {
-                    Claim::Write(next) => {
+                    Action::Write(next) => {
                         prop_assert_eq!(next, Record { holder: 2, epoch: 5, renewal: 0 });
                         break now;
                     }
-                    Claim::Wait(left) => now += left.min(ms(every)),
+                    Action::Wait(left) => now += left.min(ms(every)),
                 }
             };
             prop_assert!(!may || arrives < first, "an order arrived after its successor's first");
@@ -61,17 +61,17 @@
 fn a_lease_given_back_is_free_at_once() {
     let now = Instant::now();
     let record = Record { holder: 0, epoch: 7, renewal: 3 };
-    let sight = Some(Sight { record, since: now });
+    let sight = Some(Observation { record, since: now });
     let next = Record { holder: 2, epoch: 8, renewal: 0 };
-    assert_eq!(claim(2, sight, LENGTH, LIFETIME, now), Claim::Write(next));
+    assert_eq!(claim(2, sight, LENGTH, LIFETIME, now), Action::Write(next));
 }
 
 #[test]
 fn a_renewal_starts_the_wait_anew() {
     let now = Instant::now();
     let record = Record { holder: 1, epoch: 1, renewal: 0 };
-    let first = Sight::update(None, record, now);
+    let first = Observation::update(None, record, now);
     let later = now + ms(7000);
-    let renewed = Sight::update(Some(first), Record { renewal: 1, ..record }, later);
-    assert_eq!(claim(2, Some(renewed), LENGTH, LIFETIME, later), Claim::Wait(ms(8000)));
+    let renewed = Observation::update(Some(first), Record { renewal: 1, ..record }, later);
+    assert_eq!(claim(2, Some(renewed), LENGTH, LIFETIME, later), Action::Wait(ms(8000)));
 }
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -7,7 +7,7 @@
 use crate::fleet::{Node, View, lock};
 use crate::shared::Shared;
 use bytes::Bytes;
-use coordination::lease::{self, Claim, Held, Record, Sight};
+use coordination::lease::{self, Action, Held, Observation, Record};
 use coordination::leaving::{Witness, Word};
 use coordination::rollout::{self, Actual, Desired, Step};
 use platform::keyed::Condition;
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy)]
 struct Known {
     holder: InstanceId,
-    sight: Option<Sight>,
+    sight: Option<Observation>,
     held: Option<Held>,
     version: Option<Revision>,
 }
@@ -195,7 +195,7 @@
     async fn hold(&mut self, shared: &Shared, key: &str) -> bool {
         let now = Instant::now();
         let lifetime = shared.settings.order_lifetime;
-        let enough = |held: &Held| held.may_order(lifetime, now) && !held.is_due(now);
+        let enough = |held: &Held| held.may_order(lifetime, now) && !held.should_renew(now);
         if self.held.is_some_and(|held| enough(&held)) {
             return true;
         }
@@ -209,7 +209,7 @@
         let now = Instant::now();
         self.version = found.as_ref().map(|object| object.revision);
         let record = found.and_then(|object| serde_json::from_slice::<Record>(&object.bytes).ok());
-        self.sight = record.map(|record| Sight::update(self.sight, record, now));
+        self.sight = record.map(|record| Observation::update(self.sight, record, now));
         true
     }
 
@@ -218,7 +218,7 @@
         let margin = shared.settings.order_lifetime;
         let now = Instant::now();
         let claim = lease::claim(self.holder, self.sight, length, margin, now);
-        let Claim::Write(record) = claim else {
+        let Action::Write(record) = claim else {
             self.held = None;
             return false;
         };
