--- a/crates/coordination/src/leaving.rs
+++ b/crates/coordination/src/leaving.rs
@@ -9,7 +9,7 @@
 
 /// Who says that a target leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Witness {
+pub enum Source {
     /// The platform's list of instances.
     Platform,
     /// The target's own refusal, seen here or told by a peer.
@@ -22,22 +22,22 @@
 
 /// Words about all targets.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
-    words: HashMap<(TargetId, Witness), Word>,
+pub struct Targets {
+    words: HashMap<(TargetId, Source), Notice>,
 }
 
 /// One witness's word about one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Word {
+pub struct Notice {
     /// Whether it leaves.
     pub leaving: bool,
     /// Source's own clock; a later word of the same witness replaces an earlier.
     pub stamp: u64,
 }
 
-impl Board {
+impl Targets {
     /// Takes in a word; `true` when it changed anything (and should be passed on).
-    pub fn say(&mut self, target: &str, witness: Witness, word: Word) -> bool {
+    pub fn record(&mut self, target: &str, witness: Source, word: Notice) -> bool {
         let key = (target.to_owned(), witness);
         if self.words.get(&key).is_some_and(|known| known.stamp >= word.stamp) {
             return false;
@@ -48,7 +48,7 @@
     }
 
     /// The last word of one witness.
-    pub fn word(&self, target: &str, witness: Witness) -> Option<Word> {
+    pub fn notice(&self, target: &str, witness: Source) -> Option<Notice> {
         self.words.get(&(target.to_owned(), witness)).copied()
     }
 
--- a/crates/coordination/src/membership/types.rs
+++ b/crates/coordination/src/membership/types.rs
@@ -1,7 +1,7 @@
 //! What members know and tell of each other.
 
 use crate::InstanceId;
-use crate::leaving::Witness;
+use crate::leaving::Source;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
         /// Whether it leaves.
         leaving: bool,
         /// Whose word this is.
-        witness: Witness,
+        witness: Source,
     },
     /// A job was cancelled.
     Cancel(String),
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -4,7 +4,7 @@
 use coordination::burn_rate::{Counts, History};
 use coordination::drain::{Phase, Plan, phase};
 use coordination::ejection::{Availability, Health};
-use coordination::leaving::{Board, Witness, Word};
+use coordination::leaving::{Notice, Source, Targets};
 use coordination::limit::{Bucket, Concurrency};
 use coordination::load::{Load, Report};
 use coordination::queue::{self, Queue};
@@ -196,14 +196,14 @@
 
 #[test]
 fn each_witness_takes_back_only_its_own_word() {
-    let mut board = Board::default();
-    let word = |leaving, stamp| Word { leaving, stamp };
-    assert!(board.say("t", Witness::Platform, word(true, 5)));
-    assert!(board.say("t", Witness::Target, word(true, 6)));
-    assert!(!board.say("t", Witness::Platform, word(false, 4)), "a stale word");
-    assert!(board.say("t", Witness::Platform, word(false, 7)));
+    let mut board = Targets::default();
+    let word = |leaving, stamp| Notice { leaving, stamp };
+    assert!(board.record("t", Source::Platform, word(true, 5)));
+    assert!(board.record("t", Source::Target, word(true, 6)));
+    assert!(!board.record("t", Source::Platform, word(false, 4)), "a stale word");
+    assert!(board.record("t", Source::Platform, word(false, 7)));
     assert!(board.is_leaving("t"));
-    assert!(board.say("t", Witness::Target, word(false, 8)));
+    assert!(board.record("t", Source::Target, word(false, 8)));
     assert!(!board.is_leaving("t"));
 }
 
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -6,7 +6,7 @@
 use crate::peers;
 use crate::shared::Shared;
 use coordination::append_log::{Append, EntryOrder};
-use coordination::leaving::{Witness, Word};
+use coordination::leaving::{Notice, Source};
 use coordination::membership::State;
 use coordination::retry::Failure;
 use platform::keyed::Condition;
@@ -304,8 +304,8 @@
         for one in listed {
             // The stamp is the list's own, so that a stale copy of the list,
             // which shows an older state, takes nothing back.
-            let word = Word { leaving: one.is_leaving, stamp: one.revision };
-            shared.tell_leaving(&one.name, Witness::Platform, word);
+            let word = Notice { leaving: one.is_leaving, stamp: one.revision };
+            shared.tell_leaving(&one.name, Source::Platform, word);
         }
     }
 }
@@ -344,13 +344,13 @@
 fn on_report(shared: &Shared, node: &Node, report: Report, at: Instant) {
     let name = &node.target.name;
     let now = clock::millis();
-    let word = lock(&shared.board).word(name, Witness::Target);
+    let word = lock(&shared.board).notice(name, Source::Target);
     let said = word.is_some_and(|word| word.leaving);
     // A report lags, so it takes back a leave only when that is old enough.
     let is_settled = word.is_none_or(|word| word.stamp + LEAVE_HOLD_MS < now);
     if report.leaving != said && (report.leaving || is_settled) {
-        let word = Word { leaving: report.leaving, stamp: now };
-        shared.tell_leaving(name, Witness::Target, word);
+        let word = Notice { leaving: report.leaving, stamp: now };
+        shared.tell_leaving(name, Source::Target, word);
     }
     node.on_report(report, at);
 }
--- a/crates/daemon/src/front/admin.rs
+++ b/crates/daemon/src/front/admin.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::control;
 use crate::fleet::lock;
-use coordination::leaving::{Witness, Word};
+use coordination::leaving::{Notice, Source};
 use protocol::config::{Change, ConfigEntry, Document};
 use protocol::{Error, Generation, Kind};
 use serde::{Deserialize, Serialize};
@@ -174,7 +174,7 @@
     if !front.shared.view().nodes.contains_key(name) {
         return Err(Error::new(Kind::NotFound, format!("no target `{name}`")));
     }
-    let word = Word { leaving, stamp: clock::millis() };
-    front.shared.tell_leaving(name, Witness::Operator, word);
+    let word = Notice { leaving, stamp: clock::millis() };
+    front.shared.tell_leaving(name, Source::Operator, word);
     Ok(http::json(200, &serde_json::json!({ "target": name, "leaving": leaving })))
 }
--- a/crates/daemon/src/front/answer.rs
+++ b/crates/daemon/src/front/answer.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::fleet::{self, Bound, Hold, Wanted, lock};
 use crate::shared::Shared;
-use coordination::leaving::{Witness, Word};
+use coordination::leaving::{Notice, Source};
 use coordination::queue::{self, Queue, Verdict};
 use coordination::retry::{self, Failure};
 use protocol::chat::{Request, Resume};
@@ -218,8 +218,8 @@
             hold.on_failure(now);
             self.tried.push(hold.node.target.name.clone());
             if fault.leaving {
-                let word = Word { leaving: true, stamp: clock::millis() };
-                self.shared.tell_leaving(&hold.node.target.name, Witness::Target, word);
+                let word = Notice { leaving: true, stamp: clock::millis() };
+                self.shared.tell_leaving(&hold.node.target.name, Source::Target, word);
             }
         }
         let ran = fault.failure == Failure::Unknown;
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -8,7 +8,7 @@
 use crate::shared::Shared;
 use bytes::Bytes;
 use coordination::lease::{self, Action, Held, Observation, Record};
-use coordination::leaving::{Witness, Word};
+use coordination::leaving::{Notice, Source};
 use coordination::rollout::{self, Actual, Desired, Step};
 use platform::keyed::Condition;
 use platform::store::Revision;
@@ -164,14 +164,14 @@
 
     fn set_draining(&mut self, shared: &Shared, node: &Node, draining: bool) {
         self.draining = draining;
-        let word = Word { leaving: draining, stamp: clock::millis() };
-        shared.tell_leaving(&node.target.name, Witness::Controller, word);
+        let word = Notice { leaving: draining, stamp: clock::millis() };
+        shared.tell_leaving(&node.target.name, Source::Controller, word);
     }
 
     /// Gives everything back: the target is as wanted, or no longer ours.
     async fn finish(&mut self, shared: &Shared, node: &Node) {
         // A controller that died may have left its word behind.
-        let word = lock(&shared.board).word(&node.target.name, Witness::Controller);
+        let word = lock(&shared.board).notice(&node.target.name, Source::Controller);
         if self.draining || word.is_some_and(|word| word.leaving) {
             self.set_draining(shared, node, false);
         }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -9,7 +9,7 @@
 use crate::telemetry::Telemetry;
 use coordination::append_log::EntryOrder;
 use coordination::hash;
-use coordination::leaving::{Board, Witness, Word};
+use coordination::leaving::{Notice, Source, Targets};
 use coordination::limit::Bucket;
 use coordination::membership::{Member, Note, Table};
 use coordination::retry::Budget;
@@ -54,7 +54,7 @@
     /// Configuration.
     pub chain: Mutex<Chain>,
     /// Leaving targets.
-    pub board: Mutex<Board>,
+    pub board: Mutex<Targets>,
     /// Targets.
     pub fleet: Fleet,
     view: RwLock<Arc<View>>,
@@ -123,8 +123,8 @@
     }
 
     /// A witness says that a target leaves or came back.
-    pub fn say_leaving(&self, target: &str, witness: Witness, word: Word) -> bool {
-        let changed = lock(&self.board).say(target, witness, word);
+    pub fn say_leaving(&self, target: &str, witness: Source, word: Notice) -> bool {
+        let changed = lock(&self.board).record(target, witness, word);
         if changed {
             slog::info!(self.log, "target leaving changed"; "target" => target,
                 "leaving" => word.leaving, "witness" => format!("{witness:?}"));
@@ -135,9 +135,9 @@
     }
 
     /// The same, and the peers are told.
-    pub fn tell_leaving(&self, target: &str, witness: Witness, word: Word) {
+    pub fn tell_leaving(&self, target: &str, witness: Source, word: Notice) {
         if self.say_leaving(target, witness, word) {
-            let Word { leaving, stamp } = word;
+            let Notice { leaving, stamp } = word;
             let note = Note::Leaving { target: target.into(), since: stamp, leaving, witness };
             lock(&self.table).pass_on(note);
             self.news.notify_one();
@@ -169,7 +169,7 @@
         match note {
             Note::Member(member) => lock(&self.table).merge(member.clone(), Instant::now()),
             Note::Leaving { target, since, leaving, witness } => {
-                let word = Word { leaving: *leaving, stamp: *since };
+                let word = Notice { leaving: *leaving, stamp: *since };
                 self.say_leaving(target, *witness, word)
             }
             Note::Cancel(job) => self.batch.on_cancelled(job),
--- a/crates/transport/src/peer/codec.rs
+++ b/crates/transport/src/peer/codec.rs
@@ -1,7 +1,7 @@
 //! Members and news as messages.
 
 use crate::peer_capnp::{leaving, member, note};
-use coordination::leaving::Witness;
+use coordination::leaving::Source;
 use coordination::membership::{Member, Note, State};
 use std::net::SocketAddr;
 
@@ -44,21 +44,21 @@
     })
 }
 
-fn write_witness(witness: Witness) -> leaving::Witness {
+fn write_witness(witness: Source) -> leaving::Witness {
     match witness {
-        Witness::Target => leaving::Witness::Target,
-        Witness::Platform => leaving::Witness::Platform,
-        Witness::Operator => leaving::Witness::Operator,
-        Witness::Controller => leaving::Witness::Controller,
+        Source::Target => leaving::Witness::Target,
+        Source::Platform => leaving::Witness::Platform,
+        Source::Operator => leaving::Witness::Operator,
+        Source::Controller => leaving::Witness::Controller,
     }
 }
 
-fn read_witness(witness: leaving::Witness) -> Witness {
+fn read_witness(witness: leaving::Witness) -> Source {
     match witness {
-        leaving::Witness::Target => Witness::Target,
-        leaving::Witness::Platform => Witness::Platform,
-        leaving::Witness::Operator => Witness::Operator,
-        leaving::Witness::Controller => Witness::Controller,
+        leaving::Witness::Target => Source::Target,
+        leaving::Witness::Platform => Source::Platform,
+        leaving::Witness::Operator => Source::Operator,
+        leaving::Witness::Controller => Source::Controller,
     }
 }
 
