--- a/crates/coordination/src/limit.rs
+++ b/crates/coordination/src/limit.rs
@@ -4,17 +4,17 @@
 
 /// A token bucket.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket of `burst` tokens that fills at `rate` a second.
-    pub fn new(rate: f64, burst: f64, now: Instant) -> Bucket {
-        Bucket { rate, burst, level: burst, at: now }
+    pub fn new(rate: f64, burst: f64, now: Instant) -> TokenBucket {
+        TokenBucket { rate, burst, level: burst, at: now }
     }
 
     /// Changes the rates and keeps the level.
@@ -29,7 +29,7 @@
     /// # Errors
     ///
     /// How long until there is one.
-    pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
+    pub fn try_take(&mut self, now: Instant) -> Result<(), Duration> {
         self.refill(now);
         if self.level >= 1.0 {
             self.level -= 1.0;
@@ -55,16 +55,16 @@
 /// off gets fewer at once, and more again with each success. It starts at the
 /// configured slots, since these are right until the target says otherwise.
 #[derive(Clone, Copy, Debug)]
-pub struct Concurrency {
+pub struct ConcurrencyLimit {
     limit: f64,
     ceiling: f64,
 }
 
-impl Concurrency {
+impl ConcurrencyLimit {
     /// For a target with `slots` slots.
-    pub fn new(slots: u32) -> Concurrency {
+    pub fn new(slots: u32) -> ConcurrencyLimit {
         let slots = f64::from(slots);
-        Concurrency { limit: slots, ceiling: (slots * SLOTS_OVER).ceil() }
+        ConcurrencyLimit { limit: slots, ceiling: (slots * SLOTS_OVER).ceil() }
     }
 
     /// Most requests at once now.
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -5,7 +5,7 @@
 use coordination::drain::{Phase, Plan, phase};
 use coordination::ejection::{Availability, Health};
 use coordination::leaving::{Notice, Source, Targets};
-use coordination::limit::{Bucket, Concurrency};
+use coordination::limit::{ConcurrencyLimit, TokenBucket};
 use coordination::load::{Load, Report};
 use coordination::queue::{self, Queue};
 use coordination::retry::{self, Budget, Failure};
@@ -119,15 +119,15 @@
 #[test]
 fn a_bucket_says_when_the_next_token_comes() {
     let now = Instant::now();
-    let mut bucket = Bucket::new(2.0, 1.0, now);
-    assert_eq!(bucket.take(now), Ok(()));
-    assert_eq!(bucket.take(now), Err(Duration::from_millis(500)));
-    assert_eq!(bucket.take(now + Duration::from_millis(500)), Ok(()));
+    let mut bucket = TokenBucket::new(2.0, 1.0, now);
+    assert_eq!(bucket.try_take(now), Ok(()));
+    assert_eq!(bucket.try_take(now), Err(Duration::from_millis(500)));
+    assert_eq!(bucket.try_take(now + Duration::from_millis(500)), Ok(()));
 }
 
 #[test]
 fn concurrency_falls_fast_and_rises_slowly() {
-    let mut limit = Concurrency::new(10);
+    let mut limit = ConcurrencyLimit::new(10);
     (0..20).for_each(|_| limit.on_failure());
     assert_eq!(limit.limit(), 1);
     (0..10).for_each(|_| limit.on_success());
@@ -168,10 +168,10 @@
 #[test]
 fn retries_are_a_share_of_first_tries() {
     let mut budget = Budget::default();
-    while budget.take() {}
+    while budget.try_take() {}
     (0..100).for_each(|_| budget.on_first());
     let mut taken = 0;
-    while budget.take() {
+    while budget.try_take() {
         taken += 1;
     }
     assert!((19..=20).contains(&taken), "{taken}");
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -3,7 +3,7 @@
 use coordination::admission::PeerLoad;
 use coordination::ejection::{Availability, Health};
 use coordination::hash;
-use coordination::limit::Concurrency;
+use coordination::limit::ConcurrencyLimit;
 use coordination::load::{Load, Report as LoadReport};
 use coordination::route::{self, Candidate, Policy};
 use protocol::config::{Document, Protocol, Service, Target};
@@ -48,7 +48,7 @@
     /// Online load.
     pub load: Load,
     /// How much it is given at once.
-    pub concurrency: Concurrency,
+    pub concurrency: ConcurrencyLimit,
     /// Whether it fails.
     pub health: Health,
     /// Online requests of other instances, where this one decides on batch.
@@ -82,7 +82,7 @@
     fn new(target: Target, told: Arc<Untold>) -> Node {
         let state = State {
             load: Load::default(),
-            concurrency: Concurrency::new(target.slots),
+            concurrency: ConcurrencyLimit::new(target.slots),
             health: Health::default(),
             pressure: PeerLoad::default(),
             report: None,
--- a/crates/daemon/src/front/answer.rs
+++ b/crates/daemon/src/front/answer.rs
@@ -227,7 +227,7 @@
         let unguarded = self.shared.settings.is_guard_disabled("retry");
         let may = retry::may_retry(self.terms.repeatable || unguarded, fault.failure);
         let in_time = !self.terms.left(now).is_zero();
-        if may && in_time && self.tries < MOST_TRIES && lock(&self.shared.budget).take() {
+        if may && in_time && self.tries < MOST_TRIES && lock(&self.shared.budget).try_take() {
             let key = self.terms.key.as_ref().map_or("", |key| key.scoped.as_str());
             slog::info!(self.shared.log, "another try"; "service" => &self.service, "key" => key,
                 "target" => &self.target, "reason" => &fault.message, "tokens" => self.tokens);
--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::lock;
 use crate::shared::Shared;
-use coordination::limit::Bucket;
+use coordination::limit::TokenBucket;
 use hyper::Method;
 use protocol::{Error, Kind};
 use std::sync::Arc;
@@ -123,10 +123,10 @@
         if buckets.len() > MOST_CALLERS {
             buckets.clear();
         }
-        let fresh = || Bucket::new(limit.rate, limit.burst, now);
+        let fresh = || TokenBucket::new(limit.rate, limit.burst, now);
         let bucket = buckets.entry(caller.to_owned()).or_insert_with(fresh);
         bucket.set(limit.rate, limit.burst);
-        bucket.take(now).map_err(|wait| {
+        bucket.try_take(now).map_err(|wait| {
             Error::new(Kind::CallerLimit, format!("caller `{caller}` is over its rate"))
                 .with_retry_after(wait)
         })
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -10,7 +10,7 @@
 use coordination::append_log::EntryOrder;
 use coordination::hash;
 use coordination::leaving::{Notice, Source, Targets};
-use coordination::limit::Bucket;
+use coordination::limit::TokenBucket;
 use coordination::membership::{Member, Note, Table};
 use coordination::retry::Budget;
 use protocol::config::ConfigEntry;
@@ -84,7 +84,7 @@
     /// Retries that may still be made.
     pub budget: Mutex<Budget>,
     /// Limits of callers.
-    pub buckets: Mutex<HashMap<String, Bucket>>,
+    pub buckets: Mutex<HashMap<String, TokenBucket>>,
     /// Wakes the peers duty: there is news, or online load to tell.
     pub news: Notify,
 }
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -7,7 +7,7 @@
 //! when the platform is lost and regained.
 
 use bytes::Bytes;
-use coordination::limit::Bucket;
+use coordination::limit::TokenBucket;
 use platform::instance;
 use platform::keyed::{Changes, Condition, Keyed, Value};
 use platform::store::{Fault, Revision, Store};
@@ -216,7 +216,7 @@
             failures: Cell::new(0),
         });
         let rate = self.config.rate;
-        let mut bucket = Bucket::new(rate, rate.max(1.0), Instant::now());
+        let mut bucket = TokenBucket::new(rate, rate.max(1.0), Instant::now());
         loop {
             let call = tokio::select! {
                 call = self.calls.recv() => call,
@@ -225,7 +225,7 @@
             let Some(call) = call else {
                 return;
             };
-            while let Err(wait) = bucket.take(Instant::now()) {
+            while let Err(wait) = bucket.try_take(Instant::now()) {
                 tokio::time::sleep(wait).await;
             }
             spawn_local(client.clone().perform(call));
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -6,7 +6,7 @@
 pub use faults::{Counts, Faults};
 
 use bytes::Bytes;
-use coordination::limit::Bucket;
+use coordination::limit::TokenBucket;
 use hyper::Method;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
@@ -45,7 +45,7 @@
     /// What reads show, if that isn't the present state.
     old: Option<BTreeMap<Key, Value>>,
     saved: BTreeMap<Key, Value>,
-    bucket: Option<Bucket>,
+    bucket: Option<TokenBucket>,
     /// Most bytes of one half of an object; 0 for [`PAGE_BYTES`].
     longest: usize,
     /// Most objects of one page; 0 for [`PAGE`].
@@ -191,7 +191,7 @@
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let mut state = self.lock();
         state.counts.writes += 1;
-        if state.bucket.as_mut().is_some_and(|bucket| bucket.take(Instant::now()).is_err()) {
+        if state.bucket.as_mut().is_some_and(|bucket| bucket.try_take(Instant::now()).is_err()) {
             state.counts.limited += 1;
             return http::json(429, &json!({}));
         }
--- a/crates/standin/src/objects/faults.rs
+++ b/crates/standin/src/objects/faults.rs
@@ -1,7 +1,7 @@
 //! How tests make the store misbehave, and what it counts.
 
 use super::Objects;
-use coordination::limit::Bucket;
+use coordination::limit::TokenBucket;
 use serde::Serialize;
 use serde_json::Value;
 use std::time::{Duration, Instant};
@@ -105,7 +105,7 @@
 
     /// Writes a second; more are refused.
     pub fn set_rate(&self, writes_per_second: f64) {
-        let bucket = Bucket::new(writes_per_second, writes_per_second, Instant::now());
+        let bucket = TokenBucket::new(writes_per_second, writes_per_second, Instant::now());
         self.lock().bucket = Some(bucket);
     }
 
