--- a/crates/coordination/src/load.rs
+++ b/crates/coordination/src/load.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// Age after which a report says nothing.
-pub const STALE: Duration = Duration::from_secs(5);
+pub const REPORT_MAX_AGE: Duration = Duration::from_secs(5);
 
 /// What a target last reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,14 +18,14 @@
 
 /// Load of one target as one instance knows it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Load {
+pub struct Estimate {
     report: Option<Report>,
     own: u32,
     own_at_report: u32,
     started_since: u32,
 }
 
-impl Load {
+impl Estimate {
     /// Takes in a report; one that is older than the last is dropped, since
     /// reports may come late and out of order.
     pub fn on_report(&mut self, report: Report) {
@@ -58,7 +58,7 @@
         let Some(report) = self.report else {
             return self.own;
         };
-        if now.saturating_duration_since(report.at) > STALE {
+        if now.saturating_duration_since(report.at) > REPORT_MAX_AGE {
             return self.own;
         }
         let others = report.online.saturating_sub(self.own_at_report);
@@ -67,7 +67,7 @@
 
     /// Batch requests as last reported, 0 when the report is stale.
     pub fn batch(&self, now: Instant) -> u32 {
-        let fresh = |r: &Report| now.saturating_duration_since(r.at) <= STALE;
+        let fresh = |r: &Report| now.saturating_duration_since(r.at) <= REPORT_MAX_AGE;
         self.report.filter(fresh).map_or(0, |r| r.batch)
     }
 }
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -6,7 +6,7 @@
 use coordination::ejection::{Availability, Health};
 use coordination::leaving::{Notice, Source, Targets};
 use coordination::limit::{ConcurrencyLimit, TokenBucket};
-use coordination::load::{Load, Report};
+use coordination::load::{Estimate, Report};
 use coordination::queue::{self, Queue};
 use coordination::retry::{self, Budget, Failure};
 use coordination::rollout::{Actual, Desired, Step, step};
@@ -105,7 +105,7 @@
 #[test]
 fn a_late_report_is_corrected_by_what_was_sent_since() {
     let now = Instant::now();
-    let mut load = Load::default();
+    let mut load = Estimate::default();
     load.on_start();
     load.on_report(Report { online: 5, batch: 2, at: now });
     load.on_start();
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -4,7 +4,7 @@
 use coordination::ejection::{Availability, Health};
 use coordination::hash;
 use coordination::limit::ConcurrencyLimit;
-use coordination::load::{Load, Report as LoadReport};
+use coordination::load::{Estimate, Report as LoadReport};
 use coordination::route::{self, Candidate, Policy};
 use protocol::config::{Document, Protocol, Service, Target};
 use protocol::{DataCentreId, ServiceId, TargetId};
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct State {
     /// Online load.
-    pub load: Load,
+    pub load: Estimate,
     /// How much it is given at once.
     pub concurrency: ConcurrencyLimit,
     /// Whether it fails.
@@ -81,7 +81,7 @@
 impl Node {
     fn new(target: Target, told: Arc<Untold>) -> Node {
         let state = State {
-            load: Load::default(),
+            load: Estimate::default(),
             concurrency: ConcurrencyLimit::new(target.slots),
             health: Health::default(),
             pressure: PeerLoad::default(),
