--- a/crates/coordination/src/queue.rs
+++ b/crates/coordination/src/queue.rs
@@ -6,7 +6,7 @@
 ///
 /// A request that waits longer misses its first-token goal anyway; a refusal
 /// at once lets the caller go elsewhere.
-pub const LONGEST_WAIT: Duration = Duration::from_millis(400);
+pub const MAX_WAIT: Duration = Duration::from_millis(400);
 
 /// State of one service's queue on one instance.
 #[derive(Clone, Copy, Debug)]
@@ -23,7 +23,7 @@
 
 /// What to do with a request that finds no free target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// Wait for at most this long.
     Wait(Duration),
     /// Refuse now; come back after this long.
@@ -31,16 +31,16 @@
 }
 
 /// Decides for a request whose caller waits `left` more.
-pub fn verdict(queue: Queue, left: Duration) -> Verdict {
+pub fn decide(queue: Queue, left: Duration) -> Decision {
     let ahead = f64::from(queue.waiting + 1);
     let lanes = f64::from(queue.running.max(1));
     let expected = queue.mean.mul_f64(ahead / lanes);
     let full = queue.waiting >= queue.most;
-    let hopeless = expected > left.min(LONGEST_WAIT * 2);
+    let hopeless = expected > left.min(MAX_WAIT * 2);
     if full || hopeless || left.is_zero() {
-        return Verdict::Refuse(
+        return Decision::Refuse(
             expected.clamp(Duration::from_millis(500), Duration::from_secs(30)),
         );
     }
-    Verdict::Wait(left.min(LONGEST_WAIT))
+    Decision::Wait(left.min(MAX_WAIT))
 }
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -190,8 +190,8 @@
     #[case] waits: bool,
 ) {
     let queue = Queue { waiting, most: 64, running, mean: Duration::from_millis(mean) };
-    let verdict = queue::verdict(queue, Duration::from_millis(left));
-    assert_eq!(matches!(verdict, queue::Verdict::Wait(_)), waits, "{verdict:?}");
+    let verdict = queue::decide(queue, Duration::from_millis(left));
+    assert_eq!(matches!(verdict, queue::Decision::Wait(_)), waits, "{verdict:?}");
 }
 
 #[test]
--- a/crates/daemon/src/front/answer.rs
+++ b/crates/daemon/src/front/answer.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{self, Bound, Hold, Wanted, lock};
 use crate::shared::Shared;
 use coordination::leaving::{Notice, Source};
-use coordination::queue::{self, Queue, Verdict};
+use coordination::queue::{self, Decision, Queue};
 use coordination::retry::{self, Failure};
 use protocol::chat::{Request, Resume};
 use protocol::{Error, Kind, TargetId};
@@ -188,9 +188,9 @@
             running: counts.running.load(Ordering::Relaxed),
             mean: Duration::from_micros(counts.mean.load(Ordering::Relaxed)),
         };
-        let limit = match queue::verdict(queue, self.terms.left(now)) {
-            Verdict::Refuse(after) => return Err(self.full(bound, after)),
-            Verdict::Wait(limit) => limit,
+        let limit = match queue::decide(queue, self.terms.left(now)) {
+            Decision::Refuse(after) => return Err(self.full(bound, after)),
+            Decision::Wait(limit) => limit,
         };
         counts.waiting.fetch_add(1, Ordering::Relaxed);
         let freed = tokio::time::timeout(limit, counts.freed.notified()).await;
