--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -23,12 +23,12 @@
 
 impl Budget {
     /// Counts a first try.
-    pub fn on_first(&mut self) {
+    pub fn on_request(&mut self) {
         self.level = (self.level + SHARE).min(CAP);
     }
 
     /// Takes one retry; `false` when none is left.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         if self.level < 1.0 {
             return false;
         }
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -169,7 +169,7 @@
 fn retries_are_a_share_of_first_tries() {
     let mut budget = Budget::default();
     while budget.try_take() {}
-    (0..100).for_each(|_| budget.on_first());
+    (0..100).for_each(|_| budget.on_request());
     let mut taken = 0;
     while budget.try_take() {
         taken += 1;
--- a/crates/daemon/src/front/answer.rs
+++ b/crates/daemon/src/front/answer.rs
@@ -135,7 +135,7 @@
             (self.tokens > 0).then(|| Resume { text: self.text.clone(), tokens: self.tokens });
         self.tries += 1;
         if self.tries == 1 {
-            lock(&self.shared.budget).on_first();
+            lock(&self.shared.budget).on_request();
         }
         self.target.clone_from(&hold.node.target.name);
         let address = hold.node.target.address;
