--- a/crates/coordination/src/rollout.rs
+++ b/crates/coordination/src/rollout.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// The target is as wanted.
-    Settled,
+    UpToDate,
     /// Wait: the target is busy with an order or still runs requests.
     Wait,
     /// Stop sending work there, so that the order cuts off nothing.
@@ -47,7 +47,7 @@
         return Step::Wait;
     }
     if actual.version == desired.version && actual.adapters == desired.adapters {
-        return Step::Settled;
+        return Step::UpToDate;
     }
     if actual.version.is_empty() {
         return Step::Order(desired.clone());
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -248,7 +248,7 @@
 }
 
 #[rstest]
-#[case(actual("v2", false, 0), true, 1, Step::Settled)]
+#[case(actual("v2", false, 0), true, 1, Step::UpToDate)]
 #[case(actual("v1", true, 0), true, 1, Step::Wait)]
 #[case(actual("v1", false, 0), false, 0, Step::KeepServing)]
 #[case(actual("v1", false, 4), false, 1, Step::Drain)]
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -96,7 +96,7 @@
         };
         let others = serving(view, node);
         match rollout::step(&actual, &desired, self.draining, others) {
-            Step::Settled => self.finish(shared, node).await,
+            Step::UpToDate => self.finish(shared, node).await,
             Step::Wait => {}
             Step::KeepServing => slog::debug!(shared.log, "order waits for another target";
                 "target" => &node.target.name),
