--- a/crates/coordination/src/route.rs
+++ b/crates/coordination/src/route.rs
@@ -27,14 +27,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
     /// How far over the mean load the prefix's own target may be.
-    pub bound: f64,
+    pub max_load_factor: f64,
     /// Whether affinity is used at all.
     pub affinity: bool,
 }
 
 impl Default for Policy {
     fn default() -> Policy {
-        Policy { bound: 1.25, affinity: true }
+        Policy { max_load_factor: 1.25, affinity: true }
     }
 }
 
@@ -56,8 +56,8 @@
         return None;
     }
     if policy.affinity {
-        let favourite = favourite(prefix, &pool, candidates);
-        if is_within(candidates[favourite], &pool, candidates, policy.bound) {
+        let favourite = preferred(prefix, &pool, candidates);
+        if is_within(candidates[favourite], &pool, candidates, policy.max_load_factor) {
             return Some(favourite);
         }
     }
@@ -82,7 +82,7 @@
     if local.is_empty() { all } else { local }
 }
 
-fn favourite(prefix: u64, pool: &[usize], candidates: &[Candidate]) -> usize {
+fn preferred(prefix: u64, pool: &[usize], candidates: &[Candidate]) -> usize {
     let weight = |i: &usize| hash::weight(&prefix.to_le_bytes(), candidates[*i].id);
     pool.iter().copied().max_by_key(weight).unwrap_or(pool[0])
 }
