--- a/crates/coordination/src/range_scan.rs
+++ b/crates/coordination/src/range_scan.rs
@@ -34,7 +34,7 @@
 
 /// The names that `me` looks through, shared with others of `members`: one in
 /// `per_sharer` members takes part. `None` when nothing falls to it.
-pub fn share(
+pub fn assigned_range(
     me: InstanceId,
     members: impl IntoIterator<Item = InstanceId>,
     per_sharer: usize,
--- a/crates/coordination/src/watch.rs
+++ b/crates/coordination/src/watch.rs
@@ -14,7 +14,7 @@
     /// Its id.
     pub id: InstanceId,
     /// Whether it has lately failed to reach the platform.
-    pub has_lost_contact: bool,
+    pub is_disconnected: bool,
 }
 
 /// Whether `me` is among the `seats` instances that watch `topic`.
@@ -26,7 +26,7 @@
 ) -> bool {
     let mut ranked: Vec<(bool, u64, InstanceId)> = candidates
         .into_iter()
-        .map(|c| (c.has_lost_contact, hash::weight(topic.as_bytes(), c.id), c.id))
+        .map(|c| (c.is_disconnected, hash::weight(topic.as_bytes(), c.id), c.id))
         .collect();
     ranked.sort_unstable();
     ranked.iter().take(seats).any(|(.., id)| *id == me)
--- a/crates/coordination/tests/range_scan.rs
+++ b/crates/coordination/tests/range_scan.rs
@@ -1,6 +1,6 @@
 //! A shared look through a list misses nothing and reads nothing twice.
 
-use coordination::range_scan::share;
+use coordination::range_scan::assigned_range;
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -13,7 +13,7 @@
     ) {
         for name in &names {
             let reads = |me: &&u64| {
-                share(**me, members.iter().copied(), per_sharer).is_some_and(|range| {
+                assigned_range(**me, members.iter().copied(), per_sharer).is_some_and(|range| {
                     range.after.is_none_or(|after| name.as_str() > after)
                         && range.is_before_end(name)
                 })
@@ -30,6 +30,6 @@
 fn sharers_grow_with_the_fleet(#[case] members: u64, #[case] sharers: usize) {
     let per_sharer = if members == 9 { 9 } else { 8 };
     let all = 1..=members;
-    let reads = all.clone().filter(|me| share(*me, all.clone(), per_sharer).is_some());
+    let reads = all.clone().filter(|me| assigned_range(*me, all.clone(), per_sharer).is_some());
     assert_eq!(reads.count(), sharers);
 }
--- a/crates/coordination/tests/watch.rs
+++ b/crates/coordination/tests/watch.rs
@@ -19,19 +19,19 @@
     #[case] expected: usize,
 ) {
     let candidates: Vec<Candidate> =
-        (0..members).map(|id| Candidate { id, has_lost_contact: false }).collect();
+        (0..members).map(|id| Candidate { id, is_disconnected: false }).collect();
     assert_eq!(watchers(&candidates, seats).len(), expected);
 }
 
 #[test]
 fn whoever_cannot_see_the_platform_is_replaced_and_comes_back() {
     let mut candidates: Vec<Candidate> =
-        (0..5).map(|id| Candidate { id, has_lost_contact: false }).collect();
+        (0..5).map(|id| Candidate { id, is_disconnected: false }).collect();
     let before = watchers(&candidates, 1)[0];
-    candidates[before as usize].has_lost_contact = true;
+    candidates[before as usize].is_disconnected = true;
     assert_ne!(watchers(&candidates, 1)[0], before);
-    candidates[before as usize].has_lost_contact = false;
+    candidates[before as usize].is_disconnected = false;
     assert_eq!(watchers(&candidates, 1), [before]);
-    candidates.iter_mut().for_each(|candidate| candidate.has_lost_contact = true);
+    candidates.iter_mut().for_each(|candidate| candidate.is_disconnected = true);
     assert_eq!(watchers(&candidates, 1).len(), 1, "somebody must go on trying");
 }
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -14,7 +14,7 @@
 use super::takeover::{self, MEMBERSHIP_WARM_UP};
 use crate::clock;
 use coordination::membership::State;
-use coordination::range_scan::{Range, share};
+use coordination::range_scan::{Range, assigned_range};
 use platform::job;
 use platform::store::Object;
 use state::progress::Handoff;
@@ -102,7 +102,11 @@
 
 fn own_range(node: &Node) -> Option<Range> {
     let members = node.members.borrow();
-    share(members.me().id, members.workers().map(|member| member.id), INSTANCES_PER_SCANNER)
+    assigned_range(
+        members.me().id,
+        members.workers().map(|member| member.id),
+        INSTANCES_PER_SCANNER,
+    )
 }
 
 /// Looks through a range of the jobs; `false` when it has to be repeated.
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -112,7 +112,7 @@
     });
     let candidate = |member: &Member| {
         let has_lost_contact = is_disconnected(node, member.id, now);
-        Candidate { id: member.id, has_lost_contact }
+        Candidate { id: member.id, is_disconnected: has_lost_contact }
     };
     watch::is_watcher(RANK_KEY, members.me().id, here.map(candidate), WATCHER_COUNT)
 }
