--- a/crates/coordination/src/hash.rs
+++ b/crates/coordination/src/hash.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::{Xxh3Default, xxh3_64, xxh3_64_with_seed};
 
 /// Hash of `bytes`, the same on every instance and in every version.
-pub fn of(bytes: &[u8]) -> u64 {
+pub fn bytes(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
 }
 
@@ -21,7 +21,7 @@
 
 /// Shard of a key among `shards`.
 pub fn shard(key: &str, shards: u32) -> u32 {
-    (of(key.as_bytes()) % u64::from(shards.max(1))) as u32
+    (bytes(key.as_bytes()) % u64::from(shards.max(1))) as u32
 }
 
 /// Weight of `node` for `key`; the node with the highest weight is chosen.
--- a/crates/coordination/src/registry.rs
+++ b/crates/coordination/src/registry.rs
@@ -63,7 +63,7 @@
 }
 
 fn part(id: &str) -> usize {
-    (hash::of(id.as_bytes()) % PARTS as u64) as usize
+    (hash::bytes(id.as_bytes()) % PARTS as u64) as usize
 }
 
 /// Hash of an entry: what an entry says is a function of its revision.
--- a/crates/coordination/src/route.rs
+++ b/crates/coordination/src/route.rs
@@ -104,7 +104,7 @@
     bytes.extend_from_slice(service.as_bytes());
     bytes.push(0);
     bytes.extend_from_slice(&text.as_bytes()[..end]);
-    hash::of(&bytes)
+    hash::bytes(&bytes)
 }
 
 /// The targets that one instance polls, when the fleet has more than `most`.
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -44,10 +44,10 @@
 
 #[test]
 fn subsets_spread_over_the_targets() {
-    let targets: Vec<u64> = (0..3000).map(|n| coordination::hash::of(&n_bytes(n))).collect();
+    let targets: Vec<u64> = (0..3000).map(|n| coordination::hash::bytes(&n_bytes(n))).collect();
     let mut polled: HashMap<u64, u32> = HashMap::new();
     for instance in 0..400u64 {
-        let chosen = subset(coordination::hash::of(&n_bytes(instance)), &targets, 64);
+        let chosen = subset(coordination::hash::bytes(&n_bytes(instance)), &targets, 64);
         assert_eq!(chosen.len(), 64);
         chosen.into_iter().for_each(|target| *polled.entry(target).or_default() += 1);
     }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -87,7 +87,7 @@
             pressure: PeerLoad::default(),
             report: None,
         };
-        let id = hash::of(target.name.as_bytes());
+        let id = hash::bytes(target.name.as_bytes());
         Node {
             target,
             id,
--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -60,7 +60,7 @@
 
 fn service_of(node: &Node, state: &JobState) -> Option<ServiceId> {
     let job = state.job();
-    let draw = hash::of(job.id.as_bytes());
+    let draw = hash::bytes(job.id.as_bytes());
     route_of(node, job)?.service(draw).cloned()
 }
 
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -316,7 +316,7 @@
     run: &[T],
 ) -> Result<OverflowObject, Fault> {
     let text = serde_json::to_vec(run).map_err(|error| Fault::Away(error.to_string()))?;
-    let name = format!("{id}.{:016x}", hash::of(&text));
+    let name = format!("{id}.{:016x}", hash::bytes(&text));
     match node.store.create(reason, job::PIECE_KIND, &name, &run).await {
         Ok(_) | Err(Fault::Conflict(_)) => Ok(OverflowObject { name, count: run.len() }),
         Err(fault) => Err(fault),
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -104,7 +104,7 @@
     call: Rc<CallerRequest>,
 ) -> Result<Response<Body>, listen::Broken> {
     let in_flight = InFlightGuard::new(node);
-    let draw = hash::of(call.id.as_bytes());
+    let draw = hash::bytes(call.id.as_bytes());
     let Some(service) = route.service(draw).cloned() else {
         let error = Error::new(Kind::NoTarget, "the route has no service");
         return Ok(error_response(node, &call.id, &error));
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -52,7 +52,7 @@
 
     /// The outcome's place.
     pub fn finished(&self, key: &str) -> Option<Finished> {
-        self.finished.get(&hash::of(key.as_bytes())).copied()
+        self.finished.get(&hash::bytes(key.as_bytes())).copied()
     }
 
     /// Whether an attempt was given back.
@@ -78,7 +78,7 @@
     /// Folds an outcome; the first one counts. Returns whether it was the first.
     pub fn on_finished(&mut self, key: &str, finished: Finished) -> bool {
         self.claims.remove(key);
-        let hash = hash::of(key.as_bytes());
+        let hash = hash::bytes(key.as_bytes());
         let is_first = !self.finished.contains_key(&hash);
         self.finished.entry(hash).or_insert(finished);
         is_first
