--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -44,7 +44,7 @@
 
 /// One instance's view of all members.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct MemberTable {
     me: Member,
     policy: Policy,
     rows: BTreeMap<InstanceId, Row>,
@@ -58,10 +58,10 @@
     losses: u64,
 }
 
-impl Table {
+impl MemberTable {
     /// A table that knows only its owner.
-    pub fn new(me: Member, policy: Policy) -> Table {
-        Table {
+    pub fn new(me: Member, policy: Policy) -> MemberTable {
+        MemberTable {
             me,
             policy,
             rows: BTreeMap::new(),
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,14 +1,14 @@
 //! Membership in a fleet of tables that talk only through each other: it
 //! converges, stays bounded, and survives cuts of hours. Time is an argument.
 
-use coordination::membership::{Member, Note, Policy, State, Table};
+use coordination::membership::{Member, MemberTable, Note, Policy, State};
 use rstest::rstest;
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 struct Fleet {
-    tables: BTreeMap<u64, Table>,
+    tables: BTreeMap<u64, MemberTable>,
     /// Sides of a cut; members of different sides can't reach each other.
     side: BTreeMap<u64, u8>,
     gone: HashSet<u64>,
@@ -36,8 +36,8 @@
         let now = Instant::now();
         // Ids as random as in the daemons, but the same on every run.
         let ids = (1..=size).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 16);
-        let tables: BTreeMap<u64, Table> =
-            ids.map(|id| (id, Table::new(member(id), Policy::default()))).collect();
+        let tables: BTreeMap<u64, MemberTable> =
+            ids.map(|id| (id, MemberTable::new(member(id), Policy::default()))).collect();
         let side = tables.keys().map(|id| (*id, 0)).collect();
         let mut fleet = Fleet { tables, side, gone: HashSet::new(), now, pings: 0, notes: 0 };
         let seed = *fleet.tables.keys().next().expect("a member");
@@ -243,7 +243,7 @@
 #[test]
 fn a_member_that_was_replaced_is_owed_no_news() {
     let now = Instant::now();
-    let mut table = Table::new(member(1), Policy::default());
+    let mut table = MemberTable::new(member(1), Policy::default());
     table.merge(member(2), now);
     assert!(table.is_behind(2), "it has not been told of itself");
     table.on_gone(2, now);
@@ -287,7 +287,7 @@
 #[test]
 fn a_death_that_was_a_suspicion_before_is_taken_at_once() {
     let now = Instant::now();
-    let mut table = Table::new(member(1), Policy::default());
+    let mut table = MemberTable::new(member(1), Policy::default());
     table.merge(member(2), now);
     let said = |state| Member { state, ..member(2) };
     table.merge(said(State::Dead), now);
--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench -p gatespoold --bench slopes`
 
-use coordination::membership::{Member, Note, Policy as MemberPolicy, State, Table};
+use coordination::membership::{Member, MemberTable, Note, Policy as MemberPolicy, State};
 use coordination::quarantine;
 use coordination::route::{self, Candidate, Policy as RoutePolicy};
 use daemon::fleet::{Fleet, Place};
@@ -226,7 +226,7 @@
     for count in [50u64, 100, 200, 400] {
         let before = resident();
         let now = Instant::now();
-        let mut table = Table::new(member(u64::MAX / 2), MemberPolicy::default());
+        let mut table = MemberTable::new(member(u64::MAX / 2), MemberPolicy::default());
         let ids = (1..=count).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         for id in ids {
             table.merge(member(id), now);
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -8,7 +8,7 @@
 use super::metrics::Metrics;
 use super::store::PlatformStore;
 use crate::clock;
-use coordination::membership::{Member, Policy, Table};
+use coordination::membership::{Member, MemberTable, Policy};
 use coordination::quarantine;
 use coordination::registry::Registry;
 use coordination::slots;
@@ -64,7 +64,7 @@
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Members.
-    pub members: RefCell<Table>,
+    pub members: RefCell<MemberTable>,
     /// News for members is waiting.
     pub membership_changed: Notify,
     /// Instances to ask first for members, by the settings as last read.
@@ -140,7 +140,7 @@
             is_probing: Cell::new(false),
             targets: upstream::Pool::new(connections),
             leases: Leases::new(me.id, slot_policy(&settings.policy), now),
-            members: RefCell::new(Table::new(me, policy)),
+            members: RefCell::new(MemberTable::new(me, policy)),
             membership_changed: Notify::new(),
             seeds: RefCell::new(settings.seeds.clone()),
             pending_heartbeats: RefCell::default(),
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -6,7 +6,7 @@
     allocator, broadcast, job_table, jobs, platform_health, quarantine, submit, takeover, watch,
 };
 use crate::clock;
-use coordination::membership::{Member, Note, State, Table};
+use coordination::membership::{Member, MemberTable, Note, State};
 use protocol::InstanceId;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -173,7 +173,7 @@
     on_members(node, before);
 }
 
-fn merge(members: &mut Table, notes: &[Note], now: Instant) {
+fn merge(members: &mut MemberTable, notes: &[Note], now: Instant) {
     for note in notes {
         if let Note::Member(member) = note {
             members.merge(member.clone(), now);
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -13,7 +13,7 @@
 use super::node::Node;
 use crate::clock;
 use coordination::hash;
-use coordination::membership::{Member, State, Table};
+use coordination::membership::{Member, MemberTable, State};
 use platform::job;
 use platform::store::{Fault, Object};
 use state::progress::{Handoff, Holder, JobId};
@@ -86,7 +86,7 @@
 }
 
 /// Whether a holder's address answers under another id: it was started anew.
-fn is_replaced(members: &Table, holder: Holder) -> bool {
+fn is_replaced(members: &MemberTable, holder: Holder) -> bool {
     let is_other = |member: &Member| member.peer == holder.address && member.id != holder.instance;
     members.workers().any(is_other)
 }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -11,7 +11,7 @@
 use coordination::hash;
 use coordination::leaving::{Notice, Source, Targets};
 use coordination::limit::TokenBucket;
-use coordination::membership::{Member, Note, Table};
+use coordination::membership::{Member, MemberTable, Note};
 use coordination::retry::Budget;
 use protocol::config::ConfigEntry;
 use protocol::settings::Settings;
@@ -50,7 +50,7 @@
     /// Logger.
     pub log: Logger,
     /// Members.
-    pub table: Mutex<Table>,
+    pub table: Mutex<MemberTable>,
     /// Configuration.
     pub chain: Mutex<Chain>,
     /// Leaving targets.
@@ -274,7 +274,7 @@
         };
         Shared {
             id: self.me.id,
-            table: Mutex::new(Table::new(self.me, policy)),
+            table: Mutex::new(MemberTable::new(self.me, policy)),
             settings: self.settings,
             log: self.log,
             store: self.store,
