--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -8,7 +8,7 @@
 
 mod types;
 
-pub use types::{Member, Note, Policy, State};
+pub use types::{Member, Policy, State, Update};
 
 use crate::InstanceId;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -48,8 +48,8 @@
     me: Member,
     policy: Policy,
     rows: BTreeMap<InstanceId, Row>,
-    notes: VecDeque<(u64, Note)>,
-    head: u64,
+    notes: VecDeque<(u64, Update)>,
+    last_seq: u64,
     sent: HashMap<InstanceId, u64>,
     turn: u64,
     version: u64,
@@ -66,7 +66,7 @@
             policy,
             rows: BTreeMap::new(),
             notes: VecDeque::new(),
-            head: 0,
+            last_seq: 0,
             sent: HashMap::new(),
             turn: 0,
             version: 0,
@@ -103,8 +103,8 @@
             return false;
         }
         self.generation = generation;
-        self.notes.retain(|(_, note)| !matches!(note, Note::Generation(_)));
-        self.push(Note::Generation(generation));
+        self.notes.retain(|(_, note)| !matches!(note, Update::Generation(_)));
+        self.push(Update::Generation(generation));
         true
     }
 
@@ -113,7 +113,7 @@
         self.me.state = State::Leaving;
         self.version += 1;
         self.me.incarnation += 1;
-        self.push(Note::Member(self.me.clone()));
+        self.push(Update::Member(self.me.clone()));
     }
 
     /// Members other than the owner, dead ones left out.
@@ -184,15 +184,15 @@
 
     /// Whether `id` is a member that has not been sent the latest news. One that
     /// is gone is owed none: it would never confirm any.
-    pub fn is_behind(&self, id: InstanceId) -> bool {
+    pub fn is_out_of_date(&self, id: InstanceId) -> bool {
         let is_member = self.rows.get(&id).is_some_and(|row| row.member.state != State::Dead);
-        is_member && self.sent.get(&id).copied().unwrap_or(0) < self.head
+        is_member && self.sent.get(&id).copied().unwrap_or(0) < self.last_seq
     }
 
     /// Fingers that have not been sent the latest news.
-    pub fn behind(&self) -> Vec<Member> {
+    pub fn out_of_date(&self) -> Vec<Member> {
         let fingers = self.fingers();
-        let behind = fingers.iter().filter(|id| self.is_behind(**id));
+        let behind = fingers.iter().filter(|id| self.is_out_of_date(**id));
         let rows = behind.filter_map(|id| self.rows.get(id));
         rows.map(|row| row.member.clone()).collect()
     }
@@ -200,24 +200,24 @@
     /// News for `to`, and the mark to confirm with [`Table::on_sent`]. That it is itself
     /// in doubt comes first: only `to` can refute it, and after a cut there is more news
     /// than one page holds.
-    pub fn news(&self, to: InstanceId) -> (u64, Vec<Note>) {
+    pub fn updates_for(&self, to: InstanceId) -> (u64, Vec<Update>) {
         let from = self.sent.get(&to).copied().unwrap_or(0);
         let fresh = self.notes.iter().filter(|(at, _)| *at > from).take(PAGE);
-        let page: Vec<(u64, Note)> = fresh.cloned().collect();
-        let mark = page.last().map_or(self.head, |(at, _)| *at);
+        let page: Vec<(u64, Update)> = fresh.cloned().collect();
+        let mark = page.last().map_or(self.last_seq, |(at, _)| *at);
         let own = self.doubt_of(to);
         (mark, own.into_iter().chain(page.into_iter().map(|(_, note)| note)).collect())
     }
 
     /// What a member should be told of itself, so that it can refute it.
-    pub fn doubt_of(&self, id: InstanceId) -> Option<Note> {
+    pub fn doubt_of(&self, id: InstanceId) -> Option<Update> {
         let is_doubted = |row: &&Row| matches!(row.member.state, State::Suspect | State::Dead);
         let row = self.rows.get(&id).filter(is_doubted);
-        row.map(|row| Note::Member(row.member.clone()))
+        row.map(|row| Update::Member(row.member.clone()))
     }
 
     /// `to` has the news up to `mark`.
-    pub fn on_sent(&mut self, to: InstanceId, mark: u64) {
+    pub fn on_delivered(&mut self, to: InstanceId, mark: u64) {
         let sent = self.sent.entry(to).or_insert(0);
         *sent = mark.max(*sent);
     }
@@ -242,7 +242,7 @@
             row.member.state = State::Suspect;
             row.changed = now;
             row.by_word = false;
-            let note = Note::Member(row.member.clone());
+            let note = Update::Member(row.member.clone());
             self.push(note);
         }
     }
@@ -268,7 +268,7 @@
                 return false;
             }
             self.replace(&member, now);
-            let note = Note::Member(member.clone());
+            let note = Update::Member(member.clone());
             self.rows.insert(member.id, Row { member, misses: 0, changed: now, by_word: false });
             self.version += 1;
             self.push(note);
@@ -296,7 +296,7 @@
         row.member.generation = generation;
         self.losses += u64::from(is_loss);
         self.version += 1;
-        let note = Note::Member(row.member.clone());
+        let note = Update::Member(row.member.clone());
         self.push(note);
         true
     }
@@ -312,7 +312,7 @@
         self.losses += u64::from(row.member.state != State::Leaving);
         row.member.state = State::Dead;
         row.changed = now;
-        let note = Note::Member(row.member.clone());
+        let note = Update::Member(row.member.clone());
         self.version += 1;
         self.push(note);
     }
@@ -328,7 +328,7 @@
     }
 
     /// Passes on a note of another kind; the caller has seen that it is news.
-    pub fn pass_on(&mut self, note: Note) {
+    pub fn broadcast(&mut self, note: Update) {
         self.push(note);
     }
 
@@ -336,7 +336,7 @@
         let wrong = matches!(said.state, State::Suspect | State::Dead);
         if wrong && said.incarnation >= self.me.incarnation {
             self.me.incarnation = said.incarnation + 1;
-            self.push(Note::Member(self.me.clone()));
+            self.push(Update::Member(self.me.clone()));
         }
     }
 
@@ -362,18 +362,18 @@
         });
         self.losses += losses;
         self.version += dead.len() as u64;
-        dead.into_iter().for_each(|member| self.push(Note::Member(member)));
+        dead.into_iter().for_each(|member| self.push(Update::Member(member)));
         let rows = &self.rows;
         self.sent.retain(|id, _| rows.contains_key(id));
     }
 
-    fn push(&mut self, note: Note) {
-        if let Note::Member(member) = &note {
+    fn push(&mut self, note: Update) {
+        if let Update::Member(member) = &note {
             let id = member.id;
-            self.notes.retain(|(_, old)| !matches!(old, Note::Member(m) if m.id == id));
+            self.notes.retain(|(_, old)| !matches!(old, Update::Member(m) if m.id == id));
         }
-        self.head += 1;
-        self.notes.push_back((self.head, note));
+        self.last_seq += 1;
+        self.notes.push_back((self.last_seq, note));
         if self.notes.len() > LOG {
             self.notes.pop_front();
         }
--- a/crates/coordination/src/membership/types.rs
+++ b/crates/coordination/src/membership/types.rs
@@ -41,7 +41,7 @@
 
 /// News that members pass on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum Update {
     /// A member's state.
     Member(Member),
     /// A target leaves or came back.
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Membership in a fleet of tables that talk only through each other: it
 //! converges, stays bounded, and survives cuts of hours. Time is an argument.
 
-use coordination::membership::{Member, MemberTable, Note, Policy, State};
+use coordination::membership::{Member, MemberTable, Policy, State, Update};
 use rstest::rstest;
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -63,14 +63,14 @@
         }
         let (me, mark, mut news, known) = {
             let table = &self.tables[&from];
-            let (mark, news) = table.news(to);
+            let (mark, news) = table.updates_for(to);
             let known = table.others().find(|m| m.id == to).cloned();
             (table.me().clone(), mark, news, known)
         };
         match known {
-            Some(m) if m.state == State::Suspect => news.push(Note::Member(m)),
+            Some(m) if m.state == State::Suspect => news.push(Update::Member(m)),
             None if self.tables[&from].is_dead(to) => {
-                news.push(Note::Member(Member {
+                news.push(Update::Member(Member {
                     state: State::Dead,
                     ..self.tables[&to].me().clone()
                 }));
@@ -82,14 +82,14 @@
         other.on_heard(me, now);
         for note in news {
             match note {
-                Note::Member(member) => drop(other.merge(member, now)),
-                Note::Generation(generation) => drop(other.on_generation(generation)),
+                Update::Member(member) => drop(other.merge(member, now)),
+                Update::Generation(generation) => drop(other.on_generation(generation)),
                 _ => {}
             }
         }
         let answer = other.me().clone();
         let table = self.tables.get_mut(&from).expect("a table");
-        table.on_sent(to, mark);
+        table.on_delivered(to, mark);
         table.on_heard(answer, now);
     }
 
@@ -103,7 +103,7 @@
             due.iter().for_each(|to| self.ping(*id, to.id));
         }
         for id in ids {
-            let behind: Vec<u64> = self.tables[&id].behind().iter().map(|m| m.id).collect();
+            let behind: Vec<u64> = self.tables[&id].out_of_date().iter().map(|m| m.id).collect();
             behind.into_iter().for_each(|to| self.ping(id, to));
         }
     }
@@ -114,7 +114,7 @@
             let behind: Vec<(u64, u64)> = self
                 .tables
                 .iter()
-                .flat_map(|(id, table)| table.behind().into_iter().map(|to| (*id, to.id)))
+                .flat_map(|(id, table)| table.out_of_date().into_iter().map(|to| (*id, to.id)))
                 .collect();
             if behind.is_empty() {
                 return;
@@ -245,10 +245,10 @@
     let now = Instant::now();
     let mut table = MemberTable::new(member(1), Policy::default());
     table.merge(member(2), now);
-    assert!(table.is_behind(2), "it has not been told of itself");
+    assert!(table.is_out_of_date(2), "it has not been told of itself");
     table.on_gone(2, now);
-    assert!(!table.is_behind(2));
-    assert!(!table.is_behind(99), "nor is one that was never met");
+    assert!(!table.is_out_of_date(2));
+    assert!(!table.is_out_of_date(99), "nor is one that was never met");
 }
 
 /// Regression: when a cut healed, each side spread its view that the other was dead, and
--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench -p gatespoold --bench slopes`
 
-use coordination::membership::{Member, MemberTable, Note, Policy as MemberPolicy, State};
+use coordination::membership::{Member, MemberTable, Policy as MemberPolicy, State, Update};
 use coordination::quarantine;
 use coordination::route::{self, Candidate, Policy as RoutePolicy};
 use daemon::fleet::{Fleet, Place};
@@ -237,11 +237,11 @@
         let tick = began.elapsed().as_secs_f64() * 1e3;
         let began = Instant::now();
         for n in 0..1000u64 {
-            table.pass_on(Note::Cancel(format!("job-{n}")));
-            for to in table.behind() {
-                let (mark, news) = table.news(to.id);
+            table.broadcast(Update::Cancel(format!("job-{n}")));
+            for to in table.out_of_date() {
+                let (mark, news) = table.updates_for(to.id);
                 black_box(news);
-                table.on_sent(to.id, mark);
+                table.on_delivered(to.id, mark);
             }
         }
         let note = began.elapsed().as_secs_f64() * 1e3;
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -5,7 +5,7 @@
 use crate::late::is_passing;
 use crate::shared::Shared;
 use bytes::Bytes;
-use coordination::membership::Note;
+use coordination::membership::Update;
 use platform::keyed::Condition;
 use protocol::config::Protocol;
 use protocol::job::{Item, JobHeader, Outcome, Phase, ResultLine, ResultPage, Status};
@@ -233,13 +233,13 @@
     match shared.shards.submit(shared, command.clone()).await {
         Ok(Reply::Status(status)) => {
             if status.phase == Phase::Cancelled {
-                shared.tell(Note::Cancel(job.into()));
+                shared.tell(Update::Cancel(job.into()));
             }
             Ok(http::json(200, &status))
         }
         Ok(_) => Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit")),
         Err(error) if is_passing(error.kind) => {
-            shared.tell(Note::Cancel(job.into()));
+            shared.tell(Update::Cancel(job.into()));
             shared.late.push(command);
             let text = "the job is stopped, but its cancel isn't recorded yet";
             Err(Error { kind: Kind::NotRecorded, message: text.into(), ..error })
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -6,7 +6,7 @@
     allocator, broadcast, job_table, jobs, platform_health, quarantine, submit, takeover, watch,
 };
 use crate::clock;
-use coordination::membership::{Member, MemberTable, Note, State};
+use coordination::membership::{Member, MemberTable, State, Update};
 use protocol::InstanceId;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -47,7 +47,7 @@
 }
 
 impl Handler for PeerHandler {
-    async fn ping(&self, from: Member, notes: Vec<Note>) -> (Member, Vec<Note>) {
+    async fn ping(&self, from: Member, notes: Vec<Update>) -> (Member, Vec<Update>) {
         let id = from.id;
         on_heartbeat(&self.node, from, &notes);
         let members = self.node.members.borrow();
@@ -162,7 +162,7 @@
     PeerReply::Sync { digest: mine, config, connectivity: node.connectivity() }
 }
 
-fn on_heartbeat(node: &Rc<Node>, from: Member, notes: &[Note]) {
+fn on_heartbeat(node: &Rc<Node>, from: Member, notes: &[Update]) {
     let now = clock::now();
     let before = node.members.borrow().version();
     {
@@ -173,9 +173,9 @@
     on_members(node, before);
 }
 
-fn merge(members: &mut MemberTable, notes: &[Note], now: Instant) {
+fn merge(members: &mut MemberTable, notes: &[Update], now: Instant) {
     for note in notes {
-        if let Note::Member(member) = note {
+        if let Update::Member(member) = note {
             members.merge(member.clone(), now);
         }
     }
@@ -224,7 +224,7 @@
             _ = heartbeat.tick() => {}
             () = node.membership_changed.notified() => {
                 tokio::time::sleep(UPDATE_BATCH_WINDOW).await;
-                let behind = node.members.borrow().behind();
+                let behind = node.members.borrow().out_of_date();
                 behind.into_iter().for_each(|member| send_heartbeats(&node, member));
                 continue;
             }
@@ -259,7 +259,7 @@
                 tokio::time::sleep(HEARTBEAT_RETRY_DELAY).await;
                 is_answered = heartbeat_once(&node, &to).await;
             }
-            if !is_answered || !node.members.borrow().is_behind(to.id) {
+            if !is_answered || !node.members.borrow().is_out_of_date(to.id) {
                 break;
             }
             tokio::time::sleep(UPDATE_BATCH_WINDOW).await;
@@ -272,7 +272,7 @@
 async fn heartbeat_once(node: &Rc<Node>, to: &Member) -> bool {
     let (me, (mark, notes)) = {
         let members = node.members.borrow();
-        (members.me().clone(), members.news(to.id))
+        (members.me().clone(), members.updates_for(to.id))
     };
     let sent = clock::now();
     let result = node.peers.ping(to.peer, &me, &notes).await;
@@ -283,7 +283,7 @@
             let mut members = node.members.borrow_mut();
             merge(&mut members, &doubt, now);
             if from.id == to.id {
-                members.on_sent(to.id, mark);
+                members.on_delivered(to.id, mark);
             } else {
                 members.on_gone(to.id, now);
             }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -8,7 +8,7 @@
 use crate::shared::Shared;
 use coordination::admission;
 use coordination::append_log::EntryOrder;
-use coordination::membership::{Member, Note};
+use coordination::membership::{Member, Update};
 use platform::instance;
 use protocol::config::{ConfigEntry, Document};
 use std::collections::HashSet;
@@ -46,7 +46,7 @@
 }
 
 impl Handler for Local {
-    async fn ping(&self, from: Member, notes: Vec<Note>) -> (Member, Vec<Note>) {
+    async fn ping(&self, from: Member, notes: Vec<Update>) -> (Member, Vec<Update>) {
         self.hear(from, &notes);
         // News travels with the one who pings: an answer that is lost would
         // otherwise count as told.
@@ -119,9 +119,9 @@
 }
 
 impl Local {
-    fn hear(&self, from: Member, notes: &[Note]) {
+    fn hear(&self, from: Member, notes: &[Update]) {
         let told = notes.iter().map(|note| match note {
-            Note::Generation(generation) => *generation,
+            Update::Generation(generation) => *generation,
             _ => 0,
         });
         let head = told.max().unwrap_or(0).max(from.generation);
@@ -130,11 +130,11 @@
         lock(&self.shared.table).on_heard(from, Instant::now());
         for note in notes {
             let is_news = self.shared.on_note(note);
-            if is_news && !matches!(note, Note::Member(_)) {
-                lock(&self.shared.table).pass_on(note.clone());
+            if is_news && !matches!(note, Update::Member(_)) {
+                lock(&self.shared.table).broadcast(note.clone());
             }
         }
-        let is_behind = !lock(&self.shared.table).behind().is_empty();
+        let is_behind = !lock(&self.shared.table).out_of_date().is_empty();
         if is_behind {
             self.shared.news.notify_one();
         }
@@ -158,14 +158,14 @@
     }
 
     async fn ping(self, to: Member) {
-        let (me, mark, news) = {
+        let (me, mark, updates_for) = {
             let table = lock(&self.shared.table);
-            let (mark, news) = table.news(to.id);
+            let (mark, news) = table.updates_for(to.id);
             (table.me().clone(), mark, news)
         };
-        match self.pool.ping(to.peer, &me, &news).await {
+        match self.pool.ping(to.peer, &me, &updates_for).await {
             Ok((member, notes)) => {
-                lock(&self.shared.table).on_sent(to.id, mark);
+                lock(&self.shared.table).on_delivered(to.id, mark);
                 self.hear(member, &notes);
             }
             Err(_) => lock(&self.shared.table).on_missed(to.id, Instant::now()),
@@ -215,7 +215,7 @@
                 () = stop.cancelled() => return,
             }
             tokio::time::sleep(GATHER).await;
-            let behind = lock(&self.shared.table).behind();
+            let behind = lock(&self.shared.table).out_of_date();
             let pings = behind.into_iter().map(|member| self.clone().ping(member));
             spawn_local(futures_util::future::join_all(pings));
         }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -11,7 +11,7 @@
 use coordination::hash;
 use coordination::leaving::{Notice, Source, Targets};
 use coordination::limit::TokenBucket;
-use coordination::membership::{Member, MemberTable, Note};
+use coordination::membership::{Member, MemberTable, Update};
 use coordination::retry::Budget;
 use protocol::config::ConfigEntry;
 use protocol::settings::Settings;
@@ -138,16 +138,16 @@
     pub fn tell_leaving(&self, target: &str, witness: Source, word: Notice) {
         if self.say_leaving(target, witness, word) {
             let Notice { leaving, stamp } = word;
-            let note = Note::Leaving { target: target.into(), since: stamp, leaving, witness };
-            lock(&self.table).pass_on(note);
+            let note = Update::Leaving { target: target.into(), since: stamp, leaving, witness };
+            lock(&self.table).broadcast(note);
             self.news.notify_one();
         }
     }
 
     /// Tells the peers.
-    pub fn tell(&self, note: Note) {
+    pub fn tell(&self, note: Update) {
         self.on_note(&note);
-        lock(&self.table).pass_on(note);
+        lock(&self.table).broadcast(note);
         self.news.notify_one();
     }
 
@@ -158,25 +158,25 @@
         let now = Instant::now();
         let members = lock(&self.table).workers().count() as u32;
         if self.batch.since_work(now) >= WORK_NEWS_PER_MEMBER * members {
-            self.tell(Note::Work(shard, at));
+            self.tell(Update::Work(shard, at));
         } else {
             self.batch.on_work(shard, at, now);
         }
     }
 
     /// Acts on a note; `true` when it was news here.
-    pub fn on_note(&self, note: &Note) -> bool {
+    pub fn on_note(&self, note: &Update) -> bool {
         match note {
-            Note::Member(member) => lock(&self.table).merge(member.clone(), Instant::now()),
-            Note::Leaving { target, since, leaving, witness } => {
+            Update::Member(member) => lock(&self.table).merge(member.clone(), Instant::now()),
+            Update::Leaving { target, since, leaving, witness } => {
                 let word = Notice { leaving: *leaving, stamp: *since };
                 self.say_leaving(target, *witness, word)
             }
-            Note::Cancel(job) => self.batch.on_cancelled(job),
-            Note::Work(shard, at) => self.batch.on_work(*shard, *at, Instant::now()),
+            Update::Cancel(job) => self.batch.on_cancelled(job),
+            Update::Work(shard, at) => self.batch.on_work(*shard, *at, Instant::now()),
             // The table passes it on by itself; the entries are fetched by the
             // peers duty, which knows who sent it.
-            Note::Generation(generation) => {
+            Update::Generation(generation) => {
                 lock(&self.table).on_generation(*generation);
                 false
             }
--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -13,7 +13,7 @@
 pub use pool::{PeerError, Pool};
 pub use serve::serve;
 
-use coordination::membership::{Member, Note};
+use coordination::membership::{Member, Update};
 use std::future::Future;
 
 /// Configuration entries and, for one far behind, the whole document.
@@ -30,7 +30,8 @@
 /// What a daemon does when a peer calls.
 pub trait Handler: Clone + 'static {
     /// A heartbeat with news; answers with oneself and news for the sender.
-    fn ping(&self, from: Member, notes: Vec<Note>) -> impl Future<Output = (Member, Vec<Note>)>;
+    fn ping(&self, from: Member, notes: Vec<Update>)
+    -> impl Future<Output = (Member, Vec<Update>)>;
     /// A command to a shard, encoded.
     fn command(&self, shard: u32, body: Vec<u8>) -> impl Future<Output = Vec<u8>>;
     /// Configuration entries after a generation.
--- a/crates/transport/src/peer/codec.rs
+++ b/crates/transport/src/peer/codec.rs
@@ -2,7 +2,7 @@
 
 use crate::peer_capnp::{leaving, member, note};
 use coordination::leaving::Source;
-use coordination::membership::{Member, Note, State};
+use coordination::membership::{Member, State, Update};
 use std::net::SocketAddr;
 
 /// Writes a member.
@@ -68,21 +68,21 @@
 }
 
 /// Writes news.
-pub fn write_notes(mut to: capnp::struct_list::Builder<'_, note::Owned>, from: &[Note]) {
+pub fn write_notes(mut to: capnp::struct_list::Builder<'_, note::Owned>, from: &[Update]) {
     for (index, note) in from.iter().enumerate() {
         let mut slot = to.reborrow().get(index as u32);
         match note {
-            Note::Member(member) => write_member(slot.init_member(), member),
-            Note::Leaving { target, since, leaving, witness } => {
+            Update::Member(member) => write_member(slot.init_member(), member),
+            Update::Leaving { target, since, leaving, witness } => {
                 let mut word = slot.init_leaving();
                 word.set_target(target);
                 word.set_since(*since);
                 word.set_leaving(*leaving);
                 word.set_witness(write_witness(*witness));
             }
-            Note::Cancel(job) => slot.set_cancel(job),
-            Note::Generation(generation) => slot.set_generation(*generation),
-            Note::Work(shard, at) => {
+            Update::Cancel(job) => slot.set_cancel(job),
+            Update::Generation(generation) => slot.set_generation(*generation),
+            Update::Work(shard, at) => {
                 let mut work = slot.init_work();
                 work.set_shard(*shard);
                 work.set_at(*at);
@@ -98,27 +98,27 @@
 /// What is wrong with the message.
 pub fn read_notes(
     from: capnp::struct_list::Reader<'_, note::Owned>,
-) -> Result<Vec<Note>, capnp::Error> {
+) -> Result<Vec<Update>, capnp::Error> {
     from.iter().map(read_note).collect()
 }
 
-fn read_note(note: note::Reader<'_>) -> Result<Note, capnp::Error> {
+fn read_note(note: note::Reader<'_>) -> Result<Update, capnp::Error> {
     match note.which()? {
-        note::Which::Member(member) => Ok(Note::Member(read_member(member?)?)),
+        note::Which::Member(member) => Ok(Update::Member(read_member(member?)?)),
         note::Which::Leaving(word) => {
             let word = word?;
-            Ok(Note::Leaving {
+            Ok(Update::Leaving {
                 target: word.get_target()?.to_string()?,
                 since: word.get_since(),
                 leaving: word.get_leaving(),
                 witness: read_witness(word.get_witness()?),
             })
         }
-        note::Which::Cancel(job) => Ok(Note::Cancel(job?.to_string()?)),
-        note::Which::Generation(generation) => Ok(Note::Generation(generation)),
+        note::Which::Cancel(job) => Ok(Update::Cancel(job?.to_string()?)),
+        note::Which::Generation(generation) => Ok(Update::Generation(generation)),
         note::Which::Work(work) => {
             let work = work?;
-            Ok(Note::Work(work.get_shard(), work.get_at()))
+            Ok(Update::Work(work.get_shard(), work.get_at()))
         }
     }
 }
--- a/crates/transport/src/peer/pool.rs
+++ b/crates/transport/src/peer/pool.rs
@@ -6,7 +6,7 @@
 use crate::partition::SimulatedPartition;
 use crate::peer_capnp::peer;
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp};
-use coordination::membership::{Member, Note};
+use coordination::membership::{Member, Update};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::future::Future;
@@ -59,8 +59,8 @@
         &self,
         to: SocketAddr,
         me: &Member,
-        notes: &[Note],
-    ) -> Result<(Member, Vec<Note>), PeerError> {
+        notes: &[Update],
+    ) -> Result<(Member, Vec<Update>), PeerError> {
         let client = self.connect(to).await?;
         let mut request = client.ping_request();
         write_member(request.get().init_from(), me);
