--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -31,12 +31,12 @@
     misses: u32,
     changed: Instant,
     /// Whether it is a suspect only because others say that it is dead.
-    by_word: bool,
+    second_hand: bool,
 }
 
 impl Row {
     /// Whether it is a suspect for too short a time to have refuted it.
-    fn is_young_suspect(&self, policy: Policy, now: Instant) -> bool {
+    fn is_recent_suspect(&self, policy: Policy, now: Instant) -> bool {
         let since = now.saturating_duration_since(self.changed);
         since < policy.suspect.mul_f64(REFUTED)
     }
@@ -205,12 +205,12 @@
         let fresh = self.notes.iter().filter(|(at, _)| *at > from).take(PAGE);
         let page: Vec<(u64, Update)> = fresh.cloned().collect();
         let mark = page.last().map_or(self.last_seq, |(at, _)| *at);
-        let own = self.doubt_of(to);
+        let own = self.suspicion_of(to);
         (mark, own.into_iter().chain(page.into_iter().map(|(_, note)| note)).collect())
     }
 
     /// What a member should be told of itself, so that it can refute it.
-    pub fn doubt_of(&self, id: InstanceId) -> Option<Update> {
+    pub fn suspicion_of(&self, id: InstanceId) -> Option<Update> {
         let is_doubted = |row: &&Row| matches!(row.member.state, State::Suspect | State::Dead);
         let row = self.rows.get(&id).filter(is_doubted);
         row.map(|row| Update::Member(row.member.clone()))
@@ -223,7 +223,7 @@
     }
 
     /// `member` answered a heartbeat, or sent one.
-    pub fn on_heard(&mut self, member: Member, now: Instant) {
+    pub fn on_heartbeat(&mut self, member: Member, now: Instant) {
         let id = member.id;
         self.merge(member, now);
         if let Some(row) = self.rows.get_mut(&id) {
@@ -232,7 +232,7 @@
     }
 
     /// `id` did not answer a heartbeat.
-    pub fn on_missed(&mut self, id: InstanceId, now: Instant) {
+    pub fn on_heartbeat_missed(&mut self, id: InstanceId, now: Instant) {
         let Some(row) = self.rows.get_mut(&id) else {
             return;
         };
@@ -241,7 +241,7 @@
         if is_first {
             row.member.state = State::Suspect;
             row.changed = now;
-            row.by_word = false;
+            row.second_hand = false;
             let note = Update::Member(row.member.clone());
             self.push(note);
         }
@@ -269,7 +269,8 @@
             }
             self.replace(&member, now);
             let note = Update::Member(member.clone());
-            self.rows.insert(member.id, Row { member, misses: 0, changed: now, by_word: false });
+            self.rows
+                .insert(member.id, Row { member, misses: 0, changed: now, second_hand: false });
             self.version += 1;
             self.push(note);
             return true;
@@ -283,7 +284,7 @@
         }
         let is_death = member.state == State::Dead;
         let by_word = is_death && known.state == State::Alive;
-        if is_death && known.state == State::Suspect && row.is_young_suspect(policy, now) {
+        if is_death && known.state == State::Suspect && row.is_recent_suspect(policy, now) {
             return false;
         }
         let state = if by_word { State::Suspect } else { member.state };
@@ -291,7 +292,7 @@
         let is_loss =
             member.state == State::Dead && !matches!(known.state, State::Dead | State::Leaving);
         row.changed = now;
-        row.by_word = by_word;
+        row.second_hand = by_word;
         row.member = member;
         row.member.generation = generation;
         self.losses += u64::from(is_loss);
@@ -302,7 +303,7 @@
     }
 
     /// `id` is known to be gone: its address answers under another id.
-    pub fn on_gone(&mut self, id: InstanceId, now: Instant) {
+    pub fn on_replaced(&mut self, id: InstanceId, now: Instant) {
         let Some(row) = self.rows.get_mut(&id) else {
             return;
         };
@@ -324,7 +325,7 @@
         };
         let earlier = self.rows.values().filter(is_earlier).map(|row| row.member.id);
         let earlier: Vec<InstanceId> = earlier.collect();
-        earlier.into_iter().for_each(|id| self.on_gone(id, now));
+        earlier.into_iter().for_each(|id| self.on_replaced(id, now));
     }
 
     /// Passes on a note of another kind; the caller has seen that it is news.
@@ -346,7 +347,7 @@
         let mut losses = 0;
         for row in self.rows.values_mut() {
             let silent = now.saturating_duration_since(row.changed);
-            let patience = if row.by_word { BY_WORD } else { 1 };
+            let patience = if row.second_hand { BY_WORD } else { 1 };
             let expired = row.member.state == State::Suspect && silent >= policy.suspect * patience;
             let gone = row.member.state == State::Leaving && row.misses >= MISSES;
             if expired || gone {
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -58,7 +58,7 @@
         self.pings += 1;
         let now = self.now;
         if !self.reaches(from, to) {
-            self.tables.get_mut(&from).expect("a table").on_missed(to, now);
+            self.tables.get_mut(&from).expect("a table").on_heartbeat_missed(to, now);
             return;
         }
         let (me, mark, mut news, known) = {
@@ -79,7 +79,7 @@
         }
         self.notes += news.len() as u64;
         let other = self.tables.get_mut(&to).expect("a table");
-        other.on_heard(me, now);
+        other.on_heartbeat(me, now);
         for note in news {
             match note {
                 Update::Member(member) => drop(other.merge(member, now)),
@@ -90,7 +90,7 @@
         let answer = other.me().clone();
         let table = self.tables.get_mut(&from).expect("a table");
         table.on_delivered(to, mark);
-        table.on_heard(answer, now);
+        table.on_heartbeat(answer, now);
     }
 
     /// One heartbeat of every member, with news sent on as it comes.
@@ -246,7 +246,7 @@
     let mut table = MemberTable::new(member(1), Policy::default());
     table.merge(member(2), now);
     assert!(table.is_out_of_date(2), "it has not been told of itself");
-    table.on_gone(2, now);
+    table.on_replaced(2, now);
     assert!(!table.is_out_of_date(2));
     assert!(!table.is_out_of_date(99), "nor is one that was never met");
 }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -51,7 +51,7 @@
         let id = from.id;
         on_heartbeat(&self.node, from, &notes);
         let members = self.node.members.borrow();
-        (members.me().clone(), members.doubt_of(id).into_iter().collect())
+        (members.me().clone(), members.suspicion_of(id).into_iter().collect())
     }
 
     async fn command(&self, _shard: u32, _body: Vec<u8>) -> Vec<u8> {
@@ -167,7 +167,7 @@
     let before = node.members.borrow().version();
     {
         let mut members = node.members.borrow_mut();
-        members.on_heard(from, now);
+        members.on_heartbeat(from, now);
         merge(&mut members, notes, now);
     }
     on_members(node, before);
@@ -285,15 +285,15 @@
             if from.id == to.id {
                 members.on_delivered(to.id, mark);
             } else {
-                members.on_gone(to.id, now);
+                members.on_replaced(to.id, now);
             }
-            members.on_heard(from, now);
+            members.on_heartbeat(from, now);
             true
         }
         Err(fault) => {
             slog::debug!(node.log, "heartbeat missed"; "to" => %to.peer, "fault" => ?fault);
             if now.saturating_duration_since(sent) < HEARTBEAT_TIMEOUT + MAX_LOCAL_DELAY {
-                node.members.borrow_mut().on_missed(to.id, now);
+                node.members.borrow_mut().on_heartbeat_missed(to.id, now);
             }
             false
         }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -127,7 +127,7 @@
         let head = told.max().unwrap_or(0).max(from.generation);
         let further = head > lock(&self.shared.chain).generation();
         let address = from.peer;
-        lock(&self.shared.table).on_heard(from, Instant::now());
+        lock(&self.shared.table).on_heartbeat(from, Instant::now());
         for note in notes {
             let is_news = self.shared.on_note(note);
             if is_news && !matches!(note, Update::Member(_)) {
@@ -168,7 +168,7 @@
                 lock(&self.shared.table).on_delivered(to.id, mark);
                 self.hear(member, &notes);
             }
-            Err(_) => lock(&self.shared.table).on_missed(to.id, Instant::now()),
+            Err(_) => lock(&self.shared.table).on_heartbeat_missed(to.id, Instant::now()),
         }
     }
 
