--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -29,7 +29,7 @@
 
 mod types;
 
-pub use types::{Boot, Policy, Strike, Verdict};
+pub use types::{CrashReport, Policy, TargetStart, Verdict};
 
 use protocol::RequestFingerprint;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -46,13 +46,13 @@
 
 #[derive(Clone, Debug, Default)]
 struct Row {
-    strikes: BTreeMap<Boot, Entry>,
+    strikes: BTreeMap<TargetStart, Entry>,
     trials: usize,
     tried: Option<Instant>,
 }
 
 impl Row {
-    fn standing(&self) -> impl Iterator<Item = (&Boot, &Entry)> {
+    fn standing(&self) -> impl Iterator<Item = (&TargetStart, &Entry)> {
         self.strikes.iter().filter(|(_, entry)| !entry.is_acquitted)
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Takes in a strike, heard or seen; `true` when it is news.
-    pub fn on_strike(&mut self, strike: Strike, now: Instant) -> bool {
+    pub fn on_crash_report(&mut self, strike: CrashReport, now: Instant) -> bool {
         let age = Duration::from_millis(strike.age_ms);
         if age >= self.policy.retain {
             return false;
@@ -110,15 +110,15 @@
         let before = self.share(content);
         let row = self.rows.entry(content).or_default();
         let standing = row.standing().count();
-        let is_news = match row.strikes.get_mut(&strike.boot) {
+        let is_news = match row.strikes.get_mut(&strike.start) {
             Some(known) => {
-                let is_news = strike.is_acquitted && !known.is_acquitted;
-                known.is_acquitted |= strike.is_acquitted;
+                let is_news = strike.is_cleared && !known.is_acquitted;
+                known.is_acquitted |= strike.is_cleared;
                 is_news
             }
             None => {
-                let entry = Entry { at, is_acquitted: strike.is_acquitted };
-                row.strikes.insert(strike.boot, entry);
+                let entry = Entry { at, is_acquitted: strike.is_cleared };
+                row.strikes.insert(strike.start, entry);
                 true
             }
         };
@@ -136,7 +136,7 @@
     /// A request came to its end on a target, so it crashes none: the strikes that this
     /// acquits, to be told if there are several. A single one holds nobody, and most of what
     /// ran beside a crash has one; told or not, it is made up for once it is shared.
-    pub fn on_success(&mut self, content: RequestFingerprint, now: Instant) -> Vec<Strike> {
+    pub fn on_success(&mut self, content: RequestFingerprint, now: Instant) -> Vec<CrashReport> {
         let before = self.share(content);
         let Some(row) = self.rows.get_mut(&content) else {
             return Vec::new();
@@ -213,18 +213,18 @@
     }
 
     /// What the digest is of, to be told to an instance that knows less.
-    pub fn strikes(&self, now: Instant) -> Vec<Strike> {
+    pub fn crash_reports(&self, now: Instant) -> Vec<CrashReport> {
         self.shared().map(|(content, boot, entry)| told(content, boot, entry, now)).collect()
     }
 
     /// The strikes of one request.
-    pub fn strikes_of(&self, content: RequestFingerprint, now: Instant) -> Vec<Strike> {
+    pub fn crash_reports_of(&self, content: RequestFingerprint, now: Instant) -> Vec<CrashReport> {
         let row = self.rows.get(&content);
         let strikes = row.into_iter().flat_map(|row| row.strikes.iter());
         strikes.map(|(boot, entry)| told(content, boot, entry, now)).collect()
     }
 
-    fn shared(&self) -> impl Iterator<Item = (RequestFingerprint, &Boot, &Entry)> {
+    fn shared(&self) -> impl Iterator<Item = (RequestFingerprint, &TargetStart, &Entry)> {
         let rows = self.rows.iter().filter(|(_, row)| row.strikes.len() > 1);
         rows.flat_map(|(content, row)| row.strikes.iter().map(|(boot, e)| (*content, boot, e)))
     }
@@ -289,7 +289,7 @@
         let plain = self.rows.iter().filter(|(_, row)| is_plain(row));
         self.held = plain.map(|(id, row)| (*id, row.standing().count())).collect();
         let held = self.rows.iter().filter(|(id, _)| self.held.contains_key(id));
-        let mut explained: BTreeSet<&Boot> =
+        let mut explained: BTreeSet<&TargetStart> =
             held.flat_map(|(_, row)| row.standing().map(|(boot, _)| boot)).collect();
         loop {
             let unexplained =
@@ -312,12 +312,17 @@
     }
 }
 
-fn told(content: RequestFingerprint, boot: &Boot, entry: &Entry, now: Instant) -> Strike {
+fn told(content: RequestFingerprint, boot: &TargetStart, entry: &Entry, now: Instant) -> CrashReport {
     let age = now.saturating_duration_since(entry.at);
     let boot = boot.clone();
-    Strike { content, boot, age_ms: age.as_millis() as u64, is_acquitted: entry.is_acquitted }
+    CrashReport {
+        content,
+        start: boot,
+        age_ms: age.as_millis() as u64,
+        is_cleared: entry.is_acquitted,
+    }
 }
 
-fn told_digest(content: RequestFingerprint, boot: &Boot, entry: &Entry) -> u64 {
+fn told_digest(content: RequestFingerprint, boot: &TargetStart, entry: &Entry) -> u64 {
     told(content, boot, entry, entry.at).digest()
 }
--- a/crates/coordination/src/quarantine/types.rs
+++ b/crates/coordination/src/quarantine/types.rs
@@ -7,41 +7,45 @@
 
 /// One start of a target.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Boot {
+pub struct TargetStart {
     /// The target.
     pub target: TargetId,
     /// Its start, in milliseconds since the Unix epoch; 0 if it doesn't tell.
-    pub born: Millis,
+    #[serde(rename = "born")]
+    pub started_at: Millis,
 }
 
 /// Word that a request ran on a target as it crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Strike {
+pub struct CrashReport {
     /// The request.
     pub content: RequestFingerprint,
     /// The target that crashed.
-    pub boot: Boot,
+    #[serde(rename = "boot")]
+    pub start: TargetStart,
     /// Milliseconds since the crash.
     pub age_ms: u64,
     /// Whether the request has come to its end on a target since.
-    pub is_acquitted: bool,
+    #[serde(rename = "is_acquitted")]
+    pub is_cleared: bool,
 }
 
-impl Strike {
+impl CrashReport {
     /// A strike for a crash that has just been seen.
-    pub fn new(content: RequestFingerprint, boot: Boot) -> Strike {
-        Strike { content, boot, age_ms: 0, is_acquitted: false }
+    pub fn new(content: RequestFingerprint, boot: TargetStart) -> CrashReport {
+        CrashReport { content, start: boot, age_ms: 0, is_cleared: false }
     }
 
     /// The same strike `passed` milliseconds later.
-    pub fn aged(self, passed: Millis) -> Strike {
-        Strike { age_ms: self.age_ms.saturating_add(passed), ..self }
+    pub fn aged(self, passed: Millis) -> CrashReport {
+        CrashReport { age_ms: self.age_ms.saturating_add(passed), ..self }
     }
 
     /// What the digest of all strikes holds of it.
     pub(super) fn digest(&self) -> u64 {
-        let seed = self.content ^ self.boot.born.rotate_left(32) ^ u64::from(self.is_acquitted);
-        hash::weight(self.boot.target.as_bytes(), seed)
+        let seed =
+            self.content ^ self.start.started_at.rotate_left(32) ^ u64::from(self.is_cleared);
+        hash::weight(self.start.target.as_bytes(), seed)
     }
 }
 
--- a/crates/coordination/tests/quarantine.rs
+++ b/crates/coordination/tests/quarantine.rs
@@ -1,18 +1,18 @@
 //! Which requests are held because they crash their targets.
 
-use coordination::quarantine::{Boot, Policy, Strike, Table, Verdict};
+use coordination::quarantine::{CrashReport, Policy, Table, TargetStart, Verdict};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
 const DEADLY: u64 = 7;
 const SOUND: u64 = 8;
 
-fn boot(n: u64) -> Boot {
-    Boot { target: format!("t{n}"), born: 0 }
+fn boot(n: u64) -> TargetStart {
+    TargetStart { target: format!("t{n}"), started_at: 0 }
 }
 
-fn strike(content: u64, n: u64) -> Strike {
-    Strike::new(content, boot(n))
+fn strike(content: u64, n: u64) -> CrashReport {
+    CrashReport::new(content, boot(n))
 }
 
 fn table() -> Table {
@@ -28,8 +28,8 @@
     let (mut table, now) = (table(), Instant::now());
     for n in 0..3 {
         assert_eq!(table.verdict(DEADLY, now), Verdict::Free, "after {n} crashes");
-        assert!(table.on_strike(strike(DEADLY, n), now));
-        assert!(!table.on_strike(strike(DEADLY, n), now), "the same crash is no news");
+        assert!(table.on_crash_report(strike(DEADLY, n), now));
+        assert!(!table.on_crash_report(strike(DEADLY, n), now), "the same crash is no news");
     }
     assert_eq!(table.verdict(DEADLY, now), Verdict::Held(Duration::from_secs(12)));
 }
@@ -38,8 +38,8 @@
 fn a_target_that_starts_again_under_its_id_crashes_anew() {
     let (mut table, now) = (table(), Instant::now());
     for born in 1..=3 {
-        let boot = Boot { target: String::from("t"), born };
-        assert!(table.on_strike(Strike::new(DEADLY, boot), now));
+        let boot = TargetStart { target: String::from("t"), started_at: born };
+        assert!(table.on_crash_report(CrashReport::new(DEADLY, boot), now));
     }
     assert!(is_held(&table, DEADLY, now));
 }
@@ -48,11 +48,11 @@
 fn what_ran_beside_a_held_request_is_not_blamed() {
     let (mut table, now) = (table(), Instant::now());
     for n in 0..3 {
-        table.on_strike(strike(DEADLY, n), now);
-        table.on_strike(strike(SOUND, n), now);
+        table.on_crash_report(strike(DEADLY, n), now);
+        table.on_crash_report(strike(SOUND, n), now);
     }
     assert!(is_held(&table, SOUND, now), "the two can't be told apart");
-    table.on_strike(strike(DEADLY, 3), now);
+    table.on_crash_report(strike(DEADLY, 3), now);
     assert!(is_held(&table, DEADLY, now));
     assert_eq!(table.verdict(SOUND, now), Verdict::Free);
 }
@@ -61,11 +61,11 @@
 fn two_requests_that_crash_their_targets_are_both_held() {
     let (mut table, now) = (table(), Instant::now());
     for n in 0..4 {
-        table.on_strike(strike(DEADLY, n), now);
+        table.on_crash_report(strike(DEADLY, n), now);
     }
-    table.on_strike(strike(SOUND, 3), now);
+    table.on_crash_report(strike(SOUND, 3), now);
     for n in 10..13 {
-        table.on_strike(strike(SOUND, n), now);
+        table.on_crash_report(strike(SOUND, n), now);
     }
     assert!(is_held(&table, DEADLY, now) && is_held(&table, SOUND, now));
 }
@@ -75,13 +75,13 @@
 fn a_request_with_many_crashes_is_held_whatever_explains_them() {
     let (mut table, now) = (table(), Instant::now());
     for n in 0..6 {
-        table.on_strike(strike(DEADLY, n), now);
+        table.on_crash_report(strike(DEADLY, n), now);
     }
     for n in 0..4 {
-        table.on_strike(strike(SOUND, n), now);
+        table.on_crash_report(strike(SOUND, n), now);
     }
     assert!(!is_held(&table, SOUND, now));
-    table.on_strike(strike(SOUND, 4), now);
+    table.on_crash_report(strike(SOUND, 4), now);
     assert!(is_held(&table, SOUND, now) && is_held(&table, DEADLY, now));
 }
 
@@ -89,20 +89,20 @@
 fn a_whole_run_acquits_and_the_word_of_it_does_elsewhere() {
     let (mut here, mut there, now) = (table(), table(), Instant::now());
     for n in 0..3 {
-        here.on_strike(strike(DEADLY, n), now);
-        there.on_strike(strike(DEADLY, n), now);
+        here.on_crash_report(strike(DEADLY, n), now);
+        there.on_crash_report(strike(DEADLY, n), now);
     }
     let acquitted = here.on_success(DEADLY, now);
     assert_eq!(acquitted.len(), 3);
     assert_eq!(here.verdict(DEADLY, now), Verdict::Free);
     assert!(here.on_success(DEADLY, now).is_empty(), "told once");
     for word in acquitted {
-        assert!(there.on_strike(word, now));
+        assert!(there.on_crash_report(word, now));
     }
     assert_eq!(there.verdict(DEADLY, now), Verdict::Free);
     assert_eq!(here.digest(), there.digest());
     // A late word of the crash doesn't bring it back.
-    assert!(!there.on_strike(strike(DEADLY, 0), now));
+    assert!(!there.on_crash_report(strike(DEADLY, 0), now));
 }
 
 /// A request that does crash its targets crashes two more of them in a day.
@@ -110,7 +110,7 @@
 fn trials_become_rare() {
     let (mut table, start) = (table(), Instant::now());
     for n in 0..3 {
-        table.on_strike(strike(DEADLY, n), start);
+        table.on_crash_report(strike(DEADLY, n), start);
     }
     let mut crashes = 0;
     for second in 0..24 * 3_600 {
@@ -118,7 +118,7 @@
         if table.on_trial(DEADLY, now) {
             assert!(!table.on_trial(DEADLY, now), "one at a time");
             crashes += 1;
-            table.on_strike(strike(DEADLY, 100 + second), now);
+            table.on_crash_report(strike(DEADLY, 100 + second), now);
         }
     }
     assert_eq!(crashes, 2);
@@ -130,7 +130,7 @@
 fn trials_of_which_nobody_hears_become_rare_as_well() {
     let (mut table, start) = (table(), Instant::now());
     for n in 0..3 {
-        table.on_strike(strike(DEADLY, n), start);
+        table.on_crash_report(strike(DEADLY, n), start);
     }
     let mut now = start;
     for _ in 0..2 {
@@ -148,12 +148,12 @@
     let policy = Policy { retain: Duration::from_secs(60), ..Policy::default() };
     let (mut table, start) = (Table::new(policy, Instant::now()), Instant::now());
     for n in 0..3 {
-        table.on_strike(Strike { age_ms: 50_000, ..strike(DEADLY, n) }, start);
+        table.on_crash_report(CrashReport { age_ms: 50_000, ..strike(DEADLY, n) }, start);
     }
     assert!(is_held(&table, DEADLY, start));
     let later = start + Duration::from_secs(61);
-    assert!(!table.on_strike(Strike { age_ms: 111_000, ..strike(DEADLY, 0) }, later));
-    table.on_strike(strike(SOUND, 0), later);
+    assert!(!table.on_crash_report(CrashReport { age_ms: 111_000, ..strike(DEADLY, 0) }, later));
+    table.on_crash_report(strike(SOUND, 0), later);
     assert_eq!(table.verdict(DEADLY, later), Verdict::Free);
 }
 
@@ -162,10 +162,10 @@
     let policy = Policy { most: 50, ..Policy::default() };
     let (mut table, now) = (Table::new(policy, Instant::now()), Instant::now());
     for n in 0..3 {
-        table.on_strike(strike(DEADLY, n), now);
+        table.on_crash_report(strike(DEADLY, n), now);
     }
     for n in 0..1_000 {
-        table.on_strike(strike(1_000 + n, 10 + n % 20), now);
+        table.on_crash_report(strike(1_000 + n, 10 + n % 20), now);
     }
     assert!(is_held(&table, DEADLY, now));
     assert_eq!(table.held(), 1);
@@ -176,20 +176,20 @@
     let (mut table, now) =
         (Table::new(Policy { crashes: 0, ..Policy::default() }, Instant::now()), Instant::now());
     for n in 0..9 {
-        table.on_strike(strike(DEADLY, n), now);
+        table.on_crash_report(strike(DEADLY, n), now);
     }
     assert_eq!(table.verdict(DEADLY, now), Verdict::Free);
 }
 
-fn learn(table: &mut Table, strikes: Vec<Strike>, now: Instant) {
+fn learn(table: &mut Table, strikes: Vec<CrashReport>, now: Instant) {
     for strike in strikes {
-        table.on_strike(strike, now);
+        table.on_crash_report(strike, now);
     }
 }
 
 prop_compose! {
-    fn any_strike()(content in 0..4_u64, n in 0..8_u64, is_acquitted in any::<bool>()) -> Strike {
-        Strike { is_acquitted, ..strike(content, n) }
+    fn any_strike()(content in 0..4_u64, n in 0..8_u64, is_acquitted in any::<bool>()) -> CrashReport {
+        CrashReport { is_cleared: is_acquitted, ..strike(content, n) }
     }
 }
 
@@ -203,13 +203,13 @@
         let now = Instant::now();
         let (mut one, mut other) = (table(), table());
         for strike in &strikes {
-            one.on_strike(strike.clone(), now);
+            one.on_crash_report(strike.clone(), now);
         }
         for strike in strikes.iter().rev() {
-            other.on_strike(strike.clone(), now);
+            other.on_crash_report(strike.clone(), now);
         }
         for index in again.iter().filter(|_| !strikes.is_empty()) {
-            other.on_strike(index.get(&strikes).clone(), now);
+            other.on_crash_report(index.get(&strikes).clone(), now);
         }
         prop_assert_eq!(one.digest(), other.digest());
         for content in 0..4 {
@@ -230,12 +230,12 @@
             if is_success {
                 table.on_success(strike.content, now);
             } else {
-                table.on_strike(strike, now);
+                table.on_crash_report(strike, now);
             }
         }
         let mut whole = Table::new(Policy::default(), Instant::now());
         for content in 0..4 {
-            learn(&mut whole, table.strikes_of(content, now), now);
+            learn(&mut whole, table.crash_reports_of(content, now), now);
         }
         prop_assert_eq!(table.digest(), whole.digest());
         for content in 0..4 {
@@ -253,9 +253,9 @@
         let (mut one, mut other) = (table(), table());
         learn(&mut one, here, now);
         learn(&mut other, there, now);
-        learn(&mut other, one.strikes(now), now);
-        learn(&mut one, other.strikes(now), now);
-        learn(&mut other, one.strikes(now), now);
+        learn(&mut other, one.crash_reports(now), now);
+        learn(&mut one, other.crash_reports(now), now);
+        learn(&mut other, one.crash_reports(now), now);
         prop_assert_eq!(one.digest(), other.digest());
     }
 }
--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -285,8 +285,8 @@
         let now = Instant::now();
         let mut table = quarantine::Table::new(quarantine::Policy::default(), now);
         for n in 0..targets * 8 {
-            let boot = quarantine::Boot { target: format!("t{}", n / 8), born: 1 };
-            black_box(table.on_strike(quarantine::Strike::new(n, boot), now));
+            let boot = quarantine::TargetStart { target: format!("t{}", n / 8), started_at: 1 };
+            black_box(table.on_crash_report(quarantine::CrashReport::new(n, boot), now));
         }
         let each = now.elapsed().as_secs_f64() * 1e6 / (targets * 8) as f64;
         println!("{targets:>10} {each:>16.2}");
--- a/crates/daemon/src/gateway/crash.rs
+++ b/crates/daemon/src/gateway/crash.rs
@@ -6,7 +6,7 @@
 
 use super::node::Node;
 use super::quarantine;
-use coordination::quarantine::Boot;
+use coordination::quarantine::TargetStart;
 use coordination::slots::Grant;
 use protocol::{RequestFingerprint, TargetId};
 use std::cell::RefCell;
@@ -64,7 +64,7 @@
         let born = node.registry.borrow().get(&target).map_or(0, |target| target.started_at);
         let contents: Vec<RequestFingerprint> =
             broken.iter().map(|broken| broken.content).collect();
-        quarantine::on_crash(&node, &Boot { target, born }, &contents);
+        quarantine::on_crash(&node, &TargetStart { target, started_at: born }, &contents);
     }
 }
 
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -3,7 +3,7 @@
 //! All of it is hints or requests; what must last is written to the platform.
 //! Times are spans, since instances share no clock.
 
-use coordination::quarantine::Strike;
+use coordination::quarantine::CrashReport;
 use coordination::registry::Change;
 use coordination::run_time::Estimate;
 use coordination::slots::{Grant, HeldLease, LeaseId, LeaseReport, Purpose};
@@ -129,7 +129,7 @@
     Ended(JobId),
     /// Requests ran on targets that crashed, or have come to their end since.
     #[serde(rename = "Strikes")]
-    CrashReports(Vec<Strike>),
+    CrashReports(Vec<CrashReport>),
 }
 
 /// Jobs that are asked for.
@@ -249,7 +249,7 @@
     Trial(bool),
     /// Strikes of requests that have several.
     #[serde(rename = "Strikes")]
-    CrashReports(Vec<Strike>),
+    CrashReports(Vec<CrashReport>),
     /// It can't be done now.
     #[serde(rename = "Away")]
     Unavailable,
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 use coordination::hash;
 use coordination::membership::Member;
-use coordination::quarantine::{Boot, Strike, Verdict};
+use coordination::quarantine::{CrashReport, TargetStart, Verdict};
 use platform::quarantine::KIND;
 use platform::store::{Fault, Object};
 use protocol::{Millis, RequestFingerprint};
@@ -39,7 +39,7 @@
 struct Entry {
     /// When it was written: the strikes' ages are as of then.
     written: Millis,
-    strikes: Vec<Strike>,
+    strikes: Vec<CrashReport>,
 }
 
 /// Whether a request may be sent now.
@@ -54,9 +54,9 @@
 }
 
 /// Requests ran on a target as it crashed.
-pub fn on_crash(node: &Rc<Node>, boot: &Boot, contents: &[RequestFingerprint]) {
-    let strikes: Vec<Strike> =
-        contents.iter().map(|content| Strike::new(*content, boot.clone())).collect();
+pub fn on_crash(node: &Rc<Node>, boot: &TargetStart, contents: &[RequestFingerprint]) {
+    let strikes: Vec<CrashReport> =
+        contents.iter().map(|content| CrashReport::new(*content, boot.clone())).collect();
     let news = on_crash_reports(node, strikes, "own");
     tell(node, news);
 }
@@ -82,11 +82,11 @@
 }
 
 /// Takes in strikes; gives those that were news.
-pub fn on_crash_reports(node: &Node, strikes: Vec<Strike>, from: &str) -> Vec<Strike> {
+pub fn on_crash_reports(node: &Node, strikes: Vec<CrashReport>, from: &str) -> Vec<CrashReport> {
     let now = clock::now();
     let mut table = node.quarantine.borrow_mut();
-    let news: Vec<Strike> =
-        strikes.into_iter().filter(|strike| table.on_strike(strike.clone(), now)).collect();
+    let news: Vec<CrashReport> =
+        strikes.into_iter().filter(|strike| table.on_crash_report(strike.clone(), now)).collect();
     for strike in &news {
         let crashes = table.crashes(strike.content);
         if crashes < MIN_LOGGED_CRASHES && from != "own" {
@@ -94,8 +94,8 @@
         }
         let verdict = table.verdict(strike.content, now);
         slog::info!(node.log, "request struck"; "content" => hex(strike.content),
-            "target" => &strike.boot.target, "born" => strike.boot.born,
-            "acquitted" => strike.is_acquitted, "age_ms" => strike.age_ms, "from" => from,
+            "target" => &strike.start.target, "born" => strike.start.started_at,
+            "acquitted" => strike.is_cleared, "age_ms" => strike.age_ms, "from" => from,
             "crashes" => crashes, "verdict" => ?verdict);
     }
     if !news.is_empty() {
@@ -104,7 +104,7 @@
     news
 }
 
-fn tell(node: &Rc<Node>, strikes: Vec<Strike>) {
+fn tell(node: &Rc<Node>, strikes: Vec<CrashReport>) {
     if !strikes.is_empty() {
         broadcast::send(node, Update::CrashReports(strikes));
     }
@@ -170,8 +170,8 @@
 }
 
 /// All strikes of requests that have several, for an instance that knows others.
-pub fn crash_reports(node: &Node) -> Vec<Strike> {
-    node.quarantine.borrow().strikes(clock::now())
+pub fn crash_reports(node: &Node) -> Vec<CrashReport> {
+    node.quarantine.borrow().crash_reports(clock::now())
 }
 
 /// Writes down what is held, until `stop`.
@@ -199,7 +199,7 @@
 
 /// Writes down what is known of a held request.
 async fn write(node: &Node, content: RequestFingerprint) -> bool {
-    let strikes = node.quarantine.borrow().strikes_of(content, clock::now());
+    let strikes = node.quarantine.borrow().crash_reports_of(content, clock::now());
     let entry = Entry { written: unix_millis(), strikes };
     let name = hex(content);
     let created = node.store.create(CallReason::Quarantine, KIND, &name, &entry).await;
