--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -29,7 +29,7 @@
 
 mod types;
 
-pub use types::{CrashReport, Policy, TargetStart, Verdict};
+pub use types::{CrashReport, Decision, Policy, TargetStart};
 
 use protocol::RequestFingerprint;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -48,7 +48,7 @@
 struct Row {
     strikes: BTreeMap<TargetStart, Entry>,
     trials: usize,
-    tried: Option<Instant>,
+    trialled: Option<Instant>,
 }
 
 impl Row {
@@ -90,12 +90,12 @@
     }
 
     /// Requests that are held now.
-    pub fn held(&self) -> usize {
+    pub fn quarantined(&self) -> usize {
         self.held.len()
     }
 
     /// Requests that are held now, each with its crashes that weren't acquitted.
-    pub fn held_requests(&self) -> Vec<(RequestFingerprint, usize)> {
+    pub fn quarantined_requests(&self) -> Vec<(RequestFingerprint, usize)> {
         self.held.keys().map(|content| (*content, self.crashes(*content))).collect()
     }
 
@@ -177,31 +177,31 @@
     }
 
     /// Whether a request may be sent.
-    pub fn verdict(&self, content: RequestFingerprint, now: Instant) -> Verdict {
+    pub fn decide(&self, content: RequestFingerprint, now: Instant) -> Decision {
         let Some(crashes) = self.held.get(&content) else {
-            return Verdict::Free;
+            return Decision::Allowed;
         };
         let Some(row) = self.rows.get(&content) else {
-            return Verdict::Free;
+            return Decision::Allowed;
         };
         let known = crashes.saturating_sub(self.policy.crashes);
         let untold = row.trials.saturating_sub(self.policy.untold_trials);
         let beyond = known.max(untold);
         let hold = self.policy.holds[beyond.min(self.policy.holds.len() - 1)];
-        let since = row.last().max(row.tried).unwrap_or(now);
+        let since = row.last().max(row.trialled).unwrap_or(now);
         let left = (since + hold).saturating_duration_since(now);
-        if left.is_zero() { Verdict::TrialDue } else { Verdict::Held(left) }
+        if left.is_zero() { Decision::TrialDue } else { Decision::Quarantined(left) }
     }
 
     /// Grants one trial of a held request whose time has come. Only one instance decides
     /// for each request, so that two tries don't go out as one trial.
     pub fn on_trial(&mut self, content: RequestFingerprint, now: Instant) -> bool {
-        if self.verdict(content, now) != Verdict::TrialDue {
+        if self.decide(content, now) != Decision::TrialDue {
             return false;
         }
         if let Some(row) = self.rows.get_mut(&content) {
             row.trials += 1;
-            row.tried = Some(now);
+            row.trialled = Some(now);
         }
         true
     }
--- a/crates/coordination/src/quarantine/types.rs
+++ b/crates/coordination/src/quarantine/types.rs
@@ -87,11 +87,11 @@
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// It may.
-    Free,
+    Allowed,
     /// It is held for this long.
-    Held(Duration),
+    Quarantined(Duration),
     /// It is held, and may be tried once if its owner says so ([`Table::on_trial`]).
     TrialDue,
 }
--- a/crates/coordination/tests/quarantine.rs
+++ b/crates/coordination/tests/quarantine.rs
@@ -1,6 +1,6 @@
 //! Which requests are held because they crash their targets.
 
-use coordination::quarantine::{CrashReport, Policy, Table, TargetStart, Verdict};
+use coordination::quarantine::{CrashReport, Decision, Policy, Table, TargetStart};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
@@ -20,18 +20,18 @@
 }
 
 fn is_held(table: &Table, content: u64, now: Instant) -> bool {
-    table.verdict(content, now) != Verdict::Free
+    table.decide(content, now) != Decision::Allowed
 }
 
 #[test]
 fn a_request_is_held_after_three_crashes() {
     let (mut table, now) = (table(), Instant::now());
     for n in 0..3 {
-        assert_eq!(table.verdict(DEADLY, now), Verdict::Free, "after {n} crashes");
+        assert_eq!(table.decide(DEADLY, now), Decision::Allowed, "after {n} crashes");
         assert!(table.on_crash_report(strike(DEADLY, n), now));
         assert!(!table.on_crash_report(strike(DEADLY, n), now), "the same crash is no news");
     }
-    assert_eq!(table.verdict(DEADLY, now), Verdict::Held(Duration::from_secs(12)));
+    assert_eq!(table.decide(DEADLY, now), Decision::Quarantined(Duration::from_secs(12)));
 }
 
 #[test]
@@ -54,7 +54,7 @@
     assert!(is_held(&table, SOUND, now), "the two can't be told apart");
     table.on_crash_report(strike(DEADLY, 3), now);
     assert!(is_held(&table, DEADLY, now));
-    assert_eq!(table.verdict(SOUND, now), Verdict::Free);
+    assert_eq!(table.decide(SOUND, now), Decision::Allowed);
 }
 
 #[test]
@@ -94,12 +94,12 @@
     }
     let acquitted = here.on_success(DEADLY, now);
     assert_eq!(acquitted.len(), 3);
-    assert_eq!(here.verdict(DEADLY, now), Verdict::Free);
+    assert_eq!(here.decide(DEADLY, now), Decision::Allowed);
     assert!(here.on_success(DEADLY, now).is_empty(), "told once");
     for word in acquitted {
         assert!(there.on_crash_report(word, now));
     }
-    assert_eq!(there.verdict(DEADLY, now), Verdict::Free);
+    assert_eq!(there.decide(DEADLY, now), Decision::Allowed);
     assert_eq!(here.digest(), there.digest());
     // A late word of the crash doesn't bring it back.
     assert!(!there.on_crash_report(strike(DEADLY, 0), now));
@@ -136,11 +136,11 @@
     for _ in 0..2 {
         now += Duration::from_secs(12);
         assert!(table.on_trial(DEADLY, now));
-        assert_eq!(table.verdict(DEADLY, now), Verdict::Held(Duration::from_secs(12)));
+        assert_eq!(table.decide(DEADLY, now), Decision::Quarantined(Duration::from_secs(12)));
     }
     now += Duration::from_secs(12);
     assert!(table.on_trial(DEADLY, now));
-    assert_eq!(table.verdict(DEADLY, now), Verdict::Held(Duration::from_secs(600)));
+    assert_eq!(table.decide(DEADLY, now), Decision::Quarantined(Duration::from_secs(600)));
 }
 
 #[test]
@@ -154,7 +154,7 @@
     let later = start + Duration::from_secs(61);
     assert!(!table.on_crash_report(CrashReport { age_ms: 111_000, ..strike(DEADLY, 0) }, later));
     table.on_crash_report(strike(SOUND, 0), later);
-    assert_eq!(table.verdict(DEADLY, later), Verdict::Free);
+    assert_eq!(table.decide(DEADLY, later), Decision::Allowed);
 }
 
 #[test]
@@ -168,7 +168,7 @@
         table.on_crash_report(strike(1_000 + n, 10 + n % 20), now);
     }
     assert!(is_held(&table, DEADLY, now));
-    assert_eq!(table.held(), 1);
+    assert_eq!(table.quarantined(), 1);
 }
 
 #[test]
@@ -178,7 +178,7 @@
     for n in 0..9 {
         table.on_crash_report(strike(DEADLY, n), now);
     }
-    assert_eq!(table.verdict(DEADLY, now), Verdict::Free);
+    assert_eq!(table.decide(DEADLY, now), Decision::Allowed);
 }
 
 fn learn(table: &mut Table, strikes: Vec<CrashReport>, now: Instant) {
@@ -213,7 +213,7 @@
         }
         prop_assert_eq!(one.digest(), other.digest());
         for content in 0..4 {
-            prop_assert_eq!(one.verdict(content, now), other.verdict(content, now));
+            prop_assert_eq!(one.decide(content, now), other.decide(content, now));
             prop_assert_eq!(one.crashes(content), other.crashes(content));
         }
     }
@@ -239,7 +239,7 @@
         }
         prop_assert_eq!(table.digest(), whole.digest());
         for content in 0..4 {
-            prop_assert_eq!(table.verdict(content, now), whole.verdict(content, now));
+            prop_assert_eq!(table.decide(content, now), whole.decide(content, now));
         }
     }
 
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 use coordination::hash;
 use coordination::membership::Member;
-use coordination::quarantine::{CrashReport, TargetStart, Verdict};
+use coordination::quarantine::{CrashReport, Decision, TargetStart};
 use platform::quarantine::KIND;
 use platform::store::{Fault, Object};
 use protocol::{Millis, RequestFingerprint};
@@ -68,7 +68,7 @@
     }
     let content = content();
     let now = clock::now();
-    let was_held = node.quarantine.borrow().verdict(content, now) != Verdict::Free;
+    let was_held = node.quarantine.borrow().decide(content, now) != Decision::Allowed;
     let acquitted = node.quarantine.borrow_mut().on_success(content, now);
     if acquitted.is_empty() {
         return;
@@ -92,7 +92,7 @@
         if crashes < MIN_LOGGED_CRASHES && from != "own" {
             continue;
         }
-        let verdict = table.verdict(strike.content, now);
+        let verdict = table.decide(strike.content, now);
         slog::info!(node.log, "request struck"; "content" => hex(strike.content),
             "target" => &strike.start.target, "born" => strike.start.started_at,
             "acquitted" => strike.is_cleared, "age_ms" => strike.age_ms, "from" => from,
@@ -112,32 +112,32 @@
 
 /// Whether a request may be sent; one whose trial is due asks its owner.
 pub async fn admit(node: &Node, content: impl FnOnce() -> RequestFingerprint) -> Admission {
-    if node.quarantine.borrow().held() == 0 {
+    if node.quarantine.borrow().quarantined() == 0 {
         return Admission::Free;
     }
     let content = content();
-    let verdict = node.quarantine.borrow().verdict(content, clock::now());
+    let verdict = node.quarantine.borrow().decide(content, clock::now());
     match verdict {
-        Verdict::Free => Admission::Free,
-        Verdict::Held(left) => Admission::Held(left),
-        Verdict::TrialDue if is_granted(node, content).await => {
+        Decision::Allowed => Admission::Free,
+        Decision::Quarantined(left) => Admission::Held(left),
+        Decision::TrialDue if is_granted(node, content).await => {
             slog::info!(node.log, "trial of a held request"; "content" => hex(content));
             Admission::Trial
         }
-        Verdict::TrialDue => Admission::Held(TRIAL_RETRY_DELAY),
+        Decision::TrialDue => Admission::Held(TRIAL_RETRY_DELAY),
     }
 }
 
 /// For how much longer a request is held that waited for a slot meanwhile.
 pub fn held_for(node: &Node, content: impl FnOnce() -> RequestFingerprint) -> Option<Duration> {
     let table = node.quarantine.borrow();
-    if table.held() == 0 {
+    if table.quarantined() == 0 {
         return None;
     }
-    match table.verdict(content(), clock::now()) {
-        Verdict::Free => None,
-        Verdict::Held(left) => Some(left),
-        Verdict::TrialDue => Some(TRIAL_RETRY_DELAY),
+    match table.decide(content(), clock::now()) {
+        Decision::Allowed => None,
+        Decision::Quarantined(left) => Some(left),
+        Decision::TrialDue => Some(TRIAL_RETRY_DELAY),
     }
 }
 
@@ -183,7 +183,7 @@
             () = tokio::time::sleep(WRITE_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
-        let held = node.quarantine.borrow().held_requests();
+        let held = node.quarantine.borrow().quarantined_requests();
         written.retain(|content, _| held.iter().any(|(id, _)| id == content));
         for (content, crashes) in held {
             let is_known = written.get(&content).is_some_and(|known| *known >= crashes);
