--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -102,7 +102,7 @@
     /// Takes in a strike, heard or seen; `true` when it is news.
     pub fn on_crash_report(&mut self, strike: CrashReport, now: Instant) -> bool {
         let age = Duration::from_millis(strike.age_ms);
-        if age >= self.policy.retain {
+        if age >= self.policy.retention {
             return false;
         }
         let at = now.checked_sub(age).unwrap_or(now);
@@ -161,7 +161,7 @@
     /// and look through all requests at each strike took 50 us a strike at 8,000 of them, to
     /// do so only when one may be held takes 0.6 (`cargo bench -p gatespoold --bench slopes`).
     fn is_heavy(&self, crashes: usize) -> bool {
-        self.policy.crashes > 0 && crashes >= self.policy.crashes
+        self.policy.max_crashes > 0 && crashes >= self.policy.max_crashes
     }
 
     /// What the digest holds of a request.
@@ -184,10 +184,10 @@
         let Some(row) = self.rows.get(&content) else {
             return Decision::Allowed;
         };
-        let known = crashes.saturating_sub(self.policy.crashes);
-        let untold = row.trials.saturating_sub(self.policy.untold_trials);
+        let known = crashes.saturating_sub(self.policy.max_crashes);
+        let untold = row.trials.saturating_sub(self.policy.unreported_trials);
         let beyond = known.max(untold);
-        let hold = self.policy.holds[beyond.min(self.policy.holds.len() - 1)];
+        let hold = self.policy.durations[beyond.min(self.policy.durations.len() - 1)];
         let since = row.last().max(row.trialled).unwrap_or(now);
         let left = (since + hold).saturating_duration_since(now);
         if left.is_zero() { Decision::TrialDue } else { Decision::Quarantined(left) }
@@ -235,14 +235,14 @@
         let is_due = now.saturating_duration_since(self.looked) >= LOOK_EVERY;
         let has_lost_old = is_due && self.forget_old(now);
         // Some at a time, so that not each strike of a mass crash looks through all.
-        let is_over = self.rows.len() > self.policy.most + self.policy.most / 8;
+        let is_over = self.rows.len() > self.policy.max_entries + self.policy.max_entries / 8;
         let has_lost_least = is_over && self.forget_least();
         has_lost_old || has_lost_least
     }
 
     fn forget_old(&mut self, now: Instant) -> bool {
         self.looked = now;
-        let retain = self.policy.retain;
+        let retain = self.policy.retention;
         let is_old = |entry: &Entry| now.saturating_duration_since(entry.at) >= retain;
         let has_old = |row: &Row| row.strikes.values().any(is_old);
         let rows = self.rows.iter().filter(|(_, row)| has_old(row));
@@ -266,7 +266,7 @@
         let mut ranks: Vec<(usize, Option<Instant>, RequestFingerprint)> =
             self.rows.iter().map(rank).collect();
         ranks.sort_unstable();
-        ranks.truncate(self.rows.len().saturating_sub(self.policy.most));
+        ranks.truncate(self.rows.len().saturating_sub(self.policy.max_entries));
         let mut has_lost_heavy = false;
         for (crashes, _, content) in ranks {
             has_lost_heavy |= self.is_heavy(crashes);
@@ -281,11 +281,12 @@
     /// explains says nothing of what else ran there.
     fn judge(&mut self) {
         self.held.clear();
-        if self.policy.crashes == 0 {
+        if self.policy.max_crashes == 0 {
             return;
         }
-        let is_plain =
-            |row: &Row| row.standing().count() >= self.policy.crashes + self.policy.shared;
+        let is_plain = |row: &Row| {
+            row.standing().count() >= self.policy.max_crashes + self.policy.shared_margin
+        };
         let plain = self.rows.iter().filter(|(_, row)| is_plain(row));
         self.held = plain.map(|(id, row)| (*id, row.standing().count())).collect();
         let held = self.rows.iter().filter(|(id, _)| self.held.contains_key(id));
@@ -298,7 +299,7 @@
             let counts: Vec<(RequestFingerprint, usize)> =
                 open.map(|(id, row)| (*id, unexplained(row))).collect();
             let most = counts.iter().map(|(_, count)| *count).max().unwrap_or(0);
-            if most < self.policy.crashes {
+            if most < self.policy.max_crashes {
                 return;
             }
             // Those that can't be told apart are held alike.
--- a/crates/coordination/src/quarantine/types.rs
+++ b/crates/coordination/src/quarantine/types.rs
@@ -53,34 +53,34 @@
 #[derive(Clone, Debug)]
 pub struct Policy {
     /// Crashes after which a request is held; 0 for never.
-    pub crashes: usize,
+    pub max_crashes: usize,
     /// How long a request is held after its last crash or trial: before its first trial,
     /// its second, and all further ones. Most wrongly held requests are freed by the first;
     /// one that does crash its targets crashes two more in a day.
-    pub holds: [Duration; 3],
+    pub durations: [Duration; 3],
     /// Trials of which nobody hears how they ended that don't lengthen the hold: one may be
     /// stopped for other work or find no slot, and its sender may be gone.
-    pub untold_trials: usize,
+    pub unreported_trials: usize,
     /// Crashes beyond [`Policy::crashes`] with which a request is held though others explain
     /// them all: two that crash their targets may share some.
-    pub shared: usize,
+    pub shared_margin: usize,
     /// How long a strike counts.
-    pub retain: Duration,
+    pub retention: Duration,
     /// Requests with strikes that are remembered. A fleet that loses hundreds of targets at
     /// one moment gives a strike to thousands.
-    pub most: usize,
+    pub max_entries: usize,
 }
 
 impl Default for Policy {
     fn default() -> Policy {
         const DAY: Duration = Duration::from_secs(86_400);
         Policy {
-            crashes: 3,
-            holds: [Duration::from_secs(12), Duration::from_secs(600), DAY],
-            untold_trials: 2,
-            shared: 2,
-            retain: DAY,
-            most: 1_024,
+            max_crashes: 3,
+            durations: [Duration::from_secs(12), Duration::from_secs(600), DAY],
+            unreported_trials: 2,
+            shared_margin: 2,
+            retention: DAY,
+            max_entries: 1_024,
         }
     }
 }
--- a/crates/coordination/tests/quarantine.rs
+++ b/crates/coordination/tests/quarantine.rs
@@ -145,7 +145,7 @@
 
 #[test]
 fn strikes_are_forgotten_after_their_time_and_not_refreshed_by_late_words() {
-    let policy = Policy { retain: Duration::from_secs(60), ..Policy::default() };
+    let policy = Policy { retention: Duration::from_secs(60), ..Policy::default() };
     let (mut table, start) = (Table::new(policy, Instant::now()), Instant::now());
     for n in 0..3 {
         table.on_crash_report(CrashReport { age_ms: 50_000, ..strike(DEADLY, n) }, start);
@@ -159,7 +159,7 @@
 
 #[test]
 fn a_mass_crash_drives_out_no_request_that_is_held() {
-    let policy = Policy { most: 50, ..Policy::default() };
+    let policy = Policy { max_entries: 50, ..Policy::default() };
     let (mut table, now) = (Table::new(policy, Instant::now()), Instant::now());
     for n in 0..3 {
         table.on_crash_report(strike(DEADLY, n), now);
@@ -173,8 +173,10 @@
 
 #[test]
 fn nothing_is_held_without_a_bound() {
-    let (mut table, now) =
-        (Table::new(Policy { crashes: 0, ..Policy::default() }, Instant::now()), Instant::now());
+    let (mut table, now) = (
+        Table::new(Policy { max_crashes: 0, ..Policy::default() }, Instant::now()),
+        Instant::now(),
+    );
     for n in 0..9 {
         table.on_crash_report(strike(DEADLY, n), now);
     }
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -337,7 +337,7 @@
 
 /// When requests are held by the settings.
 fn quarantine_policy(policy: &settings::Policy) -> quarantine::Policy {
-    quarantine::Policy { crashes: policy.max_crashes, ..quarantine::Policy::default() }
+    quarantine::Policy { max_crashes: policy.max_crashes, ..quarantine::Policy::default() }
 }
 
 /// The time of day in milliseconds, for what is kept on the platform.
