--- a/crates/coordination/src/registry.rs
+++ b/crates/coordination/src/registry.rs
@@ -12,7 +12,7 @@
 
 /// How long entries may take to come back after the platform's return: the
 /// platform's word is two seconds, and a little more for the news to arrive.
-pub const RETURN_TIME: Duration = Duration::from_millis(2_300);
+pub const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_300);
 /// Parts that two instances compare one by one. Of 3,000 targets a part that
 /// differs brings some 50, and the list of digests has half a kilobyte.
 pub const PARTS: usize = 64;
@@ -43,9 +43,9 @@
 
 /// What the platform's word on the registry changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Learnt {
+pub struct Delta {
     /// Changes that were news.
-    pub news: Vec<Change>,
+    pub changes: Vec<Change>,
     /// Targets whose entries have just been found missing, which may only be a
     /// lapse: they stand until [`Registry::on_time`] removes them.
     pub missing: Vec<TargetId>,
@@ -210,9 +210,9 @@
         revision: u64,
         regained: Option<Instant>,
         now: Instant,
-    ) -> Learnt {
+    ) -> Delta {
         let present: HashSet<TargetId> = list.iter().map(|target| target.id.clone()).collect();
-        let mut learnt = Learnt::default();
+        let mut learnt = Delta::default();
         for target in list {
             self.on_entry(target, &mut learnt);
         }
@@ -226,18 +226,18 @@
     }
 
     /// An entry was read.
-    pub fn on_entry(&mut self, target: Target, learnt: &mut Learnt) {
+    pub fn on_entry(&mut self, target: Target, learnt: &mut Delta) {
         let change = Change::Present(target);
         if self.on_change(change.clone()) {
-            learnt.news.push(change);
+            learnt.changes.push(change);
         }
     }
 
     /// An entry was read that names no target to use, as of `revision`.
-    pub fn on_spoilt(&mut self, id: &str, revision: u64, learnt: &mut Learnt) {
+    pub fn on_invalid(&mut self, id: &str, revision: u64, learnt: &mut Delta) {
         let change = Change::Gone { id: id.to_owned(), revision };
         if self.rows.contains_key(id) && self.on_change(change.clone()) {
-            learnt.news.push(change);
+            learnt.changes.push(change);
         }
     }
 
@@ -249,9 +249,9 @@
         revision: u64,
         regained: Option<Instant>,
         now: Instant,
-        learnt: &mut Learnt,
+        learnt: &mut Delta,
     ) {
-        let settled = regained.map(|at| at + RETURN_TIME).filter(|settled| now < *settled);
+        let settled = regained.map(|at| at + REREGISTRATION_GRACE).filter(|settled| now < *settled);
         let Some(row) = self.rows.get_mut(id) else {
             return;
         };
@@ -266,12 +266,12 @@
         }
         let change = Change::Gone { id: id.to_owned(), revision };
         if self.on_change(change.clone()) {
-            learnt.news.push(change);
+            learnt.changes.push(change);
         }
     }
 
     /// Removes what has been missing for too long; gives what is news.
-    pub fn on_time(&mut self, now: Instant) -> Vec<Change> {
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<Change> {
         let is_over = |row: &&Row| row.missing.is_some_and(|until| now >= until);
         let over = self.rows.values().filter(is_over);
         let over: Vec<Target> = over.map(|row| row.target.clone()).collect();
--- a/crates/coordination/tests/registry.rs
+++ b/crates/coordination/tests/registry.rs
@@ -1,6 +1,6 @@
 //! Targets as several instances learn of them, in any order.
 
-use coordination::registry::{Change, Learnt, RETURN_TIME, Registry};
+use coordination::registry::{Change, Delta, REREGISTRATION_GRACE, Registry};
 use proptest::prelude::*;
 use protocol::routing::Target;
 use std::net::SocketAddr;
@@ -30,9 +30,9 @@
     let now = Instant::now();
     let mut registry = Registry::default();
     registry.on_list(vec![target("a", 1, false), target("b", 2, false)], 2, None, now);
-    let mut learnt = Learnt::default();
+    let mut learnt = Delta::default();
     registry.on_removed("a", 3, None, now, &mut learnt);
-    assert_eq!(learnt.news, [Change::Gone { id: "a".into(), revision: 3 }]);
+    assert_eq!(learnt.changes, [Change::Gone { id: "a".into(), revision: 3 }]);
     assert_eq!(usable(&registry), ["b"]);
 }
 
@@ -42,7 +42,7 @@
     let mut registry = Registry::default();
     registry.on_list(vec![target("a", 1, false), target("b", 2, false)], 2, None, now);
     let mut learnt = registry.on_list(Vec::new(), 9, Some(now), now);
-    assert!(learnt.news.is_empty());
+    assert!(learnt.changes.is_empty());
     learnt.missing.sort_unstable();
     assert_eq!(learnt.missing, ["a", "b"]);
     let again = registry.on_list(Vec::new(), 9, Some(now), now);
@@ -50,11 +50,11 @@
     assert_eq!(usable(&registry), ["a", "b"]);
     // One comes back, the other doesn't.
     registry.on_change(Change::Present(target("a", 11, false)));
-    let later = now + RETURN_TIME;
-    let gone = registry.on_time(later);
+    let later = now + REREGISTRATION_GRACE;
+    let gone = registry.remove_expired(later);
     assert_eq!(gone.len(), 1);
     assert_eq!(usable(&registry), ["a"]);
-    assert!(registry.on_time(later + Duration::from_secs(9)).is_empty());
+    assert!(registry.remove_expired(later + Duration::from_secs(9)).is_empty());
 }
 
 #[test]
--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -8,7 +8,7 @@
 use super::message::Update;
 use super::node::{Config, Node};
 use crate::clock;
-use coordination::registry::{Change, Learnt, RETURN_TIME};
+use coordination::registry::{Change, Delta, REREGISTRATION_GRACE};
 use platform::store::{Changes, Listing, Object, Revision};
 use platform::{config, target};
 use protocol::routing::{Target, Version};
@@ -31,7 +31,7 @@
             () = tokio::time::sleep(EXPIRY_CHECK_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
-        let lapsed = node.registry.borrow_mut().on_time(clock::now());
+        let lapsed = node.registry.borrow_mut().remove_expired(clock::now());
         if !lapsed.is_empty() {
             on_changed(&node, &lapsed, "lapsed");
             broadcast::send(&node, Update::Targets(lapsed));
@@ -123,7 +123,7 @@
 pub fn on_entries(node: &Rc<Node>, listing: &Listing) {
     let now = clock::now();
     let regained = node.store.reachable_since();
-    let mut learnt = Learnt::default();
+    let mut learnt = Delta::default();
     let mut targets = Vec::new();
     for object in &listing.objects {
         match read_target(node, object) {
@@ -135,7 +135,7 @@
         spoil(node, name, listing.revision, &mut learnt);
     }
     let listed = node.registry.borrow_mut().on_list(targets, listing.revision, regained, now);
-    learnt.news.extend(listed.news);
+    learnt.changes.extend(listed.changes);
     learnt.missing.extend(listed.missing);
     on_learnt(node, learnt);
 }
@@ -144,7 +144,7 @@
 pub fn on_changes(node: &Rc<Node>, changes: Changes) {
     let regained = node.store.reachable_since();
     let now = clock::now();
-    let mut learnt = Learnt::default();
+    let mut learnt = Delta::default();
     let latest: HashMap<String, usize> = changes
         .changes
         .iter()
@@ -176,25 +176,25 @@
     on_learnt(node, learnt);
 }
 
-fn on_entry(node: &Node, target: Target, learnt: &mut Learnt) {
+fn on_entry(node: &Node, target: Target, learnt: &mut Delta) {
     node.registry.borrow_mut().on_entry(target, learnt);
 }
 
 /// An entry that another writer has spoilt names no target to use. It doesn't say that the
 /// target leaves: the target writes its entry anew with its next heartbeat, and is used
 /// again then.
-fn spoil(node: &Node, id: &str, revision: Revision, learnt: &mut Learnt) {
-    node.registry.borrow_mut().on_spoilt(id, revision, learnt);
+fn spoil(node: &Node, id: &str, revision: Revision, learnt: &mut Delta) {
+    node.registry.borrow_mut().on_invalid(id, revision, learnt);
 }
 
 /// Passes on what the platform's word changed.
-fn on_learnt(node: &Rc<Node>, learnt: Learnt) {
-    let Learnt { news, missing } = learnt;
+fn on_learnt(node: &Rc<Node>, learnt: Delta) {
+    let Delta { changes: news, missing } = learnt;
     if !missing.is_empty() {
         let regained = node.store.reachable_since().map(|at| clock::since(at).as_millis() as u64);
         slog::info!(node.log, "targets missing"; "count" => missing.len(),
             "targets" => ?missing.iter().take(MAX_LOGGED_TARGETS).collect::<Vec<_>>(),
-            "platform_back_ms" => regained, "bound_ms" => RETURN_TIME.as_millis() as u64);
+            "platform_back_ms" => regained, "bound_ms" => REREGISTRATION_GRACE.as_millis() as u64);
     }
     on_changed(node, &news, "platform");
     if !news.is_empty() {
