--- a/crates/coordination/src/registry.rs
+++ b/crates/coordination/src/registry.rs
@@ -15,7 +15,7 @@
 pub const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_300);
 /// Parts that two instances compare one by one. Of 3,000 targets a part that
 /// differs brings some 50, and the list of digests has half a kilobyte.
-pub const PARTS: usize = 64;
+pub const DIGEST_BUCKETS: usize = 64;
 /// Removals that are remembered, so that late news doesn't bring a target back.
 const MOST_REMOVED: usize = 4_096;
 
@@ -62,8 +62,8 @@
     digests: Vec<u64>,
 }
 
-fn part(id: &str) -> usize {
-    (hash::bytes(id.as_bytes()) % PARTS as u64) as usize
+fn bucket(id: &str) -> usize {
+    (hash::bytes(id.as_bytes()) % DIGEST_BUCKETS as u64) as usize
 }
 
 /// Hash of an entry: what an entry says is a function of its revision.
@@ -89,7 +89,7 @@
 
     /// Whether a target is known to leave or to be gone, and may be sent nothing.
     /// One that was never heard of isn't.
-    pub fn has_left(&self, id: &str) -> bool {
+    pub fn is_unusable(&self, id: &str) -> bool {
         self.rows.get(id).map_or(self.removed.contains_key(id), |row| row.target.leaving)
     }
 
@@ -113,15 +113,15 @@
     /// The same for each part, to be given to [`Registry::differing`].
     pub fn digests(&self) -> Vec<u64> {
         let mut digests = self.digests.clone();
-        digests.resize(PARTS, 0);
+        digests.resize(DIGEST_BUCKETS, 0);
         digests
     }
 
     /// What is known in the parts whose digests differ, for an instance that has
     /// fallen behind.
-    pub fn differing(&self, digests: &[u64]) -> Vec<Change> {
+    pub fn changes_in_differing_buckets(&self, digests: &[u64]) -> Vec<Change> {
         let own = self.digests();
-        let differs = |id: &TargetId| digests.get(part(id)) != own.get(part(id));
+        let differs = |id: &TargetId| digests.get(bucket(id)) != own.get(bucket(id));
         let present = self.rows.values().map(|row| &row.target);
         let present = present.filter(|target| differs(&target.id));
         let present = present.map(|target| Change::Present(target.clone()));
@@ -131,7 +131,7 @@
     }
 
     /// What the digest of a target's part holds of it.
-    fn share(&self, id: &str) -> u64 {
+    fn contribution(&self, id: &str) -> u64 {
         let row = self.rows.get(id);
         let present = row.map_or(0, |row| digest_of(id, row.target.revision, true));
         let gone = self.removed.get(id).map_or(0, |revision| digest_of(id, *revision, false));
@@ -140,9 +140,9 @@
 
     /// Makes a target's part agree after a change; `before` is its share then.
     fn update_digest(&mut self, id: &str, before: u64) {
-        let after = self.share(id);
-        self.digests.resize(PARTS, 0);
-        if let Some(digest) = self.digests.get_mut(part(id)) {
+        let after = self.contribution(id);
+        self.digests.resize(DIGEST_BUCKETS, 0);
+        if let Some(digest) = self.digests.get_mut(bucket(id)) {
             *digest = digest.wrapping_sub(before).wrapping_add(after);
         }
     }
@@ -153,7 +153,7 @@
             Change::Present(target) => target.id.clone(),
             Change::Gone { id, .. } => id.clone(),
         };
-        let before = self.share(&id);
+        let before = self.contribution(&id);
         let is_news = match change {
             Change::Present(target) => self.on_present(target),
             Change::Gone { id, revision } => self.on_gone(&id, revision),
@@ -196,7 +196,7 @@
     fn forget_oldest(&mut self) {
         let oldest = self.removed.iter().min_by_key(|(_, revision)| **revision);
         if let Some(id) = oldest.map(|(id, _)| id.clone()) {
-            let before = self.share(&id);
+            let before = self.contribution(&id);
             self.removed.remove(&id);
             self.update_digest(&id, before);
         }
--- a/crates/coordination/tests/registry.rs
+++ b/crates/coordination/tests/registry.rs
@@ -74,18 +74,18 @@
 #[test]
 fn a_target_has_left_once_it_is_leaving_or_gone() {
     let mut registry = Registry::default();
-    assert!(!registry.has_left("a"), "unknown: whoever names it knows more");
+    assert!(!registry.is_unusable("a"), "unknown: whoever names it knows more");
     registry.on_change(Change::Present(target("a", 5, false)));
-    assert!(!registry.has_left("a"));
+    assert!(!registry.is_unusable("a"));
     registry.on_change(Change::Present(target("a", 6, true)));
-    assert!(registry.has_left("a"));
+    assert!(registry.is_unusable("a"));
     assert_eq!(registry.change("a"), Some(Change::Present(target("a", 6, true))));
     let gone = Change::Gone { id: "a".into(), revision: 7 };
     registry.on_change(gone.clone());
-    assert!(registry.has_left("a"));
+    assert!(registry.is_unusable("a"));
     assert_eq!(registry.change("a"), Some(gone));
     registry.on_change(Change::Present(target("a", 8, false)));
-    assert!(!registry.has_left("a"), "it is back");
+    assert!(!registry.is_unusable("a"), "it is back");
 }
 
 fn changes() -> impl Strategy<Value = Vec<Change>> {
@@ -140,10 +140,10 @@
             ahead.on_change(change.clone());
         }
         missed.into_iter().for_each(|change| { ahead.on_change(change); });
-        for change in ahead.differing(&behind.digests()) {
+        for change in ahead.changes_in_differing_buckets(&behind.digests()) {
             behind.on_change(change);
         }
         prop_assert_eq!(behind.digests(), ahead.digests());
-        prop_assert!(ahead.differing(&behind.digests()).is_empty());
+        prop_assert!(ahead.changes_in_differing_buckets(&behind.digests()).is_empty());
     }
 }
--- a/crates/daemon/src/gateway/crash.rs
+++ b/crates/daemon/src/gateway/crash.rs
@@ -53,7 +53,7 @@
     let probe = node.targets.probe(address).await;
     let broken = node.crash_checks.0.borrow_mut().remove(&target).unwrap_or_default();
     // What a target that leaves cuts off at its end is no crash.
-    let has_left = node.registry.borrow().has_left(&target);
+    let has_left = node.registry.borrow().is_unusable(&target);
     let ids: Vec<&String> = broken.iter().map(|broken| &broken.id).collect();
     let contents: Vec<String> = broken.iter().map(|broken| hex(broken.content)).collect();
     let is_crash = is_crash(probe, has_left);
--- a/crates/daemon/src/gateway/leases/lease.rs
+++ b/crates/daemon/src/gateway/leases/lease.rs
@@ -112,7 +112,7 @@
     let lease = activate(node, grant, purpose, Grantor::Remote(owner));
     let change = {
         let registry = node.registry.borrow();
-        if !registry.has_left(&target) {
+        if !registry.is_unusable(&target) {
             return Ok(lease);
         }
         registry.change(&target)
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -114,7 +114,7 @@
             PeerReply::Done
         }
         PeerRequest::Targets(digests) => {
-            PeerReply::Targets(node.registry.borrow().differing(&digests))
+            PeerReply::Targets(node.registry.borrow().changes_in_differing_buckets(&digests))
         }
         PeerRequest::Statuses(statuses) => {
             statuses.into_iter().for_each(|status| job_table::on_status(node, status));
