--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -38,7 +38,7 @@
     /// Whether it is a suspect for too short a time to have refuted it.
     fn is_recent_suspect(&self, policy: Policy, now: Instant) -> bool {
         let since = now.saturating_duration_since(self.changed);
-        since < policy.suspect.mul_f64(REFUTED)
+        since < policy.suspect_timeout.mul_f64(REFUTED)
     }
 }
 
@@ -348,7 +348,8 @@
         for row in self.rows.values_mut() {
             let silent = now.saturating_duration_since(row.changed);
             let patience = if row.second_hand { BY_WORD } else { 1 };
-            let expired = row.member.state == State::Suspect && silent >= policy.suspect * patience;
+            let expired =
+                row.member.state == State::Suspect && silent >= policy.suspect_timeout * patience;
             let gone = row.member.state == State::Leaving && row.misses >= MISSES;
             if expired || gone {
                 losses += u64::from(expired);
@@ -359,7 +360,7 @@
         }
         self.rows.retain(|_, row| {
             let silent = now.saturating_duration_since(row.changed);
-            row.member.state != State::Dead || silent < policy.forget
+            row.member.state != State::Dead || silent < policy.dead_retention
         });
         self.losses += losses;
         self.version += dead.len() as u64;
--- a/crates/coordination/src/membership/types.rs
+++ b/crates/coordination/src/membership/types.rs
@@ -56,9 +56,9 @@
         witness: Source,
     },
     /// A job was cancelled.
-    Cancel(String),
+    JobCancelled(String),
     /// A shard has a new job, with the time of its acceptance.
-    Work(u32, u64),
+    JobAccepted(u32, u64),
     /// A generation of the configuration is in force somewhere.
     Generation(u64),
 }
@@ -67,20 +67,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
     /// Time between heartbeats.
-    pub ping: Duration,
+    pub heartbeat_interval: Duration,
     /// Silence of a suspect until it counts as dead.
-    pub suspect: Duration,
+    pub suspect_timeout: Duration,
     /// How long a dead member is still tried now and then; a cut that heals
     /// within it needs no help from the platform's list.
-    pub forget: Duration,
+    pub dead_retention: Duration,
 }
 
 impl Default for Policy {
     fn default() -> Policy {
         Policy {
-            ping: Duration::from_millis(500),
-            suspect: Duration::from_secs(3),
-            forget: Duration::from_secs(7_200),
+            heartbeat_interval: Duration::from_millis(500),
+            suspect_timeout: Duration::from_secs(3),
+            dead_retention: Duration::from_secs(7_200),
         }
     }
 }
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -95,7 +95,7 @@
 
     /// One heartbeat of every member, with news sent on as it comes.
     fn round(&mut self) {
-        self.now += Policy::default().ping;
+        self.now += Policy::default().heartbeat_interval;
         let ids: Vec<u64> =
             self.tables.keys().copied().filter(|id| !self.gone.contains(id)).collect();
         for id in &ids {
--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -237,7 +237,7 @@
         let tick = began.elapsed().as_secs_f64() * 1e3;
         let began = Instant::now();
         for n in 0..1000u64 {
-            table.broadcast(Update::Cancel(format!("job-{n}")));
+            table.broadcast(Update::JobCancelled(format!("job-{n}")));
             for to in table.out_of_date() {
                 let (mark, news) = table.updates_for(to.id);
                 black_box(news);
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -233,13 +233,13 @@
     match shared.shards.submit(shared, command.clone()).await {
         Ok(Reply::Status(status)) => {
             if status.phase == Phase::Cancelled {
-                shared.tell(Update::Cancel(job.into()));
+                shared.tell(Update::JobCancelled(job.into()));
             }
             Ok(http::json(200, &status))
         }
         Ok(_) => Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit")),
         Err(error) if is_passing(error.kind) => {
-            shared.tell(Update::Cancel(job.into()));
+            shared.tell(Update::JobCancelled(job.into()));
             shared.late.push(command);
             let text = "the job is stopped, but its cancel isn't recorded yet";
             Err(Error { kind: Kind::NotRecorded, message: text.into(), ..error })
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -125,8 +125,8 @@
     /// An instance that knows nothing yet.
     pub fn new(settings: Settings, log: Logger, me: Member, peers: Peers) -> Rc<Node> {
         let policy = Policy {
-            ping: settings.heartbeat_interval,
-            suspect: settings.suspect_timeout,
+            heartbeat_interval: settings.heartbeat_interval,
+            suspect_timeout: settings.suspect_timeout,
             ..Policy::default()
         };
         let now = clock::now();
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -158,7 +158,7 @@
         let now = Instant::now();
         let members = lock(&self.table).workers().count() as u32;
         if self.batch.since_work(now) >= WORK_NEWS_PER_MEMBER * members {
-            self.tell(Update::Work(shard, at));
+            self.tell(Update::JobAccepted(shard, at));
         } else {
             self.batch.on_work(shard, at, now);
         }
@@ -172,8 +172,8 @@
                 let word = Notice { leaving: *leaving, stamp: *since };
                 self.say_leaving(target, *witness, word)
             }
-            Update::Cancel(job) => self.batch.on_cancelled(job),
-            Update::Work(shard, at) => self.batch.on_work(*shard, *at, Instant::now()),
+            Update::JobCancelled(job) => self.batch.on_cancelled(job),
+            Update::JobAccepted(shard, at) => self.batch.on_work(*shard, *at, Instant::now()),
             // The table passes it on by itself; the entries are fetched by the
             // peers duty, which knows who sent it.
             Update::Generation(generation) => {
@@ -268,8 +268,8 @@
     /// Joins the parts.
     pub fn join(self) -> Shared {
         let policy = coordination::membership::Policy {
-            ping: self.settings.heartbeat_interval,
-            suspect: self.settings.suspect_timeout,
+            heartbeat_interval: self.settings.heartbeat_interval,
+            suspect_timeout: self.settings.suspect_timeout,
             ..Default::default()
         };
         Shared {
--- a/crates/transport/src/peer/codec.rs
+++ b/crates/transport/src/peer/codec.rs
@@ -80,9 +80,9 @@
                 word.set_leaving(*leaving);
                 word.set_witness(write_witness(*witness));
             }
-            Update::Cancel(job) => slot.set_cancel(job),
+            Update::JobCancelled(job) => slot.set_cancel(job),
             Update::Generation(generation) => slot.set_generation(*generation),
-            Update::Work(shard, at) => {
+            Update::JobAccepted(shard, at) => {
                 let mut work = slot.init_work();
                 work.set_shard(*shard);
                 work.set_at(*at);
@@ -114,11 +114,11 @@
                 witness: read_witness(word.get_witness()?),
             })
         }
-        note::Which::Cancel(job) => Ok(Update::Cancel(job?.to_string()?)),
+        note::Which::Cancel(job) => Ok(Update::JobCancelled(job?.to_string()?)),
         note::Which::Generation(generation) => Ok(Update::Generation(generation)),
         note::Which::Work(work) => {
             let work = work?;
-            Ok(Update::Work(work.get_shard(), work.get_at()))
+            Ok(Update::JobAccepted(work.get_shard(), work.get_at()))
         }
     }
 }
