--- a/crates/coordination/src/admission.rs
+++ b/crates/coordination/src/admission.rs
@@ -48,10 +48,10 @@
 
 impl PeerLoad {
     /// A peer says how many online requests it has there.
-    pub fn on_word(&mut self, from: InstanceId, online: u32, now: Instant) {
+    pub fn on_peer_report(&mut self, from: InstanceId, online: u32, now: Instant) {
         self.peers.retain(|_, (_, at)| now.saturating_duration_since(*at) <= PRESSURE_AGE);
         self.peers.insert(from, (online, now));
-        self.note(self.sum(now), now);
+        self.record(self.sum(now), now);
     }
 
     /// Sum of the peers' words that still count.
@@ -61,7 +61,7 @@
     }
 
     /// Remembers a count of online requests.
-    pub fn note(&mut self, online: u32, now: Instant) {
+    pub fn record(&mut self, online: u32, now: Instant) {
         if online > 0 {
             self.used = Some(now);
         }
--- a/crates/coordination/src/burn_rate.rs
+++ b/crates/coordination/src/burn_rate.rs
@@ -49,7 +49,7 @@
 
 impl History {
     /// Counts one request.
-    pub fn note(&mut self, good: bool, now: Instant) {
+    pub fn record(&mut self, good: bool, now: Instant) {
         let slot = self.slot(now);
         if self.buckets.back().is_none_or(|(last, _)| *last < slot) {
             self.buckets.push_back((slot, Counts::default()));
--- a/crates/coordination/src/slots/target_state.rs
+++ b/crates/coordination/src/slots/target_state.rs
@@ -33,7 +33,7 @@
         self.share * (-age / HALF_LIFE.as_secs_f64()).exp2()
     }
 
-    fn note(&mut self, has_failed: bool, now: Instant) {
+    fn record(&mut self, has_failed: bool, now: Instant) {
         let share = self.share(now);
         let outcome = f64::from(u8::from(has_failed));
         *self = Failures { share: share + (outcome - share) * NEWEST, at: Some(now) };
@@ -171,21 +171,21 @@
             LeaseOutcome::Completed => {
                 self.health.on_success();
                 self.doubted = None;
-                self.failures.note(false, now);
+                self.failures.record(false, now);
             }
             // The request may be the reason: many in a row don't eject a target.
-            LeaseOutcome::Failed => self.failures.note(true, now),
+            LeaseOutcome::Failed => self.failures.record(true, now),
             LeaseOutcome::Rejected => self.doubted = Some(now),
             LeaseOutcome::Interrupted => {
                 self.health.on_failure(now);
-                self.failures.note(true, now);
+                self.failures.record(true, now);
             }
             // Guards against slots of targets that are gone and turn each request away at
             // once: 840 runs of items in 7 s, at 12 targets, on a day of late entries.
             LeaseOutcome::Unresponsive | LeaseOutcome::Misdirected => {
                 self.health.on_unresponsive(now);
                 self.doubted = Some(now);
-                self.failures.note(true, now);
+                self.failures.record(true, now);
             }
         }
         if let Some(pace) = report.event_interval {
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -83,10 +83,10 @@
 fn pressure_is_the_sum_of_fresh_words_and_a_burst_is_remembered() {
     let now = Instant::now();
     let mut pressure = PeerLoad::default();
-    pressure.on_word(1, 3, now);
-    pressure.on_word(2, 4, now + Duration::from_millis(100));
+    pressure.on_peer_report(1, 3, now);
+    pressure.on_peer_report(2, 4, now + Duration::from_millis(100));
     assert_eq!(pressure.sum(now + Duration::from_millis(100)), 7);
-    pressure.on_word(1, 0, now + Duration::from_millis(150));
+    pressure.on_peer_report(1, 0, now + Duration::from_millis(150));
     assert_eq!(pressure.sum(now + Duration::from_millis(150)), 4);
     assert_eq!(pressure.peak(now + Duration::from_millis(200)), 7);
     assert_eq!(pressure.peak(now + Duration::from_millis(700)), 4, "the count still in force");
@@ -232,7 +232,7 @@
     let mut series = History::default();
     for minute in 0..60 {
         let at = start + Duration::from_secs(minute * 60);
-        (0..10).for_each(|n| series.note(n > 0 || minute < 55, at));
+        (0..10).for_each(|n| series.record(n > 0 || minute < 55, at));
     }
     let now = start + Duration::from_secs(59 * 60 + 1);
     let short = series.count_within(Duration::from_secs(300), now);
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -200,7 +200,7 @@
         // counts batch streams of whoever decided before.
         let known = state.load.own() + state.pressure.sum(now);
         let online = known.max(state.load.online(now));
-        state.pressure.note(online, now);
+        state.pressure.record(online, now);
         let peak = state.pressure.peak(now);
         let reserve = state.pressure.reserve(self.shared.settings.reserved_slots, now);
         let unyielding = self.shared.settings.is_guard_disabled("yield");
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -384,7 +384,7 @@
         let mut state = lock(&node.state);
         state.load.on_start();
         let online = state.load.online(now);
-        state.pressure.note(online, now);
+        state.pressure.record(online, now);
     }
     node.on_load();
     bound.counts.running.fetch_add(1, Ordering::Relaxed);
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -105,7 +105,7 @@
         if burn.len() >= MAX_ROUTES && !burn.contains_key(route) {
             burn.clear(); // Routes come and go; those in use are back at once.
         }
-        burn.entry(route.to_owned()).or_default().note(is_good, now);
+        burn.entry(route.to_owned()).or_default().record(is_good, now);
     }
 
     fn burn_rate_text(&self, now: Instant) -> String {
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -68,7 +68,7 @@
     async fn pressure(&self, from: u64, target: String, online: u32) {
         let view = self.shared.view();
         if let Some(node) = view.nodes.get(&target) {
-            lock(&node.state).pressure.on_word(from, online, Instant::now());
+            lock(&node.state).pressure.on_peer_report(from, online, Instant::now());
             self.shared.batch.wake();
         }
     }
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -73,7 +73,7 @@
 
 impl Level {
     fn note(&mut self, first: Option<Duration>, limit: Duration, now: Instant) {
-        self.series.note(first.is_some_and(|first| first <= limit), now);
+        self.series.record(first.is_some_and(|first| first <= limit), now);
         if let Some(first) = first {
             self.first.saturating_record(first.as_millis() as u64);
         }
