--- a/crates/coordination/src/admission.rs
+++ b/crates/coordination/src/admission.rs
@@ -10,18 +10,18 @@
 use std::time::{Duration, Instant};
 
 /// How long a peer's word about its online requests counts.
-pub const PRESSURE_AGE: Duration = Duration::from_millis(1500);
+pub const PEER_REPORT_MAX_AGE: Duration = Duration::from_millis(1500);
 
 /// How long a busy target's peak keeps batch from starting there again. Longer,
 /// and the gaps after bursts stay empty; shorter, and the gaps within them are
 /// filled with streams that must stop at once.
-pub const BUSY_MEMORY: Duration = Duration::from_millis(300);
+pub const PEAK_WINDOW: Duration = Duration::from_millis(300);
 
 /// Counts kept of that time.
 const SAMPLES: usize = 64;
 
 /// How long a target counts as used by online requests after the last one.
-pub const QUIET_AFTER: Duration = Duration::from_secs(30);
+pub const IDLE_AFTER: Duration = Duration::from_secs(30);
 
 /// Counts up to this are told as they are.
 const EXACT: u32 = 4;
@@ -49,14 +49,14 @@
 impl PeerLoad {
     /// A peer says how many online requests it has there.
     pub fn on_peer_report(&mut self, from: InstanceId, online: u32, now: Instant) {
-        self.peers.retain(|_, (_, at)| now.saturating_duration_since(*at) <= PRESSURE_AGE);
+        self.peers.retain(|_, (_, at)| now.saturating_duration_since(*at) <= PEER_REPORT_MAX_AGE);
         self.peers.insert(from, (online, now));
         self.record(self.sum(now), now);
     }
 
     /// Sum of the peers' words that still count.
     pub fn sum(&self, now: Instant) -> u32 {
-        let fresh = |at: &Instant| now.saturating_duration_since(*at) <= PRESSURE_AGE;
+        let fresh = |at: &Instant| now.saturating_duration_since(*at) <= PEER_REPORT_MAX_AGE;
         self.peers.values().filter(|(_, at)| fresh(at)).map(|(n, _)| n).sum()
     }
 
@@ -70,7 +70,7 @@
         }
         self.samples.push_back((now, online));
         // A count holds until the next one, so the one before the window counts.
-        let old = |at: Instant| now.saturating_duration_since(at) > BUSY_MEMORY;
+        let old = |at: Instant| now.saturating_duration_since(at) > PEAK_WINDOW;
         while self.samples.len() > SAMPLES || self.samples.get(1).is_some_and(|(at, _)| old(*at)) {
             self.samples.pop_front();
         }
@@ -80,13 +80,13 @@
     /// and then, none where there were none for a while. There the first request
     /// waits the few milliseconds that giving way takes.
     pub fn reserve(&self, configured: u32, now: Instant) -> u32 {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) <= QUIET_AFTER;
+        let is_recent = |at: Instant| now.saturating_duration_since(at) <= IDLE_AFTER;
         if self.used.is_some_and(is_recent) { configured } else { 0 }
     }
 
     /// The highest count within [`BUSY_MEMORY`].
     pub fn peak(&self, now: Instant) -> u32 {
-        let fresh = |at: Instant| now.saturating_duration_since(at) <= BUSY_MEMORY;
+        let fresh = |at: Instant| now.saturating_duration_since(at) <= PEAK_WINDOW;
         let first = self.samples.iter().position(|(at, _)| fresh(*at));
         // The last count before that time is in force at its start.
         let from = first.unwrap_or(self.samples.len()).saturating_sub(1);
