--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -52,7 +52,7 @@
     /// When the oldest result came.
     pub oldest: Instant,
     /// When the oldest result came that says that its item failed for good.
-    pub verdict: Option<Instant>,
+    pub failed: Option<Instant>,
     /// When the job is due.
     pub due: Instant,
     /// Whether nothing else of the job will follow: all its items have results, or its
@@ -62,7 +62,7 @@
 
 /// When to write.
 pub fn flush_at(policy: Policy, fresh: Unwritten) -> Instant {
-    let Unwritten { oldest, verdict, due, is_last } = fresh;
+    let Unwritten { oldest, failed: verdict, due, is_last } = fresh;
     if is_last {
         return oldest;
     }
--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -184,7 +184,7 @@
     }
 
     fn grant(&mut self, ask: &Request, now: Instant) -> Option<(Grant, Option<Revocation>)> {
-        let is_settling = now < self.since + self.policy.settle;
+        let is_settling = now < self.since + self.policy.settling_period;
         if ask.purpose == Purpose::Batch && (is_settling || !self.has_headroom(ask)) {
             return None;
         }
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -33,7 +33,7 @@
     pub preemption_cost: Duration,
     /// Time in which a new account hands out nothing to batch, until holders
     /// have reported what they hold. A few round trips.
-    pub settle: Duration,
+    pub settling_period: Duration,
     /// A lease that its holder doesn't report is dropped when it is older than
     /// this; younger ones may have crossed the report.
     pub report_grace: Duration,
@@ -62,7 +62,7 @@
         Policy {
             headroom: 0.06,
             preemption_cost: Duration::from_millis(120),
-            settle: Duration::from_millis(300),
+            settling_period: Duration::from_millis(300),
             report_grace: Duration::from_secs(1),
             holder_timeout: Duration::from_millis(1_500),
             late_last: true,
--- a/crates/coordination/tests/flush.rs
+++ b/crates/coordination/tests/flush.rs
@@ -7,7 +7,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 fn fresh(now: Instant, due_ms: u32) -> Unwritten {
-    Unwritten { oldest: now, verdict: None, due: now + MS * due_ms, is_last: false }
+    Unwritten { oldest: now, failed: None, due: now + MS * due_ms, is_last: false }
 }
 
 #[rstest]
@@ -24,7 +24,7 @@
 #[test]
 fn a_verdict_is_written_soon() {
     let now = Instant::now();
-    let verdict = Unwritten { verdict: Some(now + MS * 500), ..fresh(now, 18_000) };
+    let verdict = Unwritten { failed: Some(now + MS * 500), ..fresh(now, 18_000) };
     assert_eq!(flush::flush_at(Policy::default(), verdict) - now, MS * 800);
 }
 
@@ -35,7 +35,7 @@
     let (mut calls, mut seen_in_time) = (0, 0);
     let mut left = results.iter().map(|at| start + MS * *at).peekable();
     while let Some(oldest) = left.next() {
-        let at = flush::flush_at(policy, Unwritten { oldest, verdict: None, due, is_last: false });
+        let at = flush::flush_at(policy, Unwritten { oldest, failed: None, due, is_last: false });
         let mut written = 1;
         while left.next_if(|next| *next <= at).is_some() {
             written += 1;
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -110,7 +110,7 @@
     let is_end = state.is_ended() && !state.is_end_durable();
     let fresh = flush::Unwritten {
         oldest: held.oldest_unwritten.get().unwrap_or(now),
-        verdict: held.oldest_failure.get(),
+        failed: held.oldest_failure.get(),
         due: now.checked_sub(overdue).unwrap_or(now) + due_in,
         is_last: is_end || state.is_done(),
     };
