--- a/crates/coordination/src/queue.rs
+++ b/crates/coordination/src/queue.rs
@@ -14,11 +14,11 @@
     /// Requests waiting now.
     pub waiting: u32,
     /// Most that may wait.
-    pub most: u32,
+    pub max_waiting: u32,
     /// Requests running now.
     pub running: u32,
     /// Mean time of one request.
-    pub mean: Duration,
+    pub mean_duration: Duration,
 }
 
 /// What to do with a request that finds no free target.
@@ -34,8 +34,8 @@
 pub fn decide(queue: Queue, left: Duration) -> Decision {
     let ahead = f64::from(queue.waiting + 1);
     let lanes = f64::from(queue.running.max(1));
-    let expected = queue.mean.mul_f64(ahead / lanes);
-    let full = queue.waiting >= queue.most;
+    let expected = queue.mean_duration.mul_f64(ahead / lanes);
+    let full = queue.waiting >= queue.max_waiting;
     let hopeless = expected > left.min(MAX_WAIT * 2);
     if full || hopeless || left.is_zero() {
         return Decision::Refuse(
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -189,7 +189,8 @@
     #[case] left: u64,
     #[case] waits: bool,
 ) {
-    let queue = Queue { waiting, most: 64, running, mean: Duration::from_millis(mean) };
+    let queue =
+        Queue { waiting, max_waiting: 64, running, mean_duration: Duration::from_millis(mean) };
     let verdict = queue::decide(queue, Duration::from_millis(left));
     assert_eq!(matches!(verdict, queue::Decision::Wait(_)), waits, "{verdict:?}");
 }
--- a/crates/daemon/src/front/answer.rs
+++ b/crates/daemon/src/front/answer.rs
@@ -184,9 +184,9 @@
         let counts = &bound.counts;
         let queue = Queue {
             waiting: counts.waiting.load(Ordering::Relaxed),
-            most: bound.service.queue,
+            max_waiting: bound.service.queue,
             running: counts.running.load(Ordering::Relaxed),
-            mean: Duration::from_micros(counts.mean.load(Ordering::Relaxed)),
+            mean_duration: Duration::from_micros(counts.mean.load(Ordering::Relaxed)),
         };
         let limit = match queue::decide(queue, self.terms.left(now)) {
             Decision::Refuse(after) => return Err(self.full(bound, after)),
