--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -51,7 +51,7 @@
 impl CallerRequest {
     /// What it asks for, the same each time that it comes.
     pub fn content(&self) -> RequestFingerprint {
-        hash::content(self.method.as_str(), &self.host, &self.target, &self.body)
+        hash::request_fingerprint(self.method.as_str(), &self.host, &self.target, &self.body)
     }
 
     /// Time left.
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -140,7 +140,7 @@
     let state = held.state.borrow();
     // A body that can't be decoded is never sent.
     let body = job::body_of(&item.body).unwrap_or_default();
-    hash::content("POST", &state.job().host, &item.path, &body)
+    hash::request_fingerprint("POST", &state.job().host, &item.path, &body)
 }
 
 async fn attempt(
