--- a/crates/coordination/src/capacity.rs
+++ b/crates/coordination/src/capacity.rs
@@ -7,10 +7,10 @@
 //! ```
 //! use coordination::capacity;
 //!
-//! let small = capacity::mark(0x1230, 0.12);
-//! let large = capacity::mark(0x4560, 0.5);
-//! assert_eq!(capacity::owner(b"account", [small, large]), Some(large));
-//! assert_eq!(capacity::owner(b"account", [small]), Some(small));
+//! let small = capacity::tag_id(0x1230, 0.12);
+//! let large = capacity::tag_id(0x4560, 0.5);
+//! assert_eq!(capacity::owner(b"key", [small, large]), Some(large));
+//! assert_eq!(capacity::owner(b"key", [small]), Some(small));
 //! ```
 
 use crate::InstanceId;
--- a/crates/coordination/src/connectivity.rs
+++ b/crates/coordination/src/connectivity.rs
@@ -13,20 +13,20 @@
 //! What it is not: a breaker. Calls go on or not by their own rules.
 //!
 //! ```
-//! use coordination::connectivity::{Contact, Policy};
+//! use coordination::connectivity::{Tracker, Policy};
 //! use std::time::{Duration, Instant};
 //!
-//! let mut contact = Contact::new(Policy::default());
+//! let mut tracker = Tracker::new(Policy::default());
 //! let start = Instant::now();
-//! contact.on_answer(start);
+//! tracker.on_response(start);
 //! let later = start + Duration::from_millis(700);
-//! assert!(contact.is_probe_due(later));
-//! contact.on_missed();
-//! assert!(contact.is_lost());
-//! contact.on_answer(later);
-//! assert!(!contact.is_lost());
-//! let series = contact.series().unwrap();
-//! assert_eq!(series.since, start, "the break was too short for anything to lapse");
+//! assert!(tracker.is_probe_due(later));
+//! tracker.on_probe_failed();
+//! assert!(tracker.is_disconnected());
+//! tracker.on_response(later);
+//! assert!(!tracker.is_disconnected());
+//! let uptime = tracker.uptime().unwrap();
+//! assert_eq!(uptime.since, start, "the outage was too short for entries to expire");
 //! ```
 
 use std::time::{Duration, Instant};
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -5,14 +5,14 @@
 //! results are gathered, but not past the time at which the job is due.
 //!
 //! ```
-//! use coordination::flush::{self, Fresh, Policy};
+//! use coordination::flush::{self, Unwritten, Policy};
 //! use std::time::{Duration, Instant};
 //!
 //! let now = Instant::now();
-//! let fresh = Fresh { oldest: now, verdict: None, due: now + Duration::from_secs(18), is_last: false };
+//! let unwritten = Unwritten { oldest: now, failed: None, due: now + Duration::from_secs(18), is_last: false };
 //! let policy = Policy::default();
-//! assert_eq!(flush::due_at(policy, fresh), now + policy.gather);
-//! assert_eq!(flush::due_at(policy, Fresh { is_last: true, ..fresh }), now);
+//! assert_eq!(flush::flush_at(policy, unwritten), now + policy.max_delay);
+//! assert_eq!(flush::flush_at(policy, Unwritten { is_last: true, ..unwritten }), now);
 //! ```
 
 use std::time::{Duration, Instant};
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -12,11 +12,11 @@
 //! ```
 //! use coordination::append_log::{Append, Step};
 //!
-//! // A create whose answer was lost is settled by reading back.
+//! // A create whose outcome is unknown is resolved by reading the entry back.
 //! let append = Append::new(7, "writer-a");
-//! assert_eq!(append.on_lost(), Step::ReadBack);
-//! assert_eq!(append.on_found(Some("writer-a")), Step::Committed);
-//! assert_eq!(append.on_found(Some("writer-b")), Step::Overtaken);
+//! assert_eq!(append.on_unknown(), Step::ReadBack);
+//! assert_eq!(append.on_read(Some("writer-a")), Step::Committed);
+//! assert_eq!(append.on_read(Some("writer-b")), Step::Conflict);
 //! ```
 
 pub mod admission;
--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -14,17 +14,17 @@
 //! more.
 //!
 //! ```
-//! use coordination::quarantine::{Boot, Policy, Strike, Table, Verdict};
+//! use coordination::quarantine::{TargetStart, Policy, CrashReport, Table, Decision};
 //! use std::time::Instant;
 //!
 //! let now = Instant::now();
 //! let mut table = Table::new(Policy::default(), now);
 //! for n in 0..3 {
-//!     let boot = Boot { target: format!("t{n}"), born: 0 };
-//!     table.on_strike(Strike::new(7, boot), now);
+//!     let start = TargetStart { target: format!("t{n}"), started_at: 0 };
+//!     table.on_crash_report(CrashReport::new(7, start), now);
 //! }
-//! assert!(matches!(table.verdict(7, now), Verdict::Held(_)));
-//! assert_eq!(table.verdict(8, now), Verdict::Free);
+//! assert!(matches!(table.decide(7, now), Decision::Quarantined(_)));
+//! assert_eq!(table.decide(8, now), Decision::Allowed);
 //! ```
 
 mod types;
--- a/crates/coordination/src/run_time.rs
+++ b/crates/coordination/src/run_time.rs
@@ -5,16 +5,16 @@
 //! it is done, since it is stopped whenever online needs its slot.
 //!
 //! ```
-//! use coordination::run_time::{Done, Span};
+//! use coordination::run_time::{Sample, Estimate};
 //! use std::time::Duration;
 //!
-//! let mut span = Span::default();
-//! assert_eq!(span.left(0), Duration::ZERO, "nothing was learnt yet");
-//! let (pace, took) = (Duration::from_millis(25), Duration::from_secs(10));
-//! span.on_done(Done { events: 200, pace, took });
-//! assert_eq!(span.left(0), Duration::from_secs(5));
-//! assert_eq!(span.left(150), Duration::from_millis(1_250));
-//! assert_eq!(span.surely(0, 1.25), Duration::from_millis(12_500), "it stood still half of it");
+//! let mut estimate = Estimate::default();
+//! assert_eq!(estimate.remaining(0), Duration::ZERO, "no samples yet");
+//! let (event_interval, elapsed) = (Duration::from_millis(25), Duration::from_secs(10));
+//! estimate.record(Sample { events: 200, event_interval, elapsed });
+//! assert_eq!(estimate.remaining(0), Duration::from_secs(5));
+//! assert_eq!(estimate.remaining(150), Duration::from_millis(1_250));
+//! assert_eq!(estimate.upper_bound(0, 1.25), Duration::from_millis(12_500), "half of its time without a slot");
 //! ```
 
 use serde::{Deserialize, Serialize};
