--- a/crates/coordination/src/hash.rs
+++ b/crates/coordination/src/hash.rs
@@ -9,7 +9,12 @@
 }
 
 /// What a request asks for: the same for every try of it, whatever its id.
-pub fn request_fingerprint(method: &str, host: &str, path: &str, body: &[u8]) -> RequestFingerprint {
+pub fn request_fingerprint(
+    method: &str,
+    host: &str,
+    path: &str,
+    body: &[u8],
+) -> RequestFingerprint {
     let mut hasher = Xxh3Default::new();
     for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
         // Lengths keep the parts apart.
--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -313,7 +313,12 @@
     }
 }
 
-fn told(content: RequestFingerprint, boot: &TargetStart, entry: &Entry, now: Instant) -> CrashReport {
+fn told(
+    content: RequestFingerprint,
+    boot: &TargetStart,
+    entry: &Entry,
+    now: Instant,
+) -> CrashReport {
     let age = now.saturating_duration_since(entry.at);
     let boot = boot.clone();
     CrashReport {
--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -1,20 +1,19 @@
-//! One account of a data centre's slots, so that online never waits behind batch.
+//! Allocates the slots of a data centre's targets, so that online requests never wait behind
+//! batch.
 //!
-//! Engines admit requests in the order in which they arrive and know no
-//! priorities, so whatever waits in an engine can't be helped any more. One
-//! instance of each data centre therefore keeps the account of its targets'
-//! slots: who wants to send asks for a lease on a slot first and gives it back
-//! afterwards. Online requests take a free slot, else one that batch holds (its
-//! lease is revoked and the item goes on elsewhere or later), else they wait
-//! here: who can still be in time goes before who can't, and who can't be served
-//! before its caller leaves is refused at once. A request may wait in several
-//! accounts; the first grant counts and its other places are given up.
+//! Engines serve requests in arrival order and have no priorities, so a request that is queued in
+//! an engine can't be reordered any more. Therefore one instance of each data centre leases out
+//! the slots of its targets: a sender acquires a lease on a slot first and releases it afterwards.
+//! An online request takes a free slot, or preempts a batch item (its lease is revoked and the
+//! item runs elsewhere or later), or is queued here. Among queued requests, those that can still
+//! meet their deadline precede those that can't; a request whose caller would leave before it is
+//! served is rejected at once. A request may be queued by several allocators: it uses the first
+//! grant and cancels the others.
 //!
-//! The account is soft state. It is rebuilt from what the holders report when
-//! another instance takes it over, and a wrong account costs a detour or a wait,
-//! never a promise.
+//! The allocator's state is soft: an instance that takes over rebuilds it from the holders'
+//! reports. Wrong state costs a detour or a wait, never correctness.
 //!
-//! It does no I/O: whoever runs it carries its verdicts to the holders.
+//! There is no I/O here: the embedder delivers decisions to holders.
 
 mod batch;
 mod holders;
@@ -41,175 +40,181 @@
     purpose: Purpose,
     granted: Instant,
     due: Instant,
-    /// When its work is expected to be done.
+    /// When its work is expected to complete.
     ends: Instant,
-    /// Whether it was granted too late for its work to be in time.
+    /// Whether it was granted too late for its work to meet the deadline.
     is_late: bool,
     is_revoked: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Waiter {
-    ask: Request,
-    since: Instant,
+    request: Request,
+    queued_at: Instant,
 }
 
-/// Hold time of an online lease that is assumed until one was measured.
-const FIRST_GUESS: Duration = Duration::from_millis(500);
-/// Shortest and longest time after which a refused caller is asked to come back.
-const COME_BACK: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(1_500)];
+/// Mean hold time of online leases before the first sample.
+const INITIAL_HOLD_TIME: Duration = Duration::from_millis(500);
+/// Bounds of the delay after which a rejected caller should retry.
+const RETRY_AFTER: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(1_500)];
 
-/// The account.
+/// Leases of a data centre's slots, and the queue for them.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     policy: Policy,
-    since: Instant,
+    settling_since: Instant,
     targets: BTreeMap<TargetId, TargetState>,
     leases: HashMap<LeaseId, Lease>,
     waiters: BTreeMap<WaiterId, Waiter>,
-    /// When each holder last said something.
-    heard: HashMap<InstanceId, Instant>,
-    next: u64,
-    /// Running mean of the time for which online leases are held, in seconds.
-    hold: f64,
-    /// How long items of batch run.
-    span: Estimate,
+    /// When each holder last sent a request or a report.
+    last_heard: HashMap<InstanceId, Instant>,
+    next_id: u64,
+    /// Running mean of the hold time of online leases, in seconds.
+    mean_hold_s: f64,
+    /// Run time of batch items.
+    run_time: Estimate,
 }
 
 impl Allocator {
-    /// An empty account; `seed` makes its lease ids differ from those of others.
+    /// An allocator without targets; `seed` keeps its lease ids apart from those of other
+    /// allocators.
     pub fn new(policy: Policy, seed: u64, now: Instant) -> Allocator {
         Allocator {
             policy,
-            since: now,
+            settling_since: now,
             targets: BTreeMap::new(),
             leases: HashMap::new(),
             waiters: BTreeMap::new(),
-            heard: HashMap::new(),
-            next: seed,
-            hold: FIRST_GUESS.as_secs_f64(),
-            span: Estimate::default(),
+            last_heard: HashMap::new(),
+            next_id: seed,
+            mean_hold_s: INITIAL_HOLD_TIME.as_secs_f64(),
+            run_time: Estimate::default(),
         }
     }
 
-    /// Sets the targets of the account; those that are gone, or have started again under
-    /// their id, lose their leases, and with them all that was known of their health.
+    /// Replaces the set of targets. Targets that are removed, or have restarted under the same id,
+    /// lose their leases and their health.
     pub fn set_targets<'a>(&mut self, targets: impl IntoIterator<Item = &'a Target>) {
-        let mut old = std::mem::take(&mut self.targets);
+        let mut previous = std::mem::take(&mut self.targets);
         for target in targets {
-            let known =
-                old.remove(&target.id).filter(|row| row.target.started_at == target.started_at);
+            let known = previous
+                .remove(&target.id)
+                .filter(|state| state.target.started_at == target.started_at);
             let is_kept = known.is_some();
-            let mut row = known.unwrap_or_else(|| TargetState::new(target.clone()));
+            let mut state = known.unwrap_or_else(|| TargetState::new(target.clone()));
             if !is_kept {
                 self.leases.retain(|_, lease| lease.target != target.id);
             }
-            row.target.clone_from(target);
-            self.targets.insert(target.id.clone(), row);
+            state.target.clone_from(target);
+            self.targets.insert(target.id.clone(), state);
         }
         let rows = &self.targets;
         self.leases.retain(|_, lease| rows.contains_key(&lease.target));
     }
 
-    /// Starts the time anew in which nothing goes to batch: targets were added
-    /// whose leases are not known yet.
+    /// Restarts the period without batch grants, because targets were added whose leases aren't
+    /// known yet.
     pub fn start_settling(&mut self, now: Instant) {
-        self.since = now;
+        self.settling_since = now;
     }
 
-    /// Whether the account has a target that may be used for a wish.
-    pub fn has_service(&self, ask: &Request) -> bool {
-        self.targets.values().any(|row| row.serves(ask))
+    /// Whether any target may serve the request.
+    pub fn has_service(&self, request: &Request) -> bool {
+        self.targets.values().any(|state| state.serves(request))
     }
 
-    /// Leases that are out, for metrics: online and batch.
+    /// Numbers of active leases, for metrics: online, batch.
     pub fn in_use(&self) -> [u32; 2] {
         let sum = |of: fn(&TargetState) -> u32| self.targets.values().map(of).sum();
-        [sum(|row| row.online), sum(|row| row.batch)]
+        [sum(|state| state.online), sum(|state| state.batch)]
     }
 
-    /// How long items of batch run on these targets.
+    /// Run time of batch items on these targets.
     pub fn run_time(&self) -> Estimate {
-        self.span
+        self.run_time
     }
 
-    /// Answers a wish.
-    pub fn on_request(&mut self, ask: Request, now: Instant) -> Decision {
-        if !self.has_service(&ask) {
+    /// Grants a slot, queues the request or rejects it.
+    pub fn on_request(&mut self, request: Request, now: Instant) -> Decision {
+        if !self.has_service(&request) {
             return Decision::NoTarget;
         }
-        self.on_heard(ask.holder, now);
-        if !self.is_behind_others(&ask, now)
-            && let Some((grant, revocation)) = self.grant(&ask, now)
+        self.record_contact(request.holder, now);
+        if !self.has_higher_priority_waiter(&request, now)
+            && let Some((grant, revocation)) = self.grant(&request, now)
         {
             return Decision::Granted(grant, revocation);
         }
-        self.drop_silent(now);
-        let turn = ask.priority(&self.policy, now);
+        self.drop_unresponsive(now);
+        let priority = request.priority(&self.policy, now);
         let before = |waiter: &&Waiter| {
-            waiter.ask.is_like(&ask) && waiter.ask.priority(&self.policy, now) < turn
+            waiter.request.competes_with(&request)
+                && waiter.request.priority(&self.policy, now) < priority
         };
         let ahead = self.waiters.values().filter(before).count();
-        let wait = self.expected_wait(&ask, ahead, now);
-        let is_hopeless = ask.purpose == Purpose::Online && now + wait > ask.expires;
-        if !ask.may_wait || is_hopeless {
-            return Decision::Full(wait.clamp(COME_BACK[0], COME_BACK[1]));
+        let wait = self.expected_wait(&request, ahead, now);
+        let is_unserviceable = request.purpose == Purpose::Online && now + wait > request.expires;
+        if !request.may_wait || is_unserviceable {
+            return Decision::Full(wait.clamp(RETRY_AFTER[0], RETRY_AFTER[1]));
         }
-        self.next += 1;
-        let id = self.next;
-        self.waiters.insert(id, Waiter { ask, since: now });
+        self.next_id += 1;
+        let id = self.next_id;
+        self.waiters.insert(id, Waiter { request, queued_at: now });
         Decision::Queued(id)
     }
 
-    /// Whether somebody waits who goes before this wish.
-    fn is_behind_others(&self, ask: &Request, now: Instant) -> bool {
-        let turn = ask.priority(&self.policy, now);
-        self.waiters
-            .values()
-            .any(|waiter| waiter.ask.is_like(ask) && waiter.ask.priority(&self.policy, now) < turn)
+    /// Whether a queued request precedes this one.
+    fn has_higher_priority_waiter(&self, request: &Request, now: Instant) -> bool {
+        let priority = request.priority(&self.policy, now);
+        self.waiters.values().any(|waiter| {
+            waiter.request.competes_with(request)
+                && waiter.request.priority(&self.policy, now) < priority
+        })
     }
 
-    /// How long a wish with `ahead` others before it is expected to wait: slots
-    /// come free one after the other as online requests end, in all the accounts
-    /// in which they wait. The others are taken to have lost as large a share of
-    /// their targets as this one.
-    fn expected_wait(&self, ask: &Request, ahead: usize, now: Instant) -> Duration {
-        let fits = |row: &&TargetState| row.serves(ask);
-        let own: u32 = self.targets.values().filter(fits).map(|row| row.target.slots).sum();
-        let in_use = self.targets.values().filter(fits).filter(|row| row.is_in_use(now));
-        let in_use: u32 = in_use.map(|row| row.target.slots).sum();
-        let share = f64::from(in_use) / f64::from(own.max(1));
-        let slots = (f64::from(own.max(ask.total_slots)) * share).max(1.0);
-        Duration::from_secs_f64(self.hold * (ahead + 1) as f64 / slots)
+    /// Expected wait of a request with `ahead` others before it.
+    ///
+    /// Slots come free one by one as online requests end, at all allocators where the request is
+    /// queued. The other allocators are assumed to have lost the same ratio of their targets as
+    /// this one.
+    fn expected_wait(&self, request: &Request, ahead: usize, now: Instant) -> Duration {
+        let fits = |state: &&TargetState| state.serves(request);
+        let local_slots: u32 =
+            self.targets.values().filter(fits).map(|state| state.target.slots).sum();
+        let in_use = self.targets.values().filter(fits).filter(|state| state.is_in_use(now));
+        let in_use: u32 = in_use.map(|state| state.target.slots).sum();
+        let share = f64::from(in_use) / f64::from(local_slots.max(1));
+        let slots = (f64::from(local_slots.max(request.total_slots)) * share).max(1.0);
+        Duration::from_secs_f64(self.mean_hold_s * (ahead + 1) as f64 / slots)
     }
 
-    fn grant(&mut self, ask: &Request, now: Instant) -> Option<(Grant, Option<Revocation>)> {
-        let is_settling = now < self.since + self.policy.settling_period;
-        if ask.purpose == Purpose::Batch && (is_settling || !self.has_headroom(ask)) {
+    fn grant(&mut self, request: &Request, now: Instant) -> Option<(Grant, Option<Revocation>)> {
+        let is_settling = now < self.settling_since + self.policy.settling_period;
+        if request.purpose == Purpose::Batch && (is_settling || !self.has_headroom(request)) {
             return None;
         }
-        let (mut target, rank) = self.choose(ask, now)?;
-        let mut stopped = None;
+        let (mut target, rank) = self.choose(request, now)?;
+        let mut preempted = None;
         if self.targets.get(&target)?.is_full() {
-            let alike = self.alike(ask, rank, now);
-            stopped = self.least_loss(|id| alike.contains(id));
-            target = self.leases.get(&stopped?)?.target.clone();
+            let equivalent = self.equivalent(request, rank, now);
+            preempted = self.cheapest_to_preempt(|id| equivalent.contains(id));
+            target = self.leases.get(&preempted?)?.target.clone();
         }
         let address = self.targets.get(&target)?.target.address;
-        let revocation = stopped.and_then(|lease| self.revoke(lease));
-        self.next += 1;
-        let lease = self.next;
-        self.add(lease, ask, target.clone(), now);
+        let revocation = preempted.and_then(|lease| self.revoke(lease));
+        self.next_id += 1;
+        let lease = self.next_id;
+        self.add(lease, request, target.clone(), now);
         Some((Grant { lease, target, address }, revocation))
     }
 
-    /// The target for a wish, and its rank: one with a free slot, the least loaded
-    /// first; for online, else one where batch can be stopped.
-    fn choose(&self, ask: &Request, now: Instant) -> Option<(TargetId, Rank)> {
-        let median = self.median_pace();
+    /// The best target for a request and its rank: the least loaded with a free slot; for online
+    /// requests also one where batch can be preempted.
+    fn choose(&self, request: &Request, now: Instant) -> Option<(TargetId, Rank)> {
+        let median = self.median_event_interval();
         let mut best: Option<(Rank, &TargetId)> = None;
-        for (id, row) in &self.targets {
-            let Some(rank) = row.rank(ask, median, &self.policy, now) else {
+        for (id, state) in &self.targets {
+            let Some(rank) = state.rank(request, median, &self.policy, now) else {
                 continue;
             };
             if best.as_ref().is_none_or(|(known, _)| rank < *known) {
@@ -219,77 +224,81 @@
         best.map(|(rank, id)| (id.clone(), rank))
     }
 
-    fn median_pace(&self) -> f64 {
-        let known = self.targets.values().map(|row| row.pace).filter(|pace| *pace > 0.0);
+    fn median_event_interval(&self) -> f64 {
+        let known = self
+            .targets
+            .values()
+            .map(|state| state.event_interval)
+            .filter(|event_interval| *event_interval > 0.0);
         let mut known: Vec<f64> = known.collect();
         known.sort_by(f64::total_cmp);
         known.get(known.len() / 2).copied().unwrap_or(0.0)
     }
 
-    fn add(&mut self, id: LeaseId, ask: &Request, target: TargetId, now: Instant) {
-        if let Some(row) = self.targets.get_mut(&target) {
-            *row.count(ask.purpose) += 1;
+    fn add(&mut self, id: LeaseId, request: &Request, target: TargetId, now: Instant) {
+        if let Some(state) = self.targets.get_mut(&target) {
+            *state.count(request.purpose) += 1;
         }
         let lease = Lease {
             target,
-            holder: ask.holder,
-            purpose: ask.purpose,
+            holder: request.holder,
+            purpose: request.purpose,
             granted: now,
-            due: ask.due,
-            ends: now + ask.remaining,
-            is_late: self.policy.late_last && now > ask.latest_start,
+            due: request.due,
+            ends: now + request.remaining,
+            is_late: self.policy.late_last && now > request.latest_start,
             is_revoked: false,
         };
         self.leases.insert(id, lease);
     }
 
-    /// A lease was given back.
+    /// The holder released a lease.
     pub fn on_release(&mut self, id: LeaseId, report: LeaseReport, now: Instant) {
         let Some(lease) = self.leases.remove(&id) else {
             return;
         };
-        self.on_heard(lease.holder, now);
-        let fresh = self.policy.smoothing;
+        self.record_contact(lease.holder, now);
+        let smoothing = self.policy.smoothing;
         if lease.purpose == Purpose::Online && report.outcome == LeaseOutcome::Completed {
             let held = now.saturating_duration_since(lease.granted).as_secs_f64();
-            self.hold += (held - self.hold) * fresh;
+            self.mean_hold_s += (held - self.mean_hold_s) * smoothing;
         }
         if let Some(done) = report.completed {
-            self.span.record(done);
+            self.run_time.record(done);
         }
-        let Some(row) = self.targets.get_mut(&lease.target) else {
+        let Some(state) = self.targets.get_mut(&lease.target) else {
             return;
         };
         if !lease.is_revoked {
-            let count = row.count(lease.purpose);
+            let count = state.count(lease.purpose);
             *count = count.saturating_sub(1);
         }
-        row.on_report(report, lease.granted, fresh, now);
+        state.on_report(report, lease.granted, smoothing, now);
     }
 
-    /// Somebody waits in vain for a first event at the target.
+    /// A request at the target is overdue for its first event.
     pub fn on_overdue(&mut self, target: &str, now: Instant) {
-        if let Some(row) = self.targets.get_mut(target) {
-            row.on_overdue(now);
+        if let Some(state) = self.targets.get_mut(target) {
+            state.on_overdue(now);
         }
     }
 
-    /// Slots for those that wait, as far as there are any.
+    /// Grants slots to queued requests in order of priority, as far as there are free ones.
     pub fn next_grants(&mut self, now: Instant) -> Vec<(WaiterId, Grant, Option<Revocation>)> {
         let mut grants = Vec::new();
-        // Wishes that found nothing: nobody behind goes before.
+        // Requests without a slot: lower priorities for the same slots are skipped.
         let mut full: Vec<Request> = Vec::new();
         let mut passed_over: HashSet<WaiterId> = HashSet::new();
-        while let Some(id) = self.first_in_turn(&full, &passed_over, now) {
-            let Some(ask) = self.waiters.get(&id).map(|waiter| waiter.ask.clone()) else {
+        while let Some(id) = self.highest_priority(&full, &passed_over, now) {
+            let Some(request) = self.waiters.get(&id).map(|waiter| waiter.request.clone()) else {
                 break;
             };
-            match self.grant(&ask, now) {
+            match self.grant(&request, now) {
                 Some((grant, revocation)) => {
                     self.waiters.remove(&id);
                     grants.push((id, grant, revocation));
                 }
-                None if ask.excluded.is_empty() => full.push(ask),
+                None if request.excluded.is_empty() => full.push(request),
                 None => {
                     passed_over.insert(id);
                 }
@@ -298,75 +307,74 @@
         grants
     }
 
-    /// Who goes first of those that wait and that no wish in `full` keeps back.
+    /// The queued request of highest priority that isn't blocked by a request in `full`.
     ///
-    /// Gains processor time where it is scarcest: this runs whenever a slot comes free,
-    /// mostly for one, with hundreds that wait. To sort and copy them all took 47 us, to
-    /// look for the first takes 7 (250 wishes of batch that wait at 217 slots that online
-    /// has taken; mean of 2,000 calls), on instances that have an eighth of a core.
-    fn first_in_turn(
+    /// Runs whenever a slot comes free, mostly for one grant among hundreds of waiters: a scan for
+    /// the minimum is several times cheaper than sorting them.
+    fn highest_priority(
         &self,
         full: &[Request],
         passed_over: &HashSet<WaiterId>,
         now: Instant,
     ) -> Option<WaiterId> {
-        let is_kept_back = |ask: &Request| full.iter().any(|first| first.keeps_back(ask));
-        let open = self
+        let is_blocked = |request: &Request| full.iter().any(|first| first.blocks(request));
+        let candidates = self
             .waiters
             .iter()
-            .filter(|(id, waiter)| !is_kept_back(&waiter.ask) && !passed_over.contains(id));
-        open.min_by_key(|(id, waiter)| (waiter.ask.priority(&self.policy, now), **id))
+            .filter(|(id, waiter)| !is_blocked(&waiter.request) && !passed_over.contains(id));
+        candidates
+            .min_by_key(|(id, waiter)| (waiter.request.priority(&self.policy, now), **id))
             .map(|(id, _)| *id)
     }
 
-    /// Online requests that wait, the first one first.
-    fn in_turn(&self, now: Instant) -> Vec<WaiterId> {
-        let is_online = |waiter: &Waiter| waiter.ask.purpose == Purpose::Online;
-        let mut order: Vec<(Priority, WaiterId)> = self
+    /// Queued online requests in order of priority.
+    fn online_by_priority(&self, now: Instant) -> Vec<WaiterId> {
+        let is_online = |waiter: &Waiter| waiter.request.purpose == Purpose::Online;
+        let mut ordered: Vec<(Priority, WaiterId)> = self
             .waiters
             .iter()
             .filter(|(_, waiter)| is_online(waiter))
-            .map(|(id, waiter)| (waiter.ask.priority(&self.policy, now), *id))
+            .map(|(id, waiter)| (waiter.request.priority(&self.policy, now), *id))
             .collect();
-        order.sort_unstable();
-        order.into_iter().map(|(_, id)| id).collect()
+        ordered.sort_unstable();
+        ordered.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Those that wait and won't be served before their callers leave, with the
-    /// time after which to come back: each when its own turn is expected, so that
-    /// they don't all come at one moment.
+    /// Removes the queued requests that won't be served before their callers leave. Each comes
+    /// with a delay before retrying, which differs by its place in the queue so that retries are
+    /// spread.
     pub fn take_unserviceable(&mut self, now: Instant) -> Vec<(WaiterId, Duration)> {
-        self.drop_silent(now);
-        let mut refused = Vec::new();
+        self.drop_unresponsive(now);
+        let mut rejected = Vec::new();
         let mut ahead: HashMap<(&str, &str), usize> = HashMap::new();
-        for id in self.in_turn(now) {
-            let Some(ask) = self.waiters.get(&id).map(|waiter| &waiter.ask) else {
+        for id in self.online_by_priority(now) {
+            let Some(request) = self.waiters.get(&id).map(|waiter| &waiter.request) else {
                 continue;
             };
-            let ahead = ahead.entry((&ask.service, &ask.data_centre)).or_default();
-            let wait = self.expected_wait(ask, *ahead, now);
-            if now + wait > ask.expires {
-                refused.push((id, wait.clamp(COME_BACK[0], COME_BACK[1])));
+            let ahead = ahead.entry((&request.service, &request.data_centre)).or_default();
+            let wait = self.expected_wait(request, *ahead, now);
+            if now + wait > request.expires {
+                rejected.push((id, wait.clamp(RETRY_AFTER[0], RETRY_AFTER[1])));
             } else {
                 *ahead += 1;
             }
         }
-        for (id, _) in &refused {
+        for (id, _) in &rejected {
             self.waiters.remove(id);
         }
-        refused
+        rejected
     }
 
-    /// Who waited has gone.
+    /// The caller of a queued request has left.
     pub fn on_waiter_gone(&mut self, id: WaiterId) {
         self.waiters.remove(&id);
     }
 
-    /// Since when a waiter waits.
+    /// When a request was queued; `None` if it isn't.
     pub fn waits_since(&self, id: WaiterId) -> Option<Instant> {
-        self.waiters.get(&id).map(|waiter| waiter.since)
+        self.waiters.get(&id).map(|waiter| waiter.queued_at)
     }
 }
 
-/// Time between looks at those that wait.
+/// Interval between checks of queued requests.
 pub const WAITER_CHECK_INTERVAL: Duration = Duration::from_millis(25);
--- a/crates/coordination/src/slots/holders.rs
+++ b/crates/coordination/src/slots/holders.rs
@@ -1,4 +1,4 @@
-//! Makes an account agree with what its holders say, whatever was lost between.
+//! Reconciles the allocator's leases with its holders' reports.
 
 use super::lease::{HeldLease, LeaseId, Purpose, Request, Revocation};
 use super::target_state::TargetState;
@@ -13,7 +13,7 @@
         self.leases.values().map(|lease| lease.holder).collect()
     }
 
-    /// An instance is gone; what it held is free.
+    /// An instance is gone: its leases are released and its queued requests are dropped.
     pub fn on_holder_lost(&mut self, holder: InstanceId) {
         let of_holder = |lease: &Lease| lease.holder == holder;
         let held = self.leases.iter().filter(|(_, lease)| of_holder(lease));
@@ -21,33 +21,35 @@
         for id in held {
             self.drop_lease(id);
         }
-        self.waiters.retain(|_, waiter| waiter.ask.holder != holder);
-        self.heard.remove(&holder);
+        self.waiters.retain(|_, waiter| waiter.request.holder != holder);
+        self.last_heard.remove(&holder);
     }
 
-    /// A holder has said something.
-    pub(super) fn on_heard(&mut self, holder: InstanceId, now: Instant) {
-        self.heard.insert(holder, now);
+    pub(super) fn record_contact(&mut self, holder: InstanceId, now: Instant) {
+        self.last_heard.insert(holder, now);
     }
 
-    /// Whoever keeps the account was suspended: it has heard nobody meanwhile, which says
-    /// nothing of the holders, and nothing goes to batch until they have reported.
+    /// The allocator's process was suspended. That it received nothing meanwhile doesn't make the
+    /// holders unresponsive, and batch gets no grants until they have reported.
     ///
-    /// Guards against a slot that is given away while its holder uses it: after 2 s asleep
-    /// all holders seemed to have fallen silent at once.
+    /// Guards against granting slots that are still in use: after a suspension all holders look
+    /// unresponsive at once.
     pub fn on_resume(&mut self, now: Instant) {
-        self.heard.values_mut().for_each(|at| *at = now);
+        self.last_heard.values_mut().for_each(|at| *at = now);
         self.start_settling(now);
     }
 
-    /// Drops the online leases of holders that have fallen silent. One that still
-    /// lives reports them again.
-    pub(super) fn drop_silent(&mut self, now: Instant) {
-        let silence = self.policy.holder_timeout;
-        let is_over = |at: Instant| now.saturating_duration_since(at) > silence;
-        let is_silent = |holder: &InstanceId| self.heard.get(holder).is_none_or(|at| is_over(*at));
+    /// Drops online leases of unresponsive holders. A holder that is still alive reports its
+    /// leases again.
+    pub(super) fn drop_unresponsive(&mut self, now: Instant) {
+        let holder_timeout = self.policy.holder_timeout;
+        let has_timed_out = |at: Instant| now.saturating_duration_since(at) > holder_timeout;
+        let is_unresponsive =
+            |holder: &InstanceId| self.last_heard.get(holder).is_none_or(|at| has_timed_out(*at));
         let is_lost = |lease: &Lease| {
-            lease.purpose == Purpose::Online && is_over(lease.granted) && is_silent(&lease.holder)
+            lease.purpose == Purpose::Online
+                && has_timed_out(lease.granted)
+                && is_unresponsive(&lease.holder)
         };
         let lost = self.leases.iter().filter(|(_, lease)| is_lost(lease));
         let lost: Vec<LeaseId> = lost.map(|(id, _)| *id).collect();
@@ -56,9 +58,9 @@
         }
     }
 
-    /// A holder reports all that it holds: the account is made to agree.
+    /// Reconciles the leases of a holder with the complete list that it reports.
     pub fn on_lease_report(&mut self, holder: InstanceId, held: &[HeldLease], now: Instant) {
-        self.on_heard(holder, now);
+        self.record_contact(holder, now);
         let reported: HashSet<LeaseId> = held.iter().map(|held| held.lease).collect();
         let is_lost = |(id, lease): &(&LeaseId, &Lease)| {
             let is_old = now.saturating_duration_since(lease.granted) > self.policy.report_grace;
@@ -72,7 +74,7 @@
             if self.leases.contains_key(&held.lease) || !self.targets.contains_key(&held.target) {
                 continue;
             }
-            let ask = Request {
+            let request = Request {
                 holder,
                 data_centre: String::new(),
                 service: String::new(),
@@ -87,7 +89,7 @@
                 excluded: Vec::new(),
                 may_wait: false,
             };
-            self.add(held.lease, &ask, held.target.clone(), now);
+            self.add(held.lease, &request, held.target.clone(), now);
         }
     }
 
@@ -98,20 +100,27 @@
         if lease.is_revoked {
             return;
         }
-        if let Some(row) = self.targets.get_mut(&lease.target) {
-            let count = row.count(lease.purpose);
+        if let Some(state) = self.targets.get_mut(&lease.target) {
+            let count = state.count(lease.purpose);
             *count = count.saturating_sub(1);
         }
     }
 
-    /// Batch leases to take back because online holds more than the free slots:
-    /// what reports brought may exceed a target's slots.
+    /// Revokes batch leases at targets with more leases than slots, which reports can cause.
     pub fn revoke_excess(&mut self) -> Vec<Revocation> {
-        let over = |row: &&TargetState| row.batch > 0 && row.online + row.batch > row.target.slots;
-        let over: Vec<TargetId> =
-            self.targets.values().filter(over).map(|row| row.target.id.clone()).collect();
-        let stopped: Vec<LeaseId> =
-            over.iter().filter_map(|target| self.least_loss(|id| id == target)).collect();
-        stopped.into_iter().filter_map(|lease| self.revoke(lease)).collect()
+        let is_overcommitted = |state: &&TargetState| {
+            state.batch > 0 && state.online + state.batch > state.target.slots
+        };
+        let is_overcommitted: Vec<TargetId> = self
+            .targets
+            .values()
+            .filter(is_overcommitted)
+            .map(|state| state.target.id.clone())
+            .collect();
+        let preempted: Vec<LeaseId> = is_overcommitted
+            .iter()
+            .filter_map(|target| self.cheapest_to_preempt(|id| id == target))
+            .collect();
+        preempted.into_iter().filter_map(|lease| self.revoke(lease)).collect()
     }
 }
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -1,4 +1,4 @@
-//! Wishes, leases and verdicts: what an account of slots is asked and answers.
+//! Slot requests, leases and decisions of an allocator.
 
 use crate::run_time::Sample;
 use crate::{InstanceId, TargetId};
@@ -7,53 +7,52 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Identifies a lease; unique for each account.
+/// Identifies a lease; unique within an allocator.
 pub type LeaseId = u64;
-/// Identifies who waits for a lease.
+/// Identifies a queued request; unique within an allocator.
 pub type WaiterId = u64;
 
-/// What a lease is for.
+/// Class of work that a lease serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
-    /// Somebody waits for the answer.
+    /// A caller waits for the response.
     Online,
-    /// An item of a batch job; it can be stopped at any time.
+    /// An item of a batch job, which can be preempted at any time.
     Batch,
 }
 
-/// How an account works; the figures come from the measured rounds.
+/// Settings of an allocator.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Most slots that batch leaves free, as a share of a service's, so that not
-    /// every online request has to stop an item. A stopped item reads its prompt anew.
+    /// Maximum ratio of a service's slots that batch keeps free, so that not every online request
+    /// preempts an item.
     pub headroom: f64,
-    /// Slot time that a stopped item loses: its slot stands empty until its stream is
-    /// closed, it is asked for anew, and its prompt is read again. With what online
-    /// requests come it says how much headroom pays.
+    /// Slot time that a preemption costs: the slot is idle until the item's stream is closed, the
+    /// item needs another slot, and its prompt is processed again. Together with the rate of
+    /// online requests it sets how many slots batch keeps free.
     pub preemption_cost: Duration,
-    /// Time in which a new account hands out nothing to batch, until holders
-    /// have reported what they hold. A few round trips.
+    /// How long a new allocator grants nothing to batch while holders report their leases; a few
+    /// round trips.
     pub settling_period: Duration,
-    /// A lease that its holder doesn't report is dropped when it is older than
-    /// this; younger ones may have crossed the report.
+    /// Minimum age of a lease that is dropped because its holder doesn't report it; a younger one
+    /// may have been granted while the report was in flight.
     pub report_grace: Duration,
-    /// An online lease whose holder has said nothing for this long counts as given
-    /// back: the holder may be cut off. A report is due each second, and online
-    /// requests take less than one.
+    /// Time without any message from a holder after which its online leases are dropped. Holders
+    /// report every second, and most online requests end within one.
     pub holder_timeout: Duration,
-    /// Whether what can't be in time any more waits behind what still can, and
-    /// gives way before it.
+    /// Whether work that can no longer meet its deadline is queued behind work that can, and
+    /// preempted before it.
     pub late_last: bool,
-    /// Whether batch that was begun goes before batch that wasn't.
+    /// Whether batch items that were started precede those that weren't.
     pub started_first: bool,
-    /// A target whose events come this many times slower than the median is
-    /// used last.
+    /// Event interval, as a multiple of the median of all targets, above which a target is used
+    /// last.
     pub slow_factor: f64,
-    /// Whether a target that fails in part is used last, and not for batch.
+    /// Whether a target with many recent failures is used last, and not for batch.
     pub failing_last: bool,
-    /// Whether a target at which somebody waited in vain is used last for a while.
+    /// Whether a target with an overdue first event is used last for a while.
     pub overdue_last: bool,
-    /// Weight of the newest measurement in a running mean.
+    /// Weight of the newest sample in a running mean, in 0..1.
     pub smoothing: f64,
 }
 
@@ -75,94 +74,90 @@
     }
 }
 
-/// A wish for a slot.
+/// A request for a slot.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Who asks.
+    /// Instance that will hold the lease.
     pub holder: InstanceId,
-    /// Data centre of the account that is asked. One instance may keep several.
+    /// Data centre of the slot; one instance may run the allocators of several.
     pub data_centre: DataCentreId,
-    /// Service whose targets will do.
+    /// Service of the target.
     pub service: String,
-    /// What the slot is for.
+    /// Class of work: online precedes batch.
     pub purpose: Purpose,
-    /// When the work is due.
+    /// Deadline of the work.
     pub due: Instant,
-    /// Slot time that the work needs; of several items the one with most of it left
-    /// gives way first. Zero where it isn't known.
+    /// Slot time that the work still needs; zero if unknown. Of several items the one with most of
+    /// it is preempted first.
     pub remaining: Duration,
-    /// Whether an earlier run has done a part of the work.
+    /// Whether an earlier run has completed a part of the work.
     pub is_started: bool,
-    /// Until when a slot brings the answer within its objective.
+    /// Latest time of a grant for which the work may meet its deadline.
     pub latest_start: Instant,
-    /// Until when a slot brings the work to its end in time for sure; batch only. Between
-    /// this and the one before it may or may not.
+    /// Latest time of a grant for which the work safely meets its deadline; batch only.
     pub safe_start: Instant,
-    /// Until when a slot is of any use: the caller leaves then.
+    /// When the request is dropped, because the caller leaves.
     pub expires: Instant,
-    /// Slots of all the accounts in which the request waits, this one's included.
+    /// Slots of all allocators where the request is queued, including this one.
     pub total_slots: u32,
-    /// Targets that won't do.
+    /// Targets that must not be used.
     pub excluded: Vec<TargetId>,
-    /// Whether it may wait.
+    /// Whether the request may be queued.
     pub may_wait: bool,
 }
 
-/// Place in the order of those that wait; the lowest goes first.
+/// Sort key of queued requests; the lowest is served first.
 pub(super) type Priority = (u8, Feasibility, bool, Instant);
 
-/// Whether work can be in time; the best chance goes first.
+/// Whether work can meet its deadline; the most feasible sorts first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Feasibility {
-    /// For sure, as far as can be told.
+    /// It meets the deadline unless it is preempted more often than usual.
     Safe,
-    /// Perhaps: of those that take such a turn many end late, and then what they took is
-    /// lost to others that would have been in time.
+    /// It may meet the deadline. Much of such work ends late, after taking slots from work that
+    /// would have been in time.
     AtRisk,
-    /// It is late.
+    /// It can't meet the deadline.
     Missed,
 }
 
 impl Feasibility {
-    /// The chance of work that must go on until one of two times: to be in time for
-    /// sure, or at all.
-    pub fn at<T: PartialOrd>(now: T, sure_until: T, in_time_until: T) -> Feasibility {
+    /// Feasibility of work that needs a slot by `latest_start` to be in time, and by `safe_start`
+    /// to be so safely.
+    pub fn at<T: PartialOrd>(now: T, safe_start: T, latest_start: T) -> Feasibility {
         match () {
-            () if now >= in_time_until => Feasibility::Missed,
-            () if now >= sure_until => Feasibility::AtRisk,
+            () if now >= latest_start => Feasibility::Missed,
+            () if now >= safe_start => Feasibility::AtRisk,
             () => Feasibility::Safe,
         }
     }
 }
 
 impl Request {
-    /// Whether another wish asks for the same slots.
-    pub(super) fn is_like(&self, other: &Request) -> bool {
+    /// Whether both requests compete for the same slots.
+    pub(super) fn competes_with(&self, other: &Request) -> bool {
         self.service == other.service && self.data_centre == other.data_centre
     }
 
-    /// Whether a wish that found nothing says the same for another, whose turn is later.
-    pub(super) fn keeps_back(&self, other: &Request) -> bool {
+    /// Whether `other`, of lower priority, can't be granted a slot either if there was none for
+    /// this request.
+    pub(super) fn blocks(&self, other: &Request) -> bool {
         let is_before = self.purpose == Purpose::Online || self.purpose == other.purpose;
-        is_before && self.is_like(other)
+        is_before && self.competes_with(other)
     }
 
-    /// Whether the work of batch can be in time.
-    fn chance(&self, policy: &Policy, now: Instant) -> Feasibility {
+    fn feasibility(&self, policy: &Policy, now: Instant) -> Feasibility {
         match policy.late_last {
             true => Feasibility::at(now, self.safe_start, self.latest_start),
             false => Feasibility::Safe,
         }
     }
 
-    /// Its turn: online before batch, who can be in time before who can't, then
-    /// who is due first. What is late already is served when nobody else waits,
-    /// the caller who leaves first before the others.
+    /// Online before batch, feasible before late, then by deadline. Late online requests are
+    /// served when nothing else is queued, in the order in which their callers leave.
     ///
-    /// Of batch, what was begun goes first: in a shortage that lasts, many items are
-    /// begun otherwise and few are done. Of the events that a fleet made that was asked for
-    /// far more than it can do, a tenth was of items that were never done, and a third on
-    /// a day with trouble.
+    /// Started batch items precede others: otherwise a long shortage starts many items and
+    /// completes few.
     pub(super) fn priority(&self, policy: &Policy, now: Instant) -> Priority {
         match self.purpose {
             Purpose::Online if policy.late_last && now > self.latest_start => {
@@ -170,8 +165,8 @@
             }
             Purpose::Online => (0, Feasibility::Safe, false, self.latest_start),
             Purpose::Batch => {
-                let is_fresh = policy.started_first && !self.is_started;
-                (1, self.chance(policy, now), is_fresh, self.due)
+                let is_not_started = policy.started_first && !self.is_started;
+                (1, self.feasibility(policy, now), is_not_started, self.due)
             }
         }
     }
@@ -180,49 +175,49 @@
 /// A lease on a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The lease.
+    /// Id for the release and for reports.
     pub lease: LeaseId,
-    /// The target.
+    /// Target that the slot belongs to.
     pub target: TargetId,
-    /// Where the target is reached.
+    /// Address of the target.
     pub address: SocketAddr,
 }
 
-/// A lease that batch must give back at once.
+/// A batch lease that its holder must release at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Revocation {
-    /// The lease.
+    /// The revoked lease.
     pub lease: LeaseId,
-    /// Who holds it.
+    /// Instance to notify.
     pub holder: InstanceId,
 }
 
-/// The answer to a wish.
+/// The response to a slot request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// A slot, and what has to be stopped for it.
+    /// A slot, and the batch lease that was preempted for it.
     Granted(Grant, Option<Revocation>),
-    /// It waits; an answer follows.
+    /// The request is queued; a grant or a rejection follows.
     Queued(WaiterId),
-    /// Nothing is free; a slot is expected after this long.
+    /// No slot is free; one is expected after this long.
     Full(Duration),
-    /// There is no target of that service here.
+    /// No target of the data centre serves that service.
     NoTarget,
 }
 
 /// How a lease was used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseReport {
-    /// How it ended.
     #[serde(rename = "end")]
+    /// Defaults to [`LeaseOutcome::Completed`].
     pub outcome: LeaseOutcome,
-    /// Time to the first event, if one came.
+    /// Time to the first event; `None` if there was none.
     #[serde(rename = "first")]
     pub first_event: Option<Duration>,
-    /// Mean time between events, if several came.
+    /// Mean time between events; `None` with fewer than two.
     #[serde(rename = "pace")]
     pub event_interval: Option<Duration>,
-    /// The item that it brought to its end.
+    /// Run time of the batch item, if it completed.
     #[serde(rename = "done")]
     pub completed: Option<Sample>,
 }
@@ -230,35 +225,34 @@
 /// How the use of a lease ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseOutcome {
-    /// The answer came to its end.
+    /// The response was complete.
     #[default]
     #[serde(rename = "Good")]
     Completed,
-    /// It was not used, or stopped by its holder.
+    /// The lease wasn't used, or its holder stopped the request.
     Unused,
-    /// The target ran the request and answered with a failure.
+    /// The target ran the request and responded with an error.
     Failed,
-    /// The target turned the request away.
+    /// The target rejected the request.
     #[serde(rename = "Refused")]
     Rejected,
-    /// Another target answers at its address: it isn't there any more, whatever its entry
-    /// says.
+    /// Another target responds at the address, so this one is gone whatever the registry says.
     Misdirected,
-    /// The answer broke off or was no answer.
+    /// The response was truncated or malformed.
     #[serde(rename = "Broken")]
     Interrupted,
-    /// The target can't be reached or says nothing.
+    /// The target can't be reached or sends nothing.
     #[serde(rename = "Silent")]
     Unresponsive,
 }
 
-/// A lease as its holder reports it.
+/// A lease in a holder's report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldLease {
-    /// The lease.
+    /// Id from the grant.
     pub lease: LeaseId,
-    /// The target.
+    /// Target that the slot belongs to.
     pub target: TargetId,
-    /// What it is for.
+    /// As in the slot request.
     pub purpose: Purpose,
 }
