--- a/crates/coordination/src/capacity.rs
+++ b/crates/coordination/src/capacity.rs
@@ -1,8 +1,7 @@
-//! Which instance does what one must do for many: one of those with most processor.
+//! Chooses the owner of fleet-wide work among the instances with the most CPU.
 //!
-//! An id tells in its lowest bits how much processor its instance has, so that all rank
-//! instances alike without another word. Where they are alike, rendezvous hashing decides
-//! as elsewhere.
+//! The lowest bits of an instance id hold a class of its CPU capacity, so that all instances rank
+//! each other without further messages. Within the highest class, rendezvous hashing decides.
 //!
 //! ```
 //! use coordination::capacity;
@@ -16,30 +15,29 @@
 use crate::InstanceId;
 use crate::hash;
 
-/// Lowest bits of an id that tell the class.
-const BITS: u64 = 0xf;
-/// Processor, in cores, from which the classes count; each further one begins at twice as
-/// much. Instances of a sixteenth of a core are the smallest known.
-const LEAST: f64 = 1.0 / 32.0;
+/// Bits of an id that hold the class.
+const CLASS_BITS: u64 = 0xf;
+/// Start of class 0, in cores; each further class starts at twice the one before. Smaller
+/// instances are in class 0 as well.
+const MIN_CORES: f64 = 1.0 / 32.0;
 
-/// An id drawn by lot, marked as that of an instance with so many cores, of which it may
-/// have a part.
+/// Writes the class of `cores` into a random id; `cores` may be fractional.
 pub fn tag_id(id: u64, cores: f64) -> InstanceId {
-    let class = (cores / LEAST).log2().clamp(0.0, BITS as f64);
-    (id & !BITS) | class as u64
+    let class = (cores / MIN_CORES).log2().clamp(0.0, CLASS_BITS as f64);
+    (id & !CLASS_BITS) | class as u64
 }
 
-/// Class of an instance; the higher, the more processor it has.
+/// Capacity class of an instance, in 0..=15; higher has more CPU.
 pub fn class(id: InstanceId) -> u64 {
-    id & BITS
+    id & CLASS_BITS
 }
 
-/// The instance that is chosen for `key`: one of those with most processor.
+/// The owner of `key` among the instances of the highest class; `None` without instances.
 ///
-/// Guards against an account of slots on an instance of an eighth of a core: it is asked
-/// 300 times a second at a peak of a fleet of 250, and callers wait for each answer.
+/// Guards against a slot allocator on a small instance, whose CPU would limit every request of the
+/// data centre.
 pub fn owner(key: &[u8], nodes: impl IntoIterator<Item = InstanceId>) -> Option<InstanceId> {
     let nodes: Vec<InstanceId> = nodes.into_iter().collect();
-    let most = nodes.iter().map(|node| class(*node)).max()?;
-    hash::owner(key, nodes.into_iter().filter(|node| class(*node) == most))
+    let max_class = nodes.iter().map(|node| class(*node)).max()?;
+    hash::owner(key, nodes.into_iter().filter(|node| class(*node) == max_class))
 }
--- a/crates/coordination/src/drain.rs
+++ b/crates/coordination/src/drain.rs
@@ -1,43 +1,42 @@
-//! Phases of a planned stop.
+//! Phases of a planned shutdown.
 
 use std::time::{Duration, Instant};
 
-/// Times of a planned stop.
+/// Times of a planned shutdown, from its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Time in which calls are still accepted, while the balancer notices.
+    /// Period in which calls are still accepted, while the load balancer notices.
     pub grace: Duration,
-    /// Time after which the process exits whatever still runs.
+    /// Time after which the process exits even if requests are running.
     pub max_duration: Duration,
 }
 
-/// Where a stop stands.
+/// Phase of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Not ready, but calls that come are still served.
+    /// Reports itself as not ready, but still accepts calls.
     Grace,
-    /// New calls are refused as not run; running ones finish.
+    /// Rejects new calls as not run; running ones finish.
     Draining,
-    /// Exit.
+    /// The process exits.
     Exit,
 }
 
-/// Phase at `now` of a stop ordered at `since` with `running` requests left;
-/// `is_closed` says whether new calls were refused already when these were counted.
+/// Phase at `now` of a shutdown that began at `since`, with `running` requests; `rejects_new` says
+/// whether new calls were already rejected when these were counted.
 ///
-/// A call may come in the moment in which the last one ends, so nothing exits
-/// before a count that was made with the door closed.
+/// A call may arrive just as the last one ends, so the process exits only after a count that was
+/// taken while new calls are rejected.
 ///
-/// The grace time is kept even with nothing running: the balancer may send one
-/// more request in the moment before it reads that the instance isn't ready,
-/// and a refused connection would cut that request off.
-pub fn phase(plan: Plan, since: Instant, running: usize, is_closed: bool, now: Instant) -> Phase {
-    let passed = now.saturating_duration_since(since);
-    if passed >= plan.max_duration {
+/// The grace period applies without running requests too: the load balancer may send another call
+/// before it notices that the instance isn't ready, and a refused connection would fail it.
+pub fn phase(plan: Plan, since: Instant, running: usize, rejects_new: bool, now: Instant) -> Phase {
+    let elapsed = now.saturating_duration_since(since);
+    if elapsed >= plan.max_duration {
         return Phase::Exit;
     }
-    if passed < plan.grace {
+    if elapsed < plan.grace {
         return Phase::Grace;
     }
-    if running == 0 && is_closed { Phase::Exit } else { Phase::Draining }
+    if running == 0 && rejects_new { Phase::Exit } else { Phase::Draining }
 }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,67 +1,65 @@
-//! Leases on a store with conditional writes, without trusting wall clocks.
+//! Leases on a store with conditional writes, without reliance on wall clocks.
 //!
-//! A holder counts its lease from the moment *before* its write went out. A
-//! successor counts from the moment *after* it first saw that write. Both use
-//! their own steady clock, so the successor's wait ends after the holder's
-//! right does, whatever the wall clocks say; only clocks that run at different
-//! speeds could break it, and a lease of seconds tolerates far more drift than
-//! machines have.
+//! A holder counts its lease from *before* it sent its write. A successor counts from *after* it
+//! first observed that write. Both use their own monotonic clock, so a successor's wait ends after
+//! the holder's lease, whatever the wall clocks say. Only clocks of different speed could break
+//! this, and a lease of seconds tolerates far more drift than machines have.
 
 use crate::InstanceId;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// Lease of a controller, as the store keeps it.
+/// Controller lease as the store keeps it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Who holds it; 0 when it was given back.
+    /// Current holder; 0 if it was released.
     pub holder: InstanceId,
-    /// Grows with each change of holder; the fencing number of orders.
+    /// Incremented with each change of holder; the fencing token of orders.
     pub epoch: u64,
-    /// Counts renewals, so that each renewal is a change to be seen.
+    /// Incremented with each renewal, so that every renewal changes the record.
     pub renewal: u64,
 }
 
-/// What a candidate has seen of a lease.
+/// What a candidate has observed of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// The record seen last.
+    /// Latest record read.
     pub record: Record,
-    /// When this very record was first seen.
+    /// When this record was first read.
     pub since: Instant,
 }
 
 impl Observation {
-    /// Folds a new reading into what was seen before.
-    pub fn update(before: Option<Observation>, record: Record, now: Instant) -> Observation {
-        match before {
-            Some(sight) if sight.record == record => sight,
+    /// The observation after reading `record` at `now`.
+    pub fn update(previous: Option<Observation>, record: Record, now: Instant) -> Observation {
+        match previous {
+            Some(observation) if observation.record == record => observation,
             _ => Observation { record, since: now },
         }
     }
 }
 
-/// What a candidate does.
+/// What a candidate does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Write this record, conditional on the version that was read.
     Write(Record),
-    /// Look again after this long.
+    /// Read the record again after this long.
     Wait(Duration),
 }
 
 /// Decides whether `me` may take the lease.
 ///
-/// `margin` is how long an order of the former holder may still be on its way
-/// to a target that doesn't check fencing numbers.
+/// `margin` is the maximum time for which an order of the former holder may be in flight to a
+/// target that ignores fencing tokens.
 pub fn claim(
     me: InstanceId,
-    sight: Option<Observation>,
+    observation: Option<Observation>,
     length: Duration,
     margin: Duration,
     now: Instant,
 ) -> Action {
-    let Some(Observation { record, since }) = sight else {
+    let Some(Observation { record, since }) = observation else {
         return Action::Write(Record { holder: me, epoch: 1, renewal: 0 });
     };
     if record.holder == me {
@@ -71,35 +69,34 @@
     if record.holder == 0 {
         return Action::Write(next);
     }
-    let free_at = since + length + margin;
-    match free_at.checked_duration_since(now) {
-        Some(left) if !left.is_zero() => Action::Wait(left),
+    let available_at = since + length + margin;
+    match available_at.checked_duration_since(now) {
+        Some(remaining) if !remaining.is_zero() => Action::Wait(remaining),
         _ => Action::Write(next),
     }
 }
 
-/// A lease that is held.
+/// A lease that this instance holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Held {
-    /// What was written.
+    /// The record that was written.
     pub record: Record,
-    /// The moment before the write went out.
+    /// Time before the write was sent.
     pub since: Instant,
-    /// How long it lasts.
+    /// Validity from `since`.
     pub length: Duration,
 }
 
 impl Held {
-    /// Whether an order may leave now.
+    /// Whether an order with this `lifetime` may be sent now.
     ///
-    /// It must reach the target within the lease, since a target that ignores
-    /// fencing numbers obeys whatever arrives. A holder that wakes from a pause
-    /// fails this test before it sends.
+    /// It must reach the target within the lease, since a target that ignores fencing tokens
+    /// accepts any order. A holder that was suspended fails this check before it sends.
     pub fn may_order(&self, lifetime: Duration, now: Instant) -> bool {
         now + lifetime < self.since + self.length
     }
 
-    /// Whether it is time to renew: less than half is left.
+    /// Whether less than half of the lease remains.
     pub fn should_renew(&self, now: Instant) -> bool {
         now >= self.since + self.length / 2
     }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,13 +1,12 @@
-//! Decisions of a fleet that serves online and batch work.
+//! Decision logic of a fleet that serves online and batch requests.
 //!
-//! Every function here decides and nothing more: no I/O, no clock, no thread,
-//! no lock. The present time is an argument, and so is chance. That makes each
-//! rule testable without sleeping, and lets others embed it under their own
-//! transport and storage.
+//! Nothing here does I/O, reads a clock, spawns threads or takes locks. The current time and
+//! random values are arguments, so that each rule is tested in virtual time and can be embedded
+//! under any transport and storage.
 //!
-//! What it is not: a consensus library. Agreement rests on conditional writes
-//! to a store that the embedder names ([`append_log`], [`lease`]); what members tell
-//! each other ([`membership`]) is a hint that may be lost.
+//! This is not a consensus library. Agreement rests on conditional writes to a store that the
+//! embedder provides ([`append_log`], [`lease`]); membership updates ([`membership`]) are hints
+//! that may be lost.
 //!
 //! ```
 //! use coordination::append_log::{Append, Step};
@@ -44,7 +43,7 @@
 pub mod slots;
 pub mod watch;
 
-/// Identifies a daemon process.
+/// Identifies a start of a daemon process.
 pub type InstanceId = u64;
-/// Name of a target.
+/// Configured name of a target.
 pub type TargetId = String;
--- a/crates/coordination/src/limit.rs
+++ b/crates/coordination/src/limit.rs
@@ -1,23 +1,23 @@
-//! Rates of callers and concurrency of targets.
+//! Rate limits of callers and concurrency limits of targets.
 
 use std::time::{Duration, Instant};
 
-/// A token bucket.
+/// A token bucket for rate limits.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
-    /// A full bucket of `burst` tokens that fills at `rate` a second.
+    /// A full bucket of `burst` tokens that is refilled at `rate` tokens per second.
     pub fn new(rate: f64, burst: f64, now: Instant) -> TokenBucket {
-        TokenBucket { rate, burst, level: burst, at: now }
+        TokenBucket { rate, burst, level: burst, refilled_at: now }
     }
 
-    /// Changes the rates and keeps the level.
+    /// Changes rate and burst; the level stays, up to the new burst.
     pub fn set(&mut self, rate: f64, burst: f64) {
         self.rate = rate;
         self.burst = burst;
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// How long until there is one.
+    /// Time until the next token if there is none.
     pub fn try_take(&mut self, now: Instant) -> Result<(), Duration> {
         self.refill(now);
         if self.level >= 1.0 {
@@ -39,46 +39,45 @@
     }
 
     fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.level = (self.level + passed * self.rate).min(self.burst);
-        self.at = now;
+        let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.level = (self.level + elapsed * self.rate).min(self.burst);
+        self.refilled_at = now;
     }
 }
 
-const LIMIT_FLOOR: f64 = 1.0;
-const DECREASE: f64 = 0.7;
-const SLOTS_OVER: f64 = 1.5;
+const MIN_LIMIT: f64 = 1.0;
+const DECREASE_FACTOR: f64 = 0.7;
+const MAX_LIMIT_FACTOR: f64 = 1.5;
 
-/// How many requests one target is given at once.
+/// Limit of concurrent requests to one target.
 ///
-/// Additive increase, multiplicative decrease: a target that refuses or breaks
-/// off gets fewer at once, and more again with each success. It starts at the
-/// configured slots, since these are right until the target says otherwise.
+/// Additive increase, multiplicative decrease: failures lower the limit, successes raise it. It
+/// starts at the configured slots.
 #[derive(Clone, Copy, Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
-    ceiling: f64,
+    max_limit: f64,
 }
 
 impl ConcurrencyLimit {
-    /// For a target with `slots` slots.
+    /// A limit for a target with `slots` slots.
     pub fn new(slots: u32) -> ConcurrencyLimit {
         let slots = f64::from(slots);
-        ConcurrencyLimit { limit: slots, ceiling: (slots * SLOTS_OVER).ceil() }
+        ConcurrencyLimit { limit: slots, max_limit: (slots * MAX_LIMIT_FACTOR).ceil() }
     }
 
-    /// Most requests at once now.
+    /// Current maximum of concurrent requests.
     pub fn limit(&self) -> u32 {
         self.limit as u32
     }
 
-    /// A request ended well.
+    /// A request succeeded.
     pub fn on_success(&mut self) {
-        self.limit = (self.limit + 1.0 / self.limit).min(self.ceiling);
+        self.limit = (self.limit + 1.0 / self.limit).min(self.max_limit);
     }
 
-    /// The target refused, broke off or was unreachable.
+    /// A request was rejected or interrupted, or the target was unreachable.
     pub fn on_failure(&mut self) {
-        self.limit = (self.limit * DECREASE).max(LIMIT_FLOOR);
+        self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 }
--- a/crates/coordination/src/range_scan.rs
+++ b/crates/coordination/src/range_scan.rs
@@ -1,49 +1,46 @@
-//! Which part of a long list each member looks through.
+//! Splits the scan of a long listing between members.
 //!
-//! A list of names is read page by page, and one reader of a long one is slow.
-//! Here a few members share it: the names are cut into ranges by their first
-//! sign, and each of the sharers takes a run of neighbouring ranges. Members that
-//! know the same members agree without talking; while they don't, parts may be
-//! read twice or by nobody, so whoever must be sure looks again later.
+//! A listing is read page by page, which is slow for one reader. Names are split into ranges by
+//! their first character, and a few members each read a run of adjacent ranges. Members with the
+//! same view agree without messages; while views differ, a range may be read twice or not at all,
+//! so a caller that needs every name scans again later.
 
 use crate::InstanceId;
 use crate::hash;
 
-/// After what the ranges begin. Names are expected to begin with a hexadecimal
-/// digit, and any others fall into one of them all the same; the tilde sorts
-/// behind letters and digits, so that no name is a boundary itself.
-const BEGINS: [&str; 16] =
+/// Exclusive starts of the ranges. Names usually begin with a hexadecimal digit, but every name is
+/// in exactly one range. The tilde sorts after letters and digits, so no name equals a boundary.
+const RANGE_STARTS: [&str; 16] =
     ["", "0~", "1~", "2~", "3~", "4~", "5~", "6~", "7~", "8~", "9~", "a~", "b~", "c~", "d~", "e~"];
 
-/// Names from `after` (not included, `None` from the first) to `before` (not
-/// included, `None` to the last).
+/// Names between two exclusive bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Range {
-    /// Names follow this one.
+    /// Exclusive lower bound; `None` starts at the first name.
     pub after: Option<&'static str>,
-    /// Names come before this one.
+    /// Exclusive upper bound; `None` ends after the last name.
     pub before: Option<&'static str>,
 }
 
 impl Range {
-    /// Whether a name lies before the range's end.
+    /// Whether `name` is below the upper bound.
     pub fn is_before_end(&self, name: &str) -> bool {
         self.before.is_none_or(|before| name < before)
     }
 }
 
-/// The names that `me` looks through, shared with others of `members`: one in
-/// `per_sharer` members takes part. `None` when nothing falls to it.
+/// The range that `me` scans; one in `members_per_scanner` of `members` takes part, and the others get
+/// `None`.
 pub fn assigned_range(
     me: InstanceId,
     members: impl IntoIterator<Item = InstanceId>,
-    per_sharer: usize,
+    members_per_scanner: usize,
 ) -> Option<Range> {
     let mut ranked: Vec<(u64, InstanceId)> =
         members.into_iter().map(|id| (hash::weight(b"sweep", id), id)).collect();
     ranked.sort_unstable();
-    let sharers = ranked.len().div_ceil(per_sharer.max(1)).clamp(1, BEGINS.len());
-    let place = ranked.iter().take(sharers).position(|(_, id)| *id == me)?;
-    let begin = |place: usize| BEGINS.get(place * BEGINS.len() / sharers).copied();
-    Some(Range { after: begin(place).filter(|begin| !begin.is_empty()), before: begin(place + 1) })
+    let scanners = ranked.len().div_ceil(members_per_scanner.max(1)).clamp(1, RANGE_STARTS.len());
+    let rank = ranked.iter().take(scanners).position(|(_, id)| *id == me)?;
+    let start = |rank: usize| RANGE_STARTS.get(rank * RANGE_STARTS.len() / scanners).copied();
+    Some(Range { after: start(rank).filter(|start| !start.is_empty()), before: start(rank + 1) })
 }
--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -1,58 +1,57 @@
-//! When to try again, and when not to.
+//! Retry budget, retry safety and backoff.
 
 use std::time::Duration;
 
-const SHARE: f64 = 0.2;
-const START: f64 = 10.0;
-const CAP: f64 = 100.0;
+const BUDGET_RATIO: f64 = 0.2;
+const INITIAL_BUDGET: f64 = 10.0;
+const MAX_BUDGET: f64 = 100.0;
 
-/// A budget of retries: a share of first tries.
+/// A budget of retries: a ratio of first attempts.
 ///
-/// Without it, retries multiply the load just when targets are failing, and a
-/// short fault becomes a long one.
+/// Without it, retries multiply the load while targets fail and prolong the failure.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    level: f64,
+    tokens: f64,
 }
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget { level: START }
+        Budget { tokens: INITIAL_BUDGET }
     }
 }
 
 impl Budget {
-    /// Counts a first try.
+    /// Counts a first attempt.
     pub fn on_request(&mut self) {
-        self.level = (self.level + SHARE).min(CAP);
+        self.tokens = (self.tokens + BUDGET_RATIO).min(MAX_BUDGET);
     }
 
-    /// Takes one retry; `false` when none is left.
+    /// Takes one retry; `false` if the budget is used up.
     pub fn try_take(&mut self) -> bool {
-        if self.level < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.level -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
 
-/// How one try at a target ended, for the question whether to try another.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection: no byte of the request left.
+    /// No connection: no byte of the request was sent.
     NotSent,
-    /// The target said that it didn't run it.
+    /// The target reported that it didn't run the request.
     Refused,
-    /// Anything after the first byte left.
+    /// Any failure after the first byte was sent.
     Unknown,
 }
 
-/// Whether a failed try may be followed by another.
+/// Whether a failed attempt may be repeated.
 ///
-/// A request that may run at most once is only sent again when no byte of it
-/// ever left. A target's own refusal is not enough: the claim on the request
-/// covers one send, and keeping to one send needs no trust in the target.
+/// A request that isn't `repeatable` is sent again only if none of its bytes was sent. The
+/// target's own rejection isn't enough: the claim on the request covers one send, whatever the
+/// target says.
 pub fn may_retry(repeatable: bool, failure: Failure) -> bool {
     match failure {
         Failure::NotSent => true,
@@ -60,9 +59,9 @@
     }
 }
 
-/// Wait before try number `attempt` (from 1), with `chance` in 0..1 as jitter.
+/// Delay before attempt number `attempt` (from 1); `chance` in 0..1 is the jitter.
 pub fn backoff(attempt: u32, base: Duration, cap: Duration, chance: f64) -> Duration {
-    let doubled = base.saturating_mul(1u32 << attempt.saturating_sub(1).min(16));
-    let most = doubled.min(cap);
-    most.mul_f64(0.5 + chance.clamp(0.0, 1.0) / 2.0)
+    let delay = base.saturating_mul(1u32 << attempt.saturating_sub(1).min(16));
+    let max_delay = delay.min(cap);
+    max_delay.mul_f64(0.5 + chance.clamp(0.0, 1.0) / 2.0)
 }
--- a/crates/coordination/src/rollout.rs
+++ b/crates/coordination/src/rollout.rs
@@ -1,47 +1,47 @@
-//! What a controller orders a target to do next.
+//! Decides what a controller orders a target to do next.
 
-/// What a target runs, by its own report.
+/// State of a target as it reports it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Actual {
-    /// Model version loaded; empty when none is.
+    /// Loaded model version; empty if none is loaded.
     pub version: String,
-    /// Adapters loaded, sorted.
+    /// Loaded adapters, sorted.
     pub adapters: Vec<String>,
-    /// Whether an order is being carried out.
+    /// Whether an order is in progress.
     pub busy: bool,
     /// Requests running there.
     pub running: u32,
 }
 
-/// What the configuration wants of a target.
+/// Configured state of a target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Desired {
-    /// Model version.
+    /// Model version to load.
     pub version: String,
-    /// Adapters, sorted.
+    /// Adapters to load, sorted.
     pub adapters: Vec<String>,
 }
 
 /// The controller's next step for one target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The target is as wanted.
+    /// The target is in the desired state.
     UpToDate,
-    /// Wait: the target is busy with an order or still runs requests.
+    /// Wait: an order is in progress, or requests are still running.
     Wait,
-    /// Stop sending work there, so that the order cuts off nothing.
+    /// Send no more requests there, so that the order interrupts none.
     Drain,
-    /// Another target of the service must serve first.
+    /// No other target of the service can serve: leave this one in service.
     KeepServing,
-    /// Order this state.
+    /// Order the target into this state.
     Order(Desired),
 }
 
 /// Decides the next step.
 ///
-/// `others` is how many other targets of the service can serve now. A target
-/// that serves nothing can always be ordered; one that serves only while
-/// another does, so that a service is never left without.
+/// `others` is the number of other targets of the service that can serve. A target without a model
+/// can always be ordered; one that serves is ordered only if another can serve, so that the
+/// service stays available.
 pub fn step(actual: &Actual, desired: &Desired, drained: bool, others: usize) -> Step {
     if actual.busy {
         return Step::Wait;
