--- a/crates/coordination/src/connectivity.rs
+++ b/crates/coordination/src/connectivity.rs
@@ -1,19 +1,17 @@
-//! Whether a service that one depends on still answers, where silence may also
-//! mean that there is nothing to tell.
+//! Tracks whether a service is reachable when idle time may only mean that it has nothing to send.
 //!
-//! A watch that waits is silent by nature: one that will never be answered looks
-//! like a quiet one. So whoever rests on a watch asks for a sign of life whenever
-//! nothing was answered for a while, and counts as cut off once that is overdue.
+//! A pending watch is idle by nature, and a broken one looks the same. So a client that relies on
+//! a watch sends a probe after some idle time, and counts as disconnected when that fails.
 //!
-//! It also tells since when the service has answered somebody without a long
-//! break, by what this instance and others saw ([`Series`]). Entries that need to be
-//! renewed lapse in a long outage, though their owners live; in a short one, or
-//! while only this instance was turned away, they don't, and what is missing is gone.
+//! The tracker also knows since when the service has responded without a long outage, by responses
+//! to this instance and to others ([`Uptime`]). Entries that need renewal expire in a long outage
+//! although their owners live. In a short outage, or one of this instance alone, they don't, so a
+//! missing entry is gone.
 //!
-//! What it is not: a breaker. Calls go on or not by their own rules.
+//! This is not a circuit breaker: it never blocks calls.
 //!
 //! ```
-//! use coordination::connectivity::{Tracker, Policy};
+//! use coordination::connectivity::{Policy, Tracker};
 //! use std::time::{Duration, Instant};
 //!
 //! let mut tracker = Tracker::new(Policy::default());
@@ -31,16 +29,13 @@
 
 use std::time::{Duration, Instant};
 
-/// When a sign of life is asked for, and which outages count.
+/// When a probe is due, and which outages count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Silence after which a sign of life is due.
-    ///
-    /// News is allowed 2 s. Of these, 600 ms of silence, 100 ms until the next
-    /// look, 400 ms for the answer and 100 ms until another instance looks make
-    /// 1.2 s until that one watches; 1.8 s if it is cut off too and a third does.
+    /// Idle time after which a probe is due; short enough that another instance takes over a watch
+    /// within 2 s, even if the first one to do so is disconnected too.
     pub probe_after: Duration,
-    /// Shortest silence in which an entry of a living owner may lapse.
+    /// Shortest outage in which an entry may expire although its owner lives.
     pub expiry: Duration,
 }
 
@@ -50,99 +45,104 @@
     }
 }
 
-/// A time in which the service answered one instance or another, without a break in
-/// which entries may lapse.
+/// A period in which the service responded to some instance, without an outage in which entries
+/// may expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Uptime {
-    /// Its first answer.
+    /// First response.
     pub since: Instant,
-    /// Its last answer so far.
+    /// Last response so far.
     pub last: Instant,
 }
 
-/// What is known of the service.
+/// What this instance knows of the service.
 #[derive(Clone, Debug)]
 pub struct Tracker {
     policy: Policy,
-    /// Last answer to this instance.
-    answered: Option<Instant>,
-    /// The latest series that is known.
-    series: Option<Uptime>,
-    /// Whether a call has failed, here or elsewhere, since the series' last answer.
-    is_doubted: bool,
-    is_lost: bool,
+    /// Last response to this instance.
+    last_response: Option<Instant>,
+    /// Latest known uptime.
+    uptime: Option<Uptime>,
+    /// Whether a call has failed, here or elsewhere, since the uptime's last response.
+    has_failed_calls: bool,
+    is_disconnected: bool,
 }
 
 impl Tracker {
-    /// Nothing was asked yet.
+    /// A tracker before the first call.
     pub fn new(policy: Policy) -> Tracker {
-        Tracker { policy, answered: None, series: None, is_doubted: false, is_lost: false }
+        Tracker {
+            policy,
+            last_response: None,
+            uptime: None,
+            has_failed_calls: false,
+            is_disconnected: false,
+        }
     }
 
-    /// A call was answered.
+    /// A call got a response.
     pub fn on_response(&mut self, now: Instant) {
-        self.on_series(Uptime { since: now, last: now });
-        self.is_doubted = false;
-        self.is_lost = false;
-        self.answered = Some(now);
+        self.merge(Uptime { since: now, last: now });
+        self.has_failed_calls = false;
+        self.is_disconnected = false;
+        self.last_response = Some(now);
     }
 
-    /// A call failed: the service may be away.
+    /// A call failed: the service may be unavailable.
     pub fn on_failure(&mut self) {
-        self.is_doubted = true;
+        self.has_failed_calls = true;
     }
 
-    /// A sign of life is overdue, or was refused.
+    /// A probe timed out or was rejected.
     pub fn on_probe_failed(&mut self) {
-        self.is_doubted = true;
-        self.is_lost = true;
+        self.has_failed_calls = true;
+        self.is_disconnected = true;
     }
 
-    /// Another instance tells the latest series that it knows, and whether it has
-    /// lost the service.
-    pub fn on_peer_report(&mut self, series: Option<Uptime>, is_lost: bool) {
-        self.is_doubted |= is_lost;
-        if let Some(series) = series {
-            self.on_series(series);
+    /// Another instance reported its latest uptime, and whether it is disconnected.
+    pub fn on_peer_report(&mut self, uptime: Option<Uptime>, is_disconnected: bool) {
+        self.has_failed_calls |= is_disconnected;
+        if let Some(uptime) = uptime {
+            self.merge(uptime);
         }
     }
 
-    fn on_series(&mut self, found: Uptime) {
-        let Some(known) = &mut self.series else {
-            self.series = Some(found);
+    fn merge(&mut self, received: Uptime) {
+        let Some(current) = &mut self.uptime else {
+            self.uptime = Some(received);
             return;
         };
-        let lapse = self.policy.expiry;
-        if found.last + lapse <= known.since {
-            return; // Of before an outage.
+        let expiry = self.policy.expiry;
+        if received.last + expiry <= current.since {
+            return; // It ended before an outage.
         }
-        // Without a failed call, time without answers is time without questions.
-        if found.since >= known.last + lapse && self.is_doubted {
-            *known = found;
+        // Without a failed call, a gap between responses is a gap between calls.
+        if received.since >= current.last + expiry && self.has_failed_calls {
+            *current = received;
             return;
         }
-        known.since = known.since.min(found.since);
-        known.last = known.last.max(found.last);
+        current.since = current.since.min(received.since);
+        current.last = current.last.max(received.last);
     }
 
-    /// Whether this instance counts as cut off from the service.
+    /// Whether this instance counts as disconnected from the service.
     pub fn is_disconnected(&self) -> bool {
-        self.is_lost
+        self.is_disconnected
     }
 
-    /// Whether a sign of life should be asked for.
+    /// Whether a probe should be sent.
     pub fn is_probe_due(&self, now: Instant) -> bool {
-        self.idle_time(now).is_none_or(|silence| silence >= self.policy.probe_after)
+        self.idle_time(now).is_none_or(|idle_time| idle_time >= self.policy.probe_after)
     }
 
-    /// How long ago this instance was last answered; `None` if it never was.
+    /// Time since the last response to this instance; `None` before the first.
     pub fn idle_time(&self, now: Instant) -> Option<Duration> {
-        self.answered.map(|at| now.saturating_duration_since(at))
+        self.last_response.map(|at| now.saturating_duration_since(at))
     }
 
-    /// The latest series that is known. What lapsed before it is back soon after its
-    /// start, if it is to come back at all.
+    /// The latest known uptime; `None` before the first response. Entries that expired before its
+    /// start are renewed soon after it, if at all.
     pub fn uptime(&self) -> Option<Uptime> {
-        self.series
+        self.uptime
     }
 }
--- a/crates/coordination/src/ejection.rs
+++ b/crates/coordination/src/ejection.rs
@@ -1,70 +1,71 @@
-//! Taking a failing target out of use, and bringing it back gently.
+//! Outlier ejection: takes a failing target out of use and readmits it gradually.
 
 use std::time::{Duration, Instant};
 
-const FAILURES: u32 = 3;
-const BASE: Duration = Duration::from_secs(1);
-const CAP: Duration = Duration::from_secs(30);
-const DOUBLINGS: u32 = 5;
-const PROBATION: u32 = 5;
+const MAX_FAILURES: u32 = 3;
+const BASE_EJECTION: Duration = Duration::from_secs(1);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
+const MAX_DOUBLINGS: u32 = 5;
+const PROBATION_SUCCESSES: u32 = 5;
 
 /// Health of one target as one instance sees it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     failures: u32,
     ejections: u32,
-    until: Option<Instant>,
-    probation: u32,
+    ejected_until: Option<Instant>,
+    probation_left: u32,
 }
 
 /// How much a target may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// As its limit allows.
+    /// Up to its concurrency limit.
     Full,
-    /// One request at a time, until it has done a few.
+    /// One request at a time, until a few have succeeded.
     Probation,
     /// Not at all.
     Ejected,
 }
 
 impl Health {
-    /// How much the target may be used now.
+    /// Availability at `now`.
     pub fn availability(&self, now: Instant) -> Availability {
-        match self.until {
-            Some(until) if now < until => Availability::Ejected,
-            _ if self.probation > 0 => Availability::Probation,
+        match self.ejected_until {
+            Some(ejected_until) if now < ejected_until => Availability::Ejected,
+            _ if self.probation_left > 0 => Availability::Probation,
             _ => Availability::Full,
         }
     }
 
-    /// A request ended well.
+    /// A request succeeded.
     pub fn on_success(&mut self) {
         self.failures = 0;
-        self.until = None;
-        self.probation = self.probation.saturating_sub(1);
-        if self.probation == 0 {
+        self.ejected_until = None;
+        self.probation_left = self.probation_left.saturating_sub(1);
+        if self.probation_left == 0 {
             self.ejections = 0;
         }
     }
 
-    /// The target answers nothing at all: out of use at once.
+    /// The target doesn't respond at all: ejects it at once.
     pub fn on_unresponsive(&mut self, now: Instant) {
-        self.probation = PROBATION;
+        self.probation_left = PROBATION_SUCCESSES;
         self.on_failure(now);
     }
 
-    /// A request failed through the target's fault.
+    /// A request failed because of the target.
     pub fn on_failure(&mut self, now: Instant) {
         self.failures += 1;
-        let on_trial = self.probation > 0;
-        if self.failures < FAILURES && !on_trial {
+        let on_probation = self.probation_left > 0;
+        if self.failures < MAX_FAILURES && !on_probation {
             return;
         }
-        let wait = BASE.saturating_mul(1 << self.ejections.min(DOUBLINGS)).min(CAP);
-        self.until = Some(now + wait);
+        let ejection =
+            BASE_EJECTION.saturating_mul(1 << self.ejections.min(MAX_DOUBLINGS)).min(MAX_EJECTION);
+        self.ejected_until = Some(now + ejection);
         self.ejections += 1;
         self.failures = 0;
-        self.probation = PROBATION;
+        self.probation_left = PROBATION_SUCCESSES;
     }
 }
--- a/crates/coordination/src/flush.rs
+++ b/crates/coordination/src/flush.rs
@@ -1,15 +1,16 @@
-//! When the holder of a batch job writes results that aren't durable yet.
+//! Decides when the holder of a batch job writes results that aren't durable yet.
 //!
-//! Each write is a call of the platform that is paid for, and what isn't written is
-//! run again if the holder is lost; callers see a result once it is written. So
-//! results are gathered, but not past the time at which the job is due.
+//! Each write is a billed call of the platform, while unwritten results are lost with the holder
+//! and their items run again; callers see a result only once it is written. So results are
+//! batched, but not past the job's deadline.
 //!
 //! ```
-//! use coordination::flush::{self, Unwritten, Policy};
+//! use coordination::flush::{self, Policy, Unwritten};
 //! use std::time::{Duration, Instant};
 //!
 //! let now = Instant::now();
-//! let unwritten = Unwritten { oldest: now, failed: None, due: now + Duration::from_secs(18), is_last: false };
+//! let due = now + Duration::from_secs(18);
+//! let unwritten = Unwritten { oldest: now, failed: None, due, is_last: false };
 //! let policy = Policy::default();
 //! assert_eq!(flush::flush_at(policy, unwritten), now + policy.max_delay);
 //! assert_eq!(flush::flush_at(policy, Unwritten { is_last: true, ..unwritten }), now);
@@ -17,21 +18,19 @@
 
 use std::time::{Duration, Instant};
 
-/// How long results wait to be written.
+/// Delays of writes.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Results wait this long for others to be written with them. Twice as long as half
-    /// of what an item takes to run, so that most of a job's items share a write; a
-    /// holder that is lost costs the runs of half as long, some 1.5 s of its items.
+    /// Maximum age of the oldest unwritten result; long enough that most items of a job share a
+    /// write.
     pub max_delay: Duration,
-    /// The same where an item has failed for good. Who follows a holder that was lost
-    /// runs such an item again, in vain.
+    /// Maximum age of an unwritten permanent failure, whose item would otherwise be run again in
+    /// vain if the holder is lost.
     pub failure_delay: Duration,
-    /// How long before the job is due its results are written. A store that is sixty
-    /// times slower answers in 240 ms, and a lost answer costs 700 ms.
+    /// How long before the deadline results are written; covers a slow write and one retry.
     pub deadline_margin: Duration,
-    /// Results that come later than that, and in time, wait this long: callers ask
-    /// twice a second.
+    /// Minimum delay of results that come later than that but in time; short compared to the
+    /// callers' poll interval.
     pub min_delay: Duration,
 }
 
@@ -46,33 +45,32 @@
     }
 }
 
-/// What waits to be written.
+/// Results that wait to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct Unwritten {
     /// When the oldest result came.
     pub oldest: Instant,
-    /// When the oldest result came that says that its item failed for good.
+    /// When the oldest permanent failure came; `None` if there is none.
     pub failed: Option<Instant>,
-    /// When the job is due.
+    /// Deadline of the job.
     pub due: Instant,
-    /// Whether nothing else of the job will follow: all its items have results, or its
-    /// submitter has ended it.
+    /// Whether no more results will follow: all items have one, or the job was cancelled.
     pub is_last: bool,
 }
 
-/// When to write.
-pub fn flush_at(policy: Policy, fresh: Unwritten) -> Instant {
-    let Unwritten { oldest, failed: verdict, due, is_last } = fresh;
+/// Time of the next write.
+pub fn flush_at(policy: Policy, unwritten: Unwritten) -> Instant {
+    let Unwritten { oldest, failed, due, is_last } = unwritten;
     if is_last {
         return oldest;
     }
     let mut at = oldest + policy.max_delay;
-    if let Some(verdict) = verdict {
-        at = at.min(verdict + policy.failure_delay);
+    if let Some(failed) = failed {
+        at = at.min(failed + policy.failure_delay);
     }
     if oldest >= due {
-        return at; // Late already: it is of no use to hurry for this one.
+        return at; // Late already, so there is no reason to hurry.
     }
-    let near = due.checked_sub(policy.deadline_margin).unwrap_or(oldest);
-    at.min(near.max(oldest + policy.min_delay).min(due))
+    let urgent_from = due.checked_sub(policy.deadline_margin).unwrap_or(oldest);
+    at.min(urgent_from.max(oldest + policy.min_delay).min(due))
 }
--- a/crates/coordination/src/leaving.rs
+++ b/crates/coordination/src/leaving.rs
@@ -1,70 +1,70 @@
-//! Which targets are leaving: the strongest of several witnesses wins.
+//! Tracks which targets are leaving, by the notices of several sources.
 //!
-//! The platform's list lags, a target's own refusal is seen by one instance,
-//! an operator's order may race a rollout. A target counts as leaving while any
-//! of them says so; each witness takes back only its own word.
+//! The platform's list lags, a target's own rejection reaches one instance, and an operator's
+//! change may race a rollout. A target counts as leaving while any source says so; each source
+//! withdraws only its own notice.
 
 use crate::TargetId;
 use std::collections::HashMap;
 
-/// Who says that a target leaves.
+/// Origin of a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
     /// The platform's list of instances.
     Platform,
-    /// The target's own refusal, seen here or told by a peer.
+    /// A rejection by the target itself, received here or by a peer.
     Target,
     /// The configuration.
     Operator,
-    /// A controller that is about to give the target an order.
+    /// A controller that is about to send the target an order.
     Controller,
 }
 
-/// Words about all targets.
+/// Latest notices of all targets.
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
-    words: HashMap<(TargetId, Source), Notice>,
+    notices: HashMap<(TargetId, Source), Notice>,
 }
 
-/// One witness's word about one target.
+/// Notice of one source about one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Notice {
-    /// Whether it leaves.
+    /// Whether the target leaves; `false` withdraws an earlier notice.
     pub leaving: bool,
-    /// Source's own clock; a later word of the same witness replaces an earlier.
+    /// Version by the source's own clock; only a higher one replaces a notice of the same source.
     pub stamp: u64,
 }
 
 impl Targets {
-    /// Takes in a word; `true` when it changed anything (and should be passed on).
-    pub fn record(&mut self, target: &str, witness: Source, word: Notice) -> bool {
-        let key = (target.to_owned(), witness);
-        if self.words.get(&key).is_some_and(|known| known.stamp >= word.stamp) {
+    /// Records a notice; `true` if it changed the source's state and should be broadcast.
+    pub fn record(&mut self, target: &str, source: Source, notice: Notice) -> bool {
+        let key = (target.to_owned(), source);
+        if self.notices.get(&key).is_some_and(|known| known.stamp >= notice.stamp) {
             return false;
         }
-        let changed = self.words.get(&key).is_none_or(|known| known.leaving != word.leaving);
-        self.words.insert(key, word);
+        let changed = self.notices.get(&key).is_none_or(|known| known.leaving != notice.leaving);
+        self.notices.insert(key, notice);
         changed
     }
 
-    /// The last word of one witness.
-    pub fn notice(&self, target: &str, witness: Source) -> Option<Notice> {
-        self.words.get(&(target.to_owned(), witness)).copied()
+    /// The latest notice of one source; `None` if there was none.
+    pub fn notice(&self, target: &str, source: Source) -> Option<Notice> {
+        self.notices.get(&(target.to_owned(), source)).copied()
     }
 
-    /// Whether anyone says that the target leaves.
+    /// Whether any source says that the target leaves.
     pub fn is_leaving(&self, target: &str) -> bool {
-        self.words.iter().any(|((name, _), word)| name == target && word.leaving)
+        self.notices.iter().any(|((name, _), notice)| name == target && notice.leaving)
     }
 
-    /// All targets that anyone says are leaving.
+    /// All targets that are leaving.
     pub fn all(&self) -> Vec<TargetId> {
-        let leaving = self.words.iter().filter(|(_, word)| word.leaving);
+        let leaving = self.notices.iter().filter(|(_, notice)| notice.leaving);
         leaving.map(|((name, _), _)| name.clone()).collect()
     }
 
-    /// Forgets targets that are no longer configured.
+    /// Drops the notices of targets that `keep` rejects, such as those no longer configured.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
-        self.words.retain(|(name, _), _| keep(name));
+        self.notices.retain(|(name, _), _| keep(name));
     }
 }
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -1,10 +1,9 @@
-//! Which instances there are, with a bounded number of heartbeats for each.
+//! Membership of instances, with a bounded number of heartbeats per instance.
 //!
-//! Members are ordered on a ring by their ids. Each sends heartbeats to the
-//! members 1, 2, 4, 8, … places on: about log₂ n of them, so that traffic grows
-//! with the logarithm of the fleet while news crosses it in as many steps. All
-//! of it is hints: a wrong view costs a detour or a lost race on a conditional
-//! write, never an outcome.
+//! Members form a ring ordered by id. Each sends heartbeats to the members 1, 2, 4, 8, … positions
+//! ahead, about log₂ n of them, so that traffic per member and the number of hops of an update
+//! grow with the logarithm of the fleet. Everything here is a hint: a wrong view costs a detour or
+//! a lost race on a conditional write, never a wrong outcome.
 
 mod types;
 
@@ -14,31 +13,31 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Instant;
 
-const MISSES: u32 = 2;
-const LOG: usize = 512;
-const PAGE: usize = 64;
-const REVIVE_EVERY: u64 = 8;
-/// Share of the time of a suspicion for which word of the suspect's death isn't taken:
-/// those who know it by themselves say so only when that time is over.
-const REFUTED: f64 = 0.75;
-/// How many times longer one is a suspect that others call dead and that was alive here:
-/// its refutation comes among hundreds.
-const BY_WORD: u32 = 3;
+const MAX_MISSED_HEARTBEATS: u32 = 2;
+const MAX_UPDATES: usize = 512;
+const MAX_UPDATES_PER_MESSAGE: usize = 64;
+const DEAD_PROBE_INTERVAL: u64 = 8;
+/// Part of the suspect timeout in which second-hand reports of a death are ignored; whoever
+/// observed the death itself reports it only after the whole timeout.
+const REFUTATION_RATIO: f64 = 0.75;
+/// Factor of the suspect timeout for members suspected by second-hand reports only, whose
+/// refutation may have to pass through many updates.
+const SECOND_HAND_FACTOR: u32 = 3;
 
 #[derive(Clone, Debug)]
-struct Row {
+struct Entry {
     member: Member,
-    misses: u32,
-    changed: Instant,
-    /// Whether it is a suspect only because others say that it is dead.
+    missed_heartbeats: u32,
+    changed_at: Instant,
+    /// Whether it is suspected only because others report it dead.
     second_hand: bool,
 }
 
-impl Row {
-    /// Whether it is a suspect for too short a time to have refuted it.
+impl Entry {
+    /// Whether it has had too little time to refute the suspicion.
     fn is_recent_suspect(&self, policy: Policy, now: Instant) -> bool {
-        let since = now.saturating_duration_since(self.changed);
-        since < policy.suspect_timeout.mul_f64(REFUTED)
+        let since = now.saturating_duration_since(self.changed_at);
+        since < policy.suspect_timeout.mul_f64(REFUTATION_RATIO)
     }
 }
 
@@ -47,13 +46,13 @@
 pub struct MemberTable {
     me: Member,
     policy: Policy,
-    rows: BTreeMap<InstanceId, Row>,
-    notes: VecDeque<(u64, Update)>,
+    entries: BTreeMap<InstanceId, Entry>,
+    updates: VecDeque<(u64, Update)>,
     last_seq: u64,
-    sent: HashMap<InstanceId, u64>,
-    turn: u64,
+    delivered: HashMap<InstanceId, u64>,
+    tick_count: u64,
     version: u64,
-    /// Highest generation known to be in force anywhere.
+    /// Highest generation known to be in force on any instance.
     generation: u64,
     losses: u64,
 }
@@ -64,18 +63,18 @@
         MemberTable {
             me,
             policy,
-            rows: BTreeMap::new(),
-            notes: VecDeque::new(),
+            entries: BTreeMap::new(),
+            updates: VecDeque::new(),
             last_seq: 0,
-            sent: HashMap::new(),
-            turn: 0,
+            delivered: HashMap::new(),
+            tick_count: 0,
             version: 0,
             generation: 0,
             losses: 0,
         }
     }
 
-    /// Members lost so far that had not said that they leave.
+    /// Number of members that were lost without leaving.
     pub fn losses(&self) -> u64 {
         self.losses
     }
@@ -85,67 +84,67 @@
         &self.me
     }
 
-    /// The owner has a new configuration in force.
+    /// The owner has put a new configuration in force.
     pub fn set_generation(&mut self, generation: u64) {
         self.me.generation = generation.max(self.me.generation);
         self.on_generation(generation);
     }
 
-    /// Highest generation known to be in force anywhere.
+    /// Highest generation known to be in force on any instance.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Word that a generation is in force somewhere; `true` when it is news, and
-    /// then it is passed on once.
+    /// A generation is in force on some instance; `true` if that is new, and then it is broadcast
+    /// once.
     pub fn on_generation(&mut self, generation: u64) -> bool {
         if generation <= self.generation {
             return false;
         }
         self.generation = generation;
-        self.notes.retain(|(_, note)| !matches!(note, Update::Generation(_)));
-        self.push(Update::Generation(generation));
+        self.updates.retain(|(_, update)| !matches!(update, Update::Generation(_)));
+        self.enqueue(Update::Generation(generation));
         true
     }
 
-    /// The owner is stopping.
+    /// Marks the owner as leaving.
     pub fn leave(&mut self) {
         self.me.state = State::Leaving;
         self.version += 1;
         self.me.incarnation += 1;
-        self.push(Update::Member(self.me.clone()));
+        self.enqueue(Update::Member(self.me.clone()));
     }
 
-    /// Members other than the owner, dead ones left out.
+    /// Members other than the owner that aren't dead.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
-        self.rows.values().map(|row| &row.member).filter(|m| m.state != State::Dead)
+        self.entries.values().map(|entry| &entry.member).filter(|m| m.state != State::Dead)
     }
 
-    /// Ids that may own work: the owner unless it leaves, and all that live.
+    /// Members that may own work: live ones, and the owner unless it leaves.
     ///
-    /// A suspect still counts: moving its work for one lost heartbeat costs
-    /// more than a short wait does.
+    /// Suspects are included: moving their work for one lost heartbeat costs more than a short
+    /// wait.
     pub fn workers(&self) -> impl Iterator<Item = &Member> {
-        let able = |m: &&Member| matches!(m.state, State::Alive | State::Suspect);
-        std::iter::once(&self.me).chain(self.others()).filter(able)
+        let is_worker = |m: &&Member| matches!(m.state, State::Alive | State::Suspect);
+        std::iter::once(&self.me).chain(self.others()).filter(is_worker)
     }
 
-    /// Changes whenever [`Table::workers`] may have changed.
+    /// Incremented whenever [`MemberTable::workers`] may have changed.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The member `id`, unless it counts as dead.
+    /// The member `id`; `None` if it is unknown or dead.
     pub fn get(&self, id: InstanceId) -> Option<&Member> {
         self.others().find(|m| m.id == id)
     }
 
-    /// Whether `id` is known and counts as dead.
+    /// Whether `id` is known and dead.
     pub fn is_dead(&self, id: InstanceId) -> bool {
-        self.rows.get(&id).is_some_and(|row| row.member.state == State::Dead)
+        self.entries.get(&id).is_some_and(|entry| entry.member.state == State::Dead)
     }
 
-    /// Whom this member sends heartbeats to.
+    /// The members that the owner sends heartbeats to.
     pub fn fingers(&self) -> Vec<InstanceId> {
         let ring: Vec<InstanceId> = self.others().map(|m| m.id).collect();
         let start = ring.partition_point(|id| *id < self.me.id);
@@ -158,226 +157,231 @@
         fingers
     }
 
-    /// Whom to ping at this tick: the next finger, and now and then a member
-    /// that counts as dead, so that a healed cut is found out.
+    /// Members to send a heartbeat to at this tick: the next finger, and periodically a dead
+    /// member, so that a healed network partition is detected.
     pub fn tick(&mut self, now: Instant) -> Vec<Member> {
-        self.age(now);
-        self.turn += 1;
+        self.expire(now);
+        self.tick_count += 1;
         let fingers = self.fingers();
         let mut due = Vec::new();
         if !fingers.is_empty() {
-            due.push(fingers[(self.turn % fingers.len() as u64) as usize]);
+            due.push(fingers[(self.tick_count % fingers.len() as u64) as usize]);
         }
-        if self.turn.is_multiple_of(REVIVE_EVERY) {
-            due.extend(self.some_dead());
+        if self.tick_count.is_multiple_of(DEAD_PROBE_INTERVAL) {
+            due.extend(self.next_dead());
         }
-        due.iter().filter_map(|id| self.rows.get(id)).map(|row| row.member.clone()).collect()
+        due.iter().filter_map(|id| self.entries.get(id)).map(|entry| entry.member.clone()).collect()
     }
 
-    fn some_dead(&self) -> Option<InstanceId> {
-        let is_dead = |row: &&Row| row.member.state == State::Dead;
+    fn next_dead(&self) -> Option<InstanceId> {
+        let is_dead = |entry: &&Entry| entry.member.state == State::Dead;
         let dead: Vec<InstanceId> =
-            self.rows.values().filter(is_dead).map(|r| r.member.id).collect();
-        let turn = (self.turn / REVIVE_EVERY) as usize;
-        if dead.is_empty() { None } else { Some(dead[turn % dead.len()]) }
+            self.entries.values().filter(is_dead).map(|r| r.member.id).collect();
+        let tick_count = (self.tick_count / DEAD_PROBE_INTERVAL) as usize;
+        if dead.is_empty() { None } else { Some(dead[tick_count % dead.len()]) }
     }
 
-    /// Whether `id` is a member that has not been sent the latest news. One that
-    /// is gone is owed none: it would never confirm any.
+    /// Whether a member lacks the latest updates; `false` if it is dead, since it would never
+    /// confirm any.
     pub fn is_out_of_date(&self, id: InstanceId) -> bool {
-        let is_member = self.rows.get(&id).is_some_and(|row| row.member.state != State::Dead);
-        is_member && self.sent.get(&id).copied().unwrap_or(0) < self.last_seq
+        let is_member =
+            self.entries.get(&id).is_some_and(|entry| entry.member.state != State::Dead);
+        is_member && self.delivered.get(&id).copied().unwrap_or(0) < self.last_seq
     }
 
-    /// Fingers that have not been sent the latest news.
+    /// Fingers that lack the latest updates.
     pub fn out_of_date(&self) -> Vec<Member> {
         let fingers = self.fingers();
-        let behind = fingers.iter().filter(|id| self.is_out_of_date(**id));
-        let rows = behind.filter_map(|id| self.rows.get(id));
-        rows.map(|row| row.member.clone()).collect()
+        let out_of_date = fingers.iter().filter(|id| self.is_out_of_date(**id));
+        let entries = out_of_date.filter_map(|id| self.entries.get(id));
+        entries.map(|entry| entry.member.clone()).collect()
     }
 
-    /// News for `to`, and the mark to confirm with [`Table::on_sent`]. That it is itself
-    /// in doubt comes first: only `to` can refute it, and after a cut there is more news
-    /// than one page holds.
+    /// Updates for `to`, and the cursor to confirm with [`MemberTable::on_delivered`]. A suspicion
+    /// of `to` itself comes first: only `to` can refute it, and after a partition there are more
+    /// updates than fit in one message.
     pub fn updates_for(&self, to: InstanceId) -> (u64, Vec<Update>) {
-        let from = self.sent.get(&to).copied().unwrap_or(0);
-        let fresh = self.notes.iter().filter(|(at, _)| *at > from).take(PAGE);
-        let page: Vec<(u64, Update)> = fresh.cloned().collect();
-        let mark = page.last().map_or(self.last_seq, |(at, _)| *at);
-        let own = self.suspicion_of(to);
-        (mark, own.into_iter().chain(page.into_iter().map(|(_, note)| note)).collect())
+        let from = self.delivered.get(&to).copied().unwrap_or(0);
+        let undelivered =
+            self.updates.iter().filter(|(at, _)| *at > from).take(MAX_UPDATES_PER_MESSAGE);
+        let page: Vec<(u64, Update)> = undelivered.cloned().collect();
+        let cursor = page.last().map_or(self.last_seq, |(at, _)| *at);
+        let suspicion = self.suspicion_of(to);
+        (cursor, suspicion.into_iter().chain(page.into_iter().map(|(_, update)| update)).collect())
     }
 
-    /// What a member should be told of itself, so that it can refute it.
+    /// The update that lets `id` refute its suspicion or death; `None` if it counts as alive.
     pub fn suspicion_of(&self, id: InstanceId) -> Option<Update> {
-        let is_doubted = |row: &&Row| matches!(row.member.state, State::Suspect | State::Dead);
-        let row = self.rows.get(&id).filter(is_doubted);
-        row.map(|row| Update::Member(row.member.clone()))
+        let is_suspected =
+            |entry: &&Entry| matches!(entry.member.state, State::Suspect | State::Dead);
+        let entry = self.entries.get(&id).filter(is_suspected);
+        entry.map(|entry| Update::Member(entry.member.clone()))
     }
 
-    /// `to` has the news up to `mark`.
-    pub fn on_delivered(&mut self, to: InstanceId, mark: u64) {
-        let sent = self.sent.entry(to).or_insert(0);
-        *sent = mark.max(*sent);
+    /// `to` has received the updates up to `cursor`.
+    pub fn on_delivered(&mut self, to: InstanceId, cursor: u64) {
+        let delivered = self.delivered.entry(to).or_insert(0);
+        *delivered = cursor.max(*delivered);
     }
 
-    /// `member` answered a heartbeat, or sent one.
+    /// `member` replied to a heartbeat, or sent one.
     pub fn on_heartbeat(&mut self, member: Member, now: Instant) {
         let id = member.id;
         self.merge(member, now);
-        if let Some(row) = self.rows.get_mut(&id) {
-            row.misses = 0;
+        if let Some(entry) = self.entries.get_mut(&id) {
+            entry.missed_heartbeats = 0;
         }
     }
 
-    /// `id` did not answer a heartbeat.
+    /// `id` did not reply to a heartbeat.
     pub fn on_heartbeat_missed(&mut self, id: InstanceId, now: Instant) {
-        let Some(row) = self.rows.get_mut(&id) else {
+        let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        row.misses += 1;
-        let is_first = row.misses >= MISSES && row.member.state == State::Alive;
+        entry.missed_heartbeats += 1;
+        let is_first =
+            entry.missed_heartbeats >= MAX_MISSED_HEARTBEATS && entry.member.state == State::Alive;
         if is_first {
-            row.member.state = State::Suspect;
-            row.changed = now;
-            row.second_hand = false;
-            let note = Update::Member(row.member.clone());
-            self.push(note);
+            entry.member.state = State::Suspect;
+            entry.changed_at = now;
+            entry.second_hand = false;
+            let update = Update::Member(entry.member.clone());
+            self.enqueue(update);
         }
     }
 
-    /// Takes in a member's state from anyone; `true` when it was news.
+    /// Merges a member's state from any source; `true` if it is new.
     ///
-    /// Word that one is dead which counts as alive here makes it a suspect: whoever says
-    /// so may have been cut off from it. Word of a death that all see comes well after
-    /// that of the suspicion, and is taken as it is.
+    /// A second-hand report that a live member is dead only makes it a suspect, since the reporter
+    /// may have been partitioned from it. A death that follows a suspicion is accepted as
+    /// reported.
     ///
-    /// Guards against a fleet that falls apart when a cut heals, as each side spreads its
-    /// view of the other: of 250 instances, 200 on one side, each counted some 130 of its
-    /// own side as dead for over four seconds; several kept the same account, and targets
-    /// got twice what they had slots for.
+    /// Guards against a fleet that splits further as a partition heals: each side broadcasts its
+    /// view that the other one is dead.
     pub fn merge(&mut self, member: Member, now: Instant) -> bool {
         if member.id == self.me.id {
             self.refute(&member);
             return false;
         }
         let policy = self.policy;
-        let Some(row) = self.rows.get_mut(&member.id) else {
+        let Some(entry) = self.entries.get_mut(&member.id) else {
             if member.state == State::Dead {
                 return false;
             }
             self.replace(&member, now);
-            let note = Update::Member(member.clone());
-            self.rows
-                .insert(member.id, Row { member, misses: 0, changed: now, second_hand: false });
+            let update = Update::Member(member.clone());
+            self.entries.insert(
+                member.id,
+                Entry { member, missed_heartbeats: 0, changed_at: now, second_hand: false },
+            );
             self.version += 1;
-            self.push(note);
+            self.enqueue(update);
             return true;
         };
-        let known = &row.member;
+        let known = &entry.member;
         let newer = (member.incarnation, member.state) > (known.incarnation, known.state);
         let generation = member.generation.max(known.generation);
         if !newer {
-            row.member.generation = generation;
+            entry.member.generation = generation;
             return false;
         }
         let is_death = member.state == State::Dead;
-        let by_word = is_death && known.state == State::Alive;
-        if is_death && known.state == State::Suspect && row.is_recent_suspect(policy, now) {
+        let second_hand = is_death && known.state == State::Alive;
+        if is_death && known.state == State::Suspect && entry.is_recent_suspect(policy, now) {
             return false;
         }
-        let state = if by_word { State::Suspect } else { member.state };
+        let state = if second_hand { State::Suspect } else { member.state };
         let member = Member { state, ..member };
         let is_loss =
             member.state == State::Dead && !matches!(known.state, State::Dead | State::Leaving);
-        row.changed = now;
-        row.second_hand = by_word;
-        row.member = member;
-        row.member.generation = generation;
+        entry.changed_at = now;
+        entry.second_hand = second_hand;
+        entry.member = member;
+        entry.member.generation = generation;
         self.losses += u64::from(is_loss);
         self.version += 1;
-        let note = Update::Member(row.member.clone());
-        self.push(note);
+        let update = Update::Member(entry.member.clone());
+        self.enqueue(update);
         true
     }
 
-    /// `id` is known to be gone: its address answers under another id.
+    /// `id` is gone: another id responds at its address.
     pub fn on_replaced(&mut self, id: InstanceId, now: Instant) {
-        let Some(row) = self.rows.get_mut(&id) else {
+        let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        if row.member.state == State::Dead {
+        if entry.member.state == State::Dead {
             return;
         }
-        self.losses += u64::from(row.member.state != State::Leaving);
-        row.member.state = State::Dead;
-        row.changed = now;
-        let note = Update::Member(row.member.clone());
+        self.losses += u64::from(entry.member.state != State::Leaving);
+        entry.member.state = State::Dead;
+        entry.changed_at = now;
+        let update = Update::Member(entry.member.clone());
         self.version += 1;
-        self.push(note);
+        self.enqueue(update);
     }
 
-    /// A process that starts at an address takes the place of an earlier one.
+    /// A process that starts at an address replaces an earlier one there.
     fn replace(&mut self, member: &Member, now: Instant) {
-        let is_earlier = |row: &&Row| {
-            row.member.peer == member.peer && row.member.incarnation < member.incarnation
+        let is_earlier = |entry: &&Entry| {
+            entry.member.peer == member.peer && entry.member.incarnation < member.incarnation
         };
-        let earlier = self.rows.values().filter(is_earlier).map(|row| row.member.id);
+        let earlier = self.entries.values().filter(is_earlier).map(|entry| entry.member.id);
         let earlier: Vec<InstanceId> = earlier.collect();
         earlier.into_iter().for_each(|id| self.on_replaced(id, now));
     }
 
-    /// Passes on a note of another kind; the caller has seen that it is news.
-    pub fn broadcast(&mut self, note: Update) {
-        self.push(note);
+    /// Broadcasts an update of another kind; the caller has checked that it is new.
+    pub fn broadcast(&mut self, update: Update) {
+        self.enqueue(update);
     }
 
-    fn refute(&mut self, said: &Member) {
-        let wrong = matches!(said.state, State::Suspect | State::Dead);
-        if wrong && said.incarnation >= self.me.incarnation {
-            self.me.incarnation = said.incarnation + 1;
-            self.push(Update::Member(self.me.clone()));
+    fn refute(&mut self, claimed: &Member) {
+        let is_wrong = matches!(claimed.state, State::Suspect | State::Dead);
+        if is_wrong && claimed.incarnation >= self.me.incarnation {
+            self.me.incarnation = claimed.incarnation + 1;
+            self.enqueue(Update::Member(self.me.clone()));
         }
     }
 
-    fn age(&mut self, now: Instant) {
+    fn expire(&mut self, now: Instant) {
         let policy = self.policy;
         let mut dead = Vec::new();
         let mut losses = 0;
-        for row in self.rows.values_mut() {
-            let silent = now.saturating_duration_since(row.changed);
-            let patience = if row.second_hand { BY_WORD } else { 1 };
+        for entry in self.entries.values_mut() {
+            let elapsed = now.saturating_duration_since(entry.changed_at);
+            let factor = if entry.second_hand { SECOND_HAND_FACTOR } else { 1 };
             let expired =
-                row.member.state == State::Suspect && silent >= policy.suspect_timeout * patience;
-            let gone = row.member.state == State::Leaving && row.misses >= MISSES;
-            if expired || gone {
+                entry.member.state == State::Suspect && elapsed >= policy.suspect_timeout * factor;
+            let has_left = entry.member.state == State::Leaving
+                && entry.missed_heartbeats >= MAX_MISSED_HEARTBEATS;
+            if expired || has_left {
                 losses += u64::from(expired);
-                row.member.state = State::Dead;
-                row.changed = now;
-                dead.push(row.member.clone());
+                entry.member.state = State::Dead;
+                entry.changed_at = now;
+                dead.push(entry.member.clone());
             }
         }
-        self.rows.retain(|_, row| {
-            let silent = now.saturating_duration_since(row.changed);
-            row.member.state != State::Dead || silent < policy.dead_retention
+        self.entries.retain(|_, entry| {
+            let elapsed = now.saturating_duration_since(entry.changed_at);
+            entry.member.state != State::Dead || elapsed < policy.dead_retention
         });
         self.losses += losses;
         self.version += dead.len() as u64;
-        dead.into_iter().for_each(|member| self.push(Update::Member(member)));
-        let rows = &self.rows;
-        self.sent.retain(|id, _| rows.contains_key(id));
+        dead.into_iter().for_each(|member| self.enqueue(Update::Member(member)));
+        let entries = &self.entries;
+        self.delivered.retain(|id, _| entries.contains_key(id));
     }
 
-    fn push(&mut self, note: Update) {
-        if let Update::Member(member) = &note {
+    fn enqueue(&mut self, update: Update) {
+        if let Update::Member(member) = &update {
             let id = member.id;
-            self.notes.retain(|(_, old)| !matches!(old, Update::Member(m) if m.id == id));
+            self.updates.retain(|(_, old)| !matches!(old, Update::Member(m) if m.id == id));
         }
         self.last_seq += 1;
-        self.notes.push_back((self.last_seq, note));
-        if self.notes.len() > LOG {
-            self.notes.pop_front();
+        self.updates.push_back((self.last_seq, update));
+        if self.updates.len() > MAX_UPDATES {
+            self.updates.pop_front();
         }
     }
 }
--- a/crates/coordination/src/membership/types.rs
+++ b/crates/coordination/src/membership/types.rs
@@ -1,24 +1,24 @@
-//! What members know and tell of each other.
+//! Members, and the updates that they exchange.
 
 use crate::InstanceId;
 use crate::leaving::Source;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a member stands.
+/// State of a member; the higher one wins at equal incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It answers.
+    /// It replies to heartbeats.
     Alive,
-    /// It missed heartbeats and may refute.
+    /// It missed heartbeats and may refute the suspicion.
     Suspect,
-    /// It is stopping.
+    /// It is shutting down.
     Leaving,
-    /// It counts as gone.
+    /// It is gone.
     Dead,
 }
 
-/// One member.
+/// A member as others know it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Unique for each start of a process.
@@ -27,51 +27,50 @@
     pub peer: SocketAddr,
     /// Address for callers.
     pub http: SocketAddr,
-    /// Data centre it stands in.
+    /// Data centre of the instance.
     pub data_centre: String,
-    /// Raised by the member itself to refute a suspicion.
+    /// Incremented by the member itself to refute a suspicion.
     pub incarnation: u64,
-    /// How it stands.
+    /// State as last reported.
     pub state: State,
-    /// Configuration in force there when it was last heard of directly. News
-    /// doesn't carry it on: with every member's at every change it would be the
-    /// largest part of all traffic.
+    /// Generation of the configuration in force there, from direct messages only: broadcasting it
+    /// for every member would dominate traffic.
     pub generation: u64,
 }
 
-/// News that members pass on.
+/// An update that members pass on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// A member's state.
+    /// State of a member.
     Member(Member),
-    /// A target leaves or came back.
+    /// A target leaves or has returned.
     Leaving {
-        /// The target.
+        /// Name of the target.
         target: String,
-        /// The source's stamp; higher wins.
+        /// Version by the source's own clock; the highest wins.
         since: u64,
         /// Whether it leaves.
         leaving: bool,
-        /// Whose word this is.
+        /// Origin of the notice.
         witness: Source,
     },
     /// A job was cancelled.
     JobCancelled(String),
-    /// A shard has a new job, with the time of its acceptance.
+    /// A shard has accepted a job at this time.
     JobAccepted(u32, u64),
-    /// A generation of the configuration is in force somewhere.
+    /// A generation of the configuration is in force on some instance.
     Generation(u64),
 }
 
-/// Times that rule the table.
+/// Intervals and timeouts of membership.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Silence of a suspect until it counts as dead.
+    /// Time until a suspect counts as dead.
     pub suspect_timeout: Duration,
-    /// How long a dead member is still tried now and then; a cut that heals
-    /// within it needs no help from the platform's list.
+    /// How long dead members are still probed; a partition that heals within it needs no help from
+    /// the platform's list.
     pub dead_retention: Duration,
 }
 
--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -1,20 +1,19 @@
-//! Requests that crash the targets that run them, and are kept from further ones.
+//! Requests that crash the targets that run them, and are quarantined.
 //!
-//! A request that ends its target comes again, under another id and at another instance.
-//! What it asks for stays the same, so that is what strikes are counted for: one for each
-//! start of a target that crashed while the request ran there. With [`Policy::crashes`] of
-//! them it is held: nobody sends it, but for a trial after a while.
+//! A request that crashed its target is retried, under another id and by another instance. Its
+//! content stays the same, so crash reports count by its fingerprint: one for each start of a
+//! target that crashed while the request ran there. With [`Policy::max_crashes`] of them the
+//! request is quarantined: no instance sends it, except for a trial after a while.
 //!
-//! All that ran on a target that crashed gets a strike, also what did no harm. A crash that
-//! a held request explains counts for nobody else, a whole run acquits, and a trial frees
-//! what was held wrongly.
+//! Everything that ran on a crashed target gets a report, harmless requests too. A crash that a
+//! quarantined request explains doesn't count against others, a complete run clears a request, and
+//! a trial frees one that was quarantined wrongly.
 //!
-//! Strikes are a set that only grows, so the order in which instances hear of them doesn't
-//! matter, nor how often. They are hints: one that is lost lets a request crash one target
-//! more.
+//! Crash reports are a grow-only set, so they may be received in any order and more than once.
+//! They are hints: a lost one lets a request crash one more target.
 //!
 //! ```
-//! use coordination::quarantine::{TargetStart, Policy, CrashReport, Table, Decision};
+//! use coordination::quarantine::{CrashReport, Decision, Policy, Table, TargetStart};
 //! use std::time::Instant;
 //!
 //! let now = Instant::now();
@@ -35,300 +34,325 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// Time between looks for strikes that no longer count.
-const LOOK_EVERY: Duration = Duration::from_secs(60);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug)]
-struct Entry {
+struct Crash {
     at: Instant,
-    is_acquitted: bool,
+    is_cleared: bool,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Row {
-    strikes: BTreeMap<TargetStart, Entry>,
+struct History {
+    crashes: BTreeMap<TargetStart, Crash>,
     trials: usize,
     trialled: Option<Instant>,
 }
 
-impl Row {
-    fn standing(&self) -> impl Iterator<Item = (&TargetStart, &Entry)> {
-        self.strikes.iter().filter(|(_, entry)| !entry.is_acquitted)
+impl History {
+    fn uncleared(&self) -> impl Iterator<Item = (&TargetStart, &Crash)> {
+        self.crashes.iter().filter(|(_, crash)| !crash.is_cleared)
     }
 
     fn last(&self) -> Option<Instant> {
-        self.strikes.values().map(|entry| entry.at).max()
+        self.crashes.values().map(|crash| crash.at).max()
     }
 }
 
-/// Requests with strikes.
+/// Crash reports by request.
 #[derive(Clone, Debug)]
 pub struct Table {
     policy: Policy,
-    rows: HashMap<RequestFingerprint, Row>,
-    /// Requests that are held, with the crashes that nothing else explains.
-    held: HashMap<RequestFingerprint, usize>,
+    histories: HashMap<RequestFingerprint, History>,
+    /// Quarantined requests, with the number of crashes that no other request explains.
+    quarantined: HashMap<RequestFingerprint, usize>,
     digest: u64,
-    /// When strikes were last looked through for old ones.
-    looked: Instant,
+    /// When expired reports were last removed.
+    last_expiry_check: Instant,
 }
 
 impl Table {
-    /// No strikes.
+    /// A table without reports.
     pub fn new(policy: Policy, now: Instant) -> Table {
-        Table { policy, rows: HashMap::new(), held: HashMap::new(), digest: 0, looked: now }
+        Table {
+            policy,
+            histories: HashMap::new(),
+            quarantined: HashMap::new(),
+            digest: 0,
+            last_expiry_check: now,
+        }
     }
 
-    /// Whether no request has a strike.
+    /// Whether there are no reports.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.histories.is_empty()
     }
 
-    /// Crashes that count against a request and weren't acquitted.
-    pub fn crashes(&self, content: RequestFingerprint) -> usize {
-        self.rows.get(&content).map_or(0, |row| row.standing().count())
+    /// Number of a request's crash reports that aren't cleared.
+    pub fn crashes(&self, fingerprint: RequestFingerprint) -> usize {
+        self.histories.get(&fingerprint).map_or(0, |history| history.uncleared().count())
     }
 
-    /// Requests that are held now.
+    /// Number of quarantined requests.
     pub fn quarantined(&self) -> usize {
-        self.held.len()
+        self.quarantined.len()
     }
 
-    /// Requests that are held now, each with its crashes that weren't acquitted.
+    /// Quarantined requests, each with its number of crash reports that aren't cleared.
     pub fn quarantined_requests(&self) -> Vec<(RequestFingerprint, usize)> {
-        self.held.keys().map(|content| (*content, self.crashes(*content))).collect()
+        self.quarantined
+            .keys()
+            .map(|fingerprint| (*fingerprint, self.crashes(*fingerprint)))
+            .collect()
     }
 
-    /// Takes in a strike, heard or seen; `true` when it is news.
-    pub fn on_crash_report(&mut self, strike: CrashReport, now: Instant) -> bool {
-        let age = Duration::from_millis(strike.age_ms);
+    /// Takes in a report, local or received; `true` if it is new.
+    pub fn on_crash_report(&mut self, report: CrashReport, now: Instant) -> bool {
+        let age = Duration::from_millis(report.age_ms);
         if age >= self.policy.retention {
             return false;
         }
         let at = now.checked_sub(age).unwrap_or(now);
-        let content = strike.content;
-        let before = self.share(content);
-        let row = self.rows.entry(content).or_default();
-        let standing = row.standing().count();
-        let is_news = match row.strikes.get_mut(&strike.start) {
+        let fingerprint = report.content;
+        let before = self.contribution(fingerprint);
+        let history = self.histories.entry(fingerprint).or_default();
+        let uncleared = history.uncleared().count();
+        let is_new = match history.crashes.get_mut(&report.start) {
             Some(known) => {
-                let is_news = strike.is_cleared && !known.is_acquitted;
-                known.is_acquitted |= strike.is_cleared;
-                is_news
+                let is_new = report.is_cleared && !known.is_cleared;
+                known.is_cleared |= report.is_cleared;
+                is_new
             }
             None => {
-                let entry = Entry { at, is_acquitted: strike.is_cleared };
-                row.strikes.insert(strike.start, entry);
+                let crash = Crash { at, is_cleared: report.is_cleared };
+                history.crashes.insert(report.start, crash);
                 true
             }
         };
-        let most = standing.max(row.standing().count());
-        self.update_digest(content, before);
-        if is_news {
-            let has_lost_heavy = self.forget(now);
-            if has_lost_heavy || self.is_heavy(most) {
-                self.judge();
+        let max_count = uncleared.max(history.uncleared().count());
+        self.update_digest(fingerprint, before);
+        if is_new {
+            let evicted_candidate = self.evict(now);
+            if evicted_candidate || self.may_be_quarantined(max_count) {
+                self.recompute();
             }
         }
-        is_news
+        is_new
     }
 
-    /// A request came to its end on a target, so it crashes none: the strikes that this
-    /// acquits, to be told if there are several. A single one holds nobody, and most of what
-    /// ran beside a crash has one; told or not, it is made up for once it is shared.
-    pub fn on_success(&mut self, content: RequestFingerprint, now: Instant) -> Vec<CrashReport> {
-        let before = self.share(content);
-        let Some(row) = self.rows.get_mut(&content) else {
+    /// A request ran completely, so its crash reports are cleared. Returns them for a broadcast if
+    /// there are several; a single one quarantines nothing and isn't shared.
+    pub fn on_success(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        now: Instant,
+    ) -> Vec<CrashReport> {
+        let before = self.contribution(fingerprint);
+        let Some(history) = self.histories.get_mut(&fingerprint) else {
             return Vec::new();
         };
-        let standing = row.standing().count();
-        let mut acquitted = Vec::new();
-        for (boot, entry) in row.strikes.iter_mut().filter(|(_, entry)| !entry.is_acquitted) {
-            entry.is_acquitted = true;
-            acquitted.push(told(content, boot, entry, now));
+        let uncleared = history.uncleared().count();
+        let mut cleared = Vec::new();
+        for (start, crash) in history.crashes.iter_mut().filter(|(_, crash)| !crash.is_cleared) {
+            crash.is_cleared = true;
+            cleared.push(to_report(fingerprint, start, crash, now));
         }
-        let is_shared = row.strikes.len() > 1;
-        self.update_digest(content, before);
-        if self.is_heavy(standing) {
-            self.judge();
+        let has_several = history.crashes.len() > 1;
+        self.update_digest(fingerprint, before);
+        if self.may_be_quarantined(uncleared) {
+            self.recompute();
         }
-        if is_shared { acquitted } else { Vec::new() }
+        if has_several { cleared } else { Vec::new() }
     }
 
-    /// Whether a request with so many crashes may be held, or may have been.
+    /// Whether a request with so many crashes may be quarantined, or may have been.
     ///
-    /// Gains processor time in a mass crash, which gives a strike to all that ran: to judge
-    /// and look through all requests at each strike took 50 us a strike at 8,000 of them, to
-    /// do so only when one may be held takes 0.6 (`cargo bench -p gatespoold --bench slopes`).
-    fn is_heavy(&self, crashes: usize) -> bool {
+    /// Guards against recomputing all requests at each report of a mass crash, which reports every
+    /// request that ran.
+    fn may_be_quarantined(&self, crashes: usize) -> bool {
         self.policy.max_crashes > 0 && crashes >= self.policy.max_crashes
     }
 
-    /// What the digest holds of a request.
-    fn share(&self, content: RequestFingerprint) -> u64 {
-        let row = self.rows.get(&content).filter(|row| row.strikes.len() > 1);
-        let strikes = row.into_iter().flat_map(|row| row.strikes.iter());
-        strikes.fold(0, |sum, (boot, entry)| sum.wrapping_add(told_digest(content, boot, entry)))
+    /// A request's part of the digest.
+    fn contribution(&self, fingerprint: RequestFingerprint) -> u64 {
+        let history = self.histories.get(&fingerprint).filter(|history| history.crashes.len() > 1);
+        let crashes = history.into_iter().flat_map(|history| history.crashes.iter());
+        crashes.fold(0, |sum, (start, crash)| {
+            sum.wrapping_add(report_digest(fingerprint, start, crash))
+        })
     }
 
-    /// Makes the digest agree after a change of a request; `before` is its share then.
-    fn update_digest(&mut self, content: RequestFingerprint, before: u64) {
-        self.digest = self.digest.wrapping_sub(before).wrapping_add(self.share(content));
+    /// Updates the digest after a change of a request, whose contribution was `before`.
+    fn update_digest(&mut self, fingerprint: RequestFingerprint, before: u64) {
+        self.digest = self.digest.wrapping_sub(before).wrapping_add(self.contribution(fingerprint));
     }
 
-    /// Whether a request may be sent.
-    pub fn decide(&self, content: RequestFingerprint, now: Instant) -> Decision {
-        let Some(crashes) = self.held.get(&content) else {
+    /// Whether a request may be sent now.
+    pub fn decide(&self, fingerprint: RequestFingerprint, now: Instant) -> Decision {
+        let Some(crashes) = self.quarantined.get(&fingerprint) else {
             return Decision::Allowed;
         };
-        let Some(row) = self.rows.get(&content) else {
+        let Some(history) = self.histories.get(&fingerprint) else {
             return Decision::Allowed;
         };
-        let known = crashes.saturating_sub(self.policy.max_crashes);
-        let untold = row.trials.saturating_sub(self.policy.unreported_trials);
-        let beyond = known.max(untold);
-        let hold = self.policy.durations[beyond.min(self.policy.durations.len() - 1)];
-        let since = row.last().max(row.trialled).unwrap_or(now);
-        let left = (since + hold).saturating_duration_since(now);
-        if left.is_zero() { Decision::TrialDue } else { Decision::Quarantined(left) }
+        let extra_crashes = crashes.saturating_sub(self.policy.max_crashes);
+        let extra_trials = history.trials.saturating_sub(self.policy.unreported_trials);
+        let level = extra_crashes.max(extra_trials);
+        let duration = self.policy.durations[level.min(self.policy.durations.len() - 1)];
+        let since = history.last().max(history.trialled).unwrap_or(now);
+        let remaining = (since + duration).saturating_duration_since(now);
+        if remaining.is_zero() { Decision::TrialDue } else { Decision::Quarantined(remaining) }
     }
 
-    /// Grants one trial of a held request whose time has come. Only one instance decides
-    /// for each request, so that two tries don't go out as one trial.
-    pub fn on_trial(&mut self, content: RequestFingerprint, now: Instant) -> bool {
-        if self.decide(content, now) != Decision::TrialDue {
+    /// Grants one trial of a quarantined request whose time has come. One instance decides for
+    /// each request, so that there is one trial at a time.
+    pub fn on_trial(&mut self, fingerprint: RequestFingerprint, now: Instant) -> bool {
+        if self.decide(fingerprint, now) != Decision::TrialDue {
             return false;
         }
-        if let Some(row) = self.rows.get_mut(&content) {
-            row.trials += 1;
-            row.trialled = Some(now);
+        if let Some(history) = self.histories.get_mut(&fingerprint) {
+            history.trials += 1;
+            history.trialled = Some(now);
         }
         true
     }
 
-    /// A number that two instances share if they know the same of requests with several
-    /// strikes. Single ones are many after a mass crash, and a lost one costs little.
+    /// Digest of all requests with several reports; equal on instances that know the same ones.
+    /// Single reports are left out: a mass crash makes many, and losing one costs little.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// What the digest is of, to be told to an instance that knows less.
+    /// The reports that the digest covers, for an instance that is out of date.
     pub fn crash_reports(&self, now: Instant) -> Vec<CrashReport> {
-        self.shared().map(|(content, boot, entry)| told(content, boot, entry, now)).collect()
+        self.shared()
+            .map(|(fingerprint, start, crash)| to_report(fingerprint, start, crash, now))
+            .collect()
     }
 
-    /// The strikes of one request.
-    pub fn crash_reports_of(&self, content: RequestFingerprint, now: Instant) -> Vec<CrashReport> {
-        let row = self.rows.get(&content);
-        let strikes = row.into_iter().flat_map(|row| row.strikes.iter());
-        strikes.map(|(boot, entry)| told(content, boot, entry, now)).collect()
+    /// The reports of one request.
+    pub fn crash_reports_of(
+        &self,
+        fingerprint: RequestFingerprint,
+        now: Instant,
+    ) -> Vec<CrashReport> {
+        let history = self.histories.get(&fingerprint);
+        let crashes = history.into_iter().flat_map(|history| history.crashes.iter());
+        crashes.map(|(start, crash)| to_report(fingerprint, start, crash, now)).collect()
     }
 
-    fn shared(&self) -> impl Iterator<Item = (RequestFingerprint, &TargetStart, &Entry)> {
-        let rows = self.rows.iter().filter(|(_, row)| row.strikes.len() > 1);
-        rows.flat_map(|(content, row)| row.strikes.iter().map(|(boot, e)| (*content, boot, e)))
+    fn shared(&self) -> impl Iterator<Item = (RequestFingerprint, &TargetStart, &Crash)> {
+        let histories = self.histories.iter().filter(|(_, history)| history.crashes.len() > 1);
+        histories.flat_map(|(fingerprint, history)| {
+            history.crashes.iter().map(|(start, e)| (*fingerprint, start, e))
+        })
     }
 
-    /// Forgets strikes that no longer count, and the least of those beyond the bound;
-    /// `true` if a request was among them that may be held.
-    fn forget(&mut self, now: Instant) -> bool {
-        let is_due = now.saturating_duration_since(self.looked) >= LOOK_EVERY;
-        let has_lost_old = is_due && self.forget_old(now);
-        // Some at a time, so that not each strike of a mass crash looks through all.
-        let is_over = self.rows.len() > self.policy.max_entries + self.policy.max_entries / 8;
-        let has_lost_least = is_over && self.forget_least();
-        has_lost_old || has_lost_least
+    /// Removes expired reports, and those of the lowest ranks beyond the limit; `true` if one of
+    /// them may have been quarantined.
+    fn evict(&mut self, now: Instant) -> bool {
+        let is_check_due =
+            now.saturating_duration_since(self.last_expiry_check) >= EXPIRY_CHECK_INTERVAL;
+        let evicted_expired = is_check_due && self.evict_expired(now);
+        // In batches, so that not every report of a mass crash scans the whole table.
+        let is_over = self.histories.len() > self.policy.max_entries + self.policy.max_entries / 8;
+        let evicted_lowest = is_over && self.evict_lowest();
+        evicted_expired || evicted_lowest
     }
 
-    fn forget_old(&mut self, now: Instant) -> bool {
-        self.looked = now;
-        let retain = self.policy.retention;
-        let is_old = |entry: &Entry| now.saturating_duration_since(entry.at) >= retain;
-        let has_old = |row: &Row| row.strikes.values().any(is_old);
-        let rows = self.rows.iter().filter(|(_, row)| has_old(row));
-        let contents: Vec<RequestFingerprint> = rows.map(|(id, _)| *id).collect();
-        let mut has_lost_heavy = false;
-        for content in contents {
-            has_lost_heavy |= self.is_heavy(self.crashes(content));
-            let before = self.share(content);
-            if let Some(row) = self.rows.get_mut(&content) {
-                row.strikes.retain(|_, entry| !is_old(entry));
+    fn evict_expired(&mut self, now: Instant) -> bool {
+        self.last_expiry_check = now;
+        let retention = self.policy.retention;
+        let has_expired = |crash: &Crash| now.saturating_duration_since(crash.at) >= retention;
+        let has_expired_crash = |history: &History| history.crashes.values().any(has_expired);
+        let histories = self.histories.iter().filter(|(_, history)| has_expired_crash(history));
+        let fingerprints: Vec<RequestFingerprint> = histories.map(|(id, _)| *id).collect();
+        let mut evicted_candidate = false;
+        for fingerprint in fingerprints {
+            evicted_candidate |= self.may_be_quarantined(self.crashes(fingerprint));
+            let before = self.contribution(fingerprint);
+            if let Some(history) = self.histories.get_mut(&fingerprint) {
+                history.crashes.retain(|_, crash| !has_expired(crash));
             }
-            self.update_digest(content, before);
+            self.update_digest(fingerprint, before);
         }
-        self.rows.retain(|_, row| !row.strikes.is_empty());
-        has_lost_heavy
+        self.histories.retain(|_, history| !history.crashes.is_empty());
+        evicted_candidate
     }
 
-    fn forget_least(&mut self) -> bool {
-        let rank =
-            |(id, row): (&RequestFingerprint, &Row)| (row.standing().count(), row.last(), *id);
+    fn evict_lowest(&mut self) -> bool {
+        let rank = |(id, history): (&RequestFingerprint, &History)| {
+            (history.uncleared().count(), history.last(), *id)
+        };
         let mut ranks: Vec<(usize, Option<Instant>, RequestFingerprint)> =
-            self.rows.iter().map(rank).collect();
+            self.histories.iter().map(rank).collect();
         ranks.sort_unstable();
-        ranks.truncate(self.rows.len().saturating_sub(self.policy.max_entries));
-        let mut has_lost_heavy = false;
-        for (crashes, _, content) in ranks {
-            has_lost_heavy |= self.is_heavy(crashes);
-            let before = self.share(content);
-            self.rows.remove(&content);
-            self.update_digest(content, before);
+        ranks.truncate(self.histories.len().saturating_sub(self.policy.max_entries));
+        let mut evicted_candidate = false;
+        for (crashes, _, fingerprint) in ranks {
+            evicted_candidate |= self.may_be_quarantined(crashes);
+            let before = self.contribution(fingerprint);
+            self.histories.remove(&fingerprint);
+            self.update_digest(fingerprint, before);
         }
-        has_lost_heavy
+        evicted_candidate
     }
 
-    /// Finds the requests to hold: the one with most crashes first, since a crash that it
-    /// explains says nothing of what else ran there.
-    fn judge(&mut self) {
-        self.held.clear();
+    /// Recomputes which requests are quarantined, those with most crashes first, since a crash
+    /// that one explains doesn't count against others.
+    fn recompute(&mut self) {
+        self.quarantined.clear();
         if self.policy.max_crashes == 0 {
             return;
         }
-        let is_plain = |row: &Row| {
-            row.standing().count() >= self.policy.max_crashes + self.policy.shared_margin
+        let is_certain = |history: &History| {
+            history.uncleared().count() >= self.policy.max_crashes + self.policy.shared_margin
         };
-        let plain = self.rows.iter().filter(|(_, row)| is_plain(row));
-        self.held = plain.map(|(id, row)| (*id, row.standing().count())).collect();
-        let held = self.rows.iter().filter(|(id, _)| self.held.contains_key(id));
-        let mut explained: BTreeSet<&TargetStart> =
-            held.flat_map(|(_, row)| row.standing().map(|(boot, _)| boot)).collect();
+        let certain = self.histories.iter().filter(|(_, history)| is_certain(history));
+        self.quarantined =
+            certain.map(|(id, history)| (*id, history.uncleared().count())).collect();
+        let quarantined = self.histories.iter().filter(|(id, _)| self.quarantined.contains_key(id));
+        let mut explained: BTreeSet<&TargetStart> = quarantined
+            .flat_map(|(_, history)| history.uncleared().map(|(start, _)| start))
+            .collect();
         loop {
-            let unexplained =
-                |row: &Row| row.standing().filter(|(boot, _)| !explained.contains(boot)).count();
-            let open = self.rows.iter().filter(|(id, _)| !self.held.contains_key(id));
+            let unexplained = |history: &History| {
+                history.uncleared().filter(|(start, _)| !explained.contains(start)).count()
+            };
+            let others = self.histories.iter().filter(|(id, _)| !self.quarantined.contains_key(id));
             let counts: Vec<(RequestFingerprint, usize)> =
-                open.map(|(id, row)| (*id, unexplained(row))).collect();
-            let most = counts.iter().map(|(_, count)| *count).max().unwrap_or(0);
-            if most < self.policy.max_crashes {
+                others.map(|(id, history)| (*id, unexplained(history))).collect();
+            let max_count = counts.iter().map(|(_, count)| *count).max().unwrap_or(0);
+            if max_count < self.policy.max_crashes {
                 return;
             }
-            // Those that can't be told apart are held alike.
-            for (id, count) in counts.into_iter().filter(|(_, count)| *count == most) {
-                self.held.insert(id, count);
-                if let Some(row) = self.rows.get(&id) {
-                    explained.extend(row.standing().map(|(boot, _)| boot));
+            // Requests with equal counts can't be told apart: quarantine all of them.
+            for (id, count) in counts.into_iter().filter(|(_, count)| *count == max_count) {
+                self.quarantined.insert(id, count);
+                if let Some(history) = self.histories.get(&id) {
+                    explained.extend(history.uncleared().map(|(start, _)| start));
                 }
             }
         }
     }
 }
 
-fn told(
-    content: RequestFingerprint,
-    boot: &TargetStart,
-    entry: &Entry,
+fn to_report(
+    fingerprint: RequestFingerprint,
+    start: &TargetStart,
+    crash: &Crash,
     now: Instant,
 ) -> CrashReport {
-    let age = now.saturating_duration_since(entry.at);
-    let boot = boot.clone();
+    let age = now.saturating_duration_since(crash.at);
+    let start = start.clone();
     CrashReport {
-        content,
-        start: boot,
+        content: fingerprint,
+        start,
         age_ms: age.as_millis() as u64,
-        is_cleared: entry.is_acquitted,
+        is_cleared: crash.is_cleared,
     }
 }
 
-fn told_digest(content: RequestFingerprint, boot: &TargetStart, entry: &Entry) -> u64 {
-    told(content, boot, entry, entry.at).digest()
+fn report_digest(fingerprint: RequestFingerprint, start: &TargetStart, crash: &Crash) -> u64 {
+    to_report(fingerprint, start, crash, crash.at).digest()
 }
--- a/crates/coordination/src/quarantine/types.rs
+++ b/crates/coordination/src/quarantine/types.rs
@@ -1,4 +1,4 @@
-//! What is said of a request that may crash its targets.
+//! Crash reports, and the settings and decisions of the quarantine.
 
 use crate::{TargetId, hash};
 use protocol::{Millis, RequestFingerprint};
@@ -8,40 +8,40 @@
 /// One start of a target.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetStart {
-    /// The target.
+    /// Name of the target.
     pub target: TargetId,
-    /// Its start, in milliseconds since the Unix epoch; 0 if it doesn't tell.
+    /// Start time, in milliseconds since the Unix epoch; 0 if the target doesn't report it.
     #[serde(rename = "born")]
     pub started_at: Millis,
 }
 
-/// Word that a request ran on a target as it crashed.
+/// Report that a request was running on a target that crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The request.
+    /// Fingerprint of the request.
     pub content: RequestFingerprint,
-    /// The target that crashed.
+    /// The start of the target that crashed.
     #[serde(rename = "boot")]
     pub start: TargetStart,
-    /// Milliseconds since the crash.
+    /// Time since the crash, in milliseconds.
     pub age_ms: u64,
-    /// Whether the request has come to its end on a target since.
+    /// Whether the request has run completely since.
     #[serde(rename = "is_acquitted")]
     pub is_cleared: bool,
 }
 
 impl CrashReport {
-    /// A strike for a crash that has just been seen.
-    pub fn new(content: RequestFingerprint, boot: TargetStart) -> CrashReport {
-        CrashReport { content, start: boot, age_ms: 0, is_cleared: false }
+    /// A report of a crash that was just observed.
+    pub fn new(content: RequestFingerprint, start: TargetStart) -> CrashReport {
+        CrashReport { content, start, age_ms: 0, is_cleared: false }
     }
 
-    /// The same strike `passed` milliseconds later.
-    pub fn aged(self, passed: Millis) -> CrashReport {
-        CrashReport { age_ms: self.age_ms.saturating_add(passed), ..self }
+    /// The same report `elapsed_ms` later.
+    pub fn aged(self, elapsed_ms: Millis) -> CrashReport {
+        CrashReport { age_ms: self.age_ms.saturating_add(elapsed_ms), ..self }
     }
 
-    /// What the digest of all strikes holds of it.
+    /// The report's part of a table's digest.
     pub(super) fn digest(&self) -> u64 {
         let seed =
             self.content ^ self.start.started_at.rotate_left(32) ^ u64::from(self.is_cleared);
@@ -49,25 +49,24 @@
     }
 }
 
-/// How requests are held.
+/// Settings of the quarantine.
 #[derive(Clone, Debug)]
 pub struct Policy {
-    /// Crashes after which a request is held; 0 for never.
+    /// Number of crashes from which a request is quarantined; 0 disables the quarantine.
     pub max_crashes: usize,
-    /// How long a request is held after its last crash or trial: before its first trial,
-    /// its second, and all further ones. Most wrongly held requests are freed by the first;
-    /// one that does crash its targets crashes two more in a day.
+    /// Time from the last crash or trial to the first trial, to the second, and to each further
+    /// one. The first frees most requests that were quarantined wrongly; the long last one limits
+    /// the crashes that a harmful request causes in a day.
     pub durations: [Duration; 3],
-    /// Trials of which nobody hears how they ended that don't lengthen the hold: one may be
-    /// stopped for other work or find no slot, and its sender may be gone.
+    /// Number of trials with an unreported outcome that don't lengthen the quarantine: a trial may
+    /// be preempted or find no slot, and its sender may be lost.
     pub unreported_trials: usize,
-    /// Crashes beyond [`Policy::crashes`] with which a request is held though others explain
-    /// them all: two that crash their targets may share some.
+    /// Crashes beyond [`Policy::max_crashes`] with which a request is quarantined even if others
+    /// explain all of them: two harmful requests may share targets.
     pub shared_margin: usize,
-    /// How long a strike counts.
+    /// Lifetime of a crash report.
     pub retention: Duration,
-    /// Requests with strikes that are remembered. A fleet that loses hundreds of targets at
-    /// one moment gives a strike to thousands.
+    /// Maximum of requests with crash reports; a mass crash reports thousands.
     pub max_entries: usize,
 }
 
@@ -88,10 +87,10 @@
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It may.
+    /// It may be sent.
     Allowed,
-    /// It is held for this long.
+    /// It must not be sent for this long.
     Quarantined(Duration),
-    /// It is held, and may be tried once if its owner says so ([`Table::on_trial`]).
+    /// It is quarantined, but its owner may grant a trial ([`Table::on_trial`]).
     TrialDue,
 }
--- a/crates/coordination/src/registry.rs
+++ b/crates/coordination/src/registry.rs
@@ -1,64 +1,62 @@
-//! The targets that exist, from what the platform's registry shows.
+//! The set of targets, from the platform's registry.
 //!
-//! Entries lapse while the platform is away, and come back within seconds of
-//! its return; an entry that is missing then means nothing yet. What several
-//! instances learn is merged by revision, so the order in which it arrives
-//! doesn't matter.
+//! Entries expire while the platform is unavailable and are renewed within seconds of its return,
+//! so an entry that is missing then may still be valid. Changes from several instances are merged
+//! by revision, so their order doesn't matter.
 
 use crate::{TargetId, hash};
 use protocol::routing::Target;
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// How long entries may take to come back after the platform's return: the
-/// platform's word is two seconds, and a little more for the news to arrive.
+/// How long entries may take to be renewed after the platform's return: two seconds by the
+/// platform's guarantee, plus the delay of updates.
 pub const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_300);
-/// Parts that two instances compare one by one. Of 3,000 targets a part that
-/// differs brings some 50, and the list of digests has half a kilobyte.
+/// Number of buckets that two instances compare by digest. A differing bucket costs about 50
+/// entries of 3,000 targets; the list of digests takes half a kilobyte.
 pub const DIGEST_BUCKETS: usize = 64;
-/// Removals that are remembered, so that late news doesn't bring a target back.
-const MOST_REMOVED: usize = 4_096;
+/// Cap on remembered removals, which keep late updates from restoring a target.
+const MAX_REMOVED: usize = 4_096;
 
 #[derive(Clone, Debug)]
-struct Row {
+struct Entry {
     target: Target,
-    /// Until when its absence from the registry means nothing; `None` while it
-    /// is there.
-    missing: Option<Instant>,
+    /// Until when its absence from the registry may be an expiry; `None` while it is present.
+    missing_until: Option<Instant>,
 }
 
-/// One change, as instances tell it to each other.
+/// A change that instances exchange.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Change {
-    /// The target stands so.
+    /// The target as registered.
     Present(Target),
-    /// The target is gone as of a revision.
+    /// The target was removed at a revision.
     Gone {
-        /// The target.
+        /// Name of the target.
         id: TargetId,
-        /// Revision of its removal.
+        /// Revision of the removal.
         revision: u64,
     },
 }
 
-/// What the platform's word on the registry changed.
+/// Changes by one reading of the platform's registry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// Changes that were news.
+    /// Changes that are new, for a broadcast.
     pub changes: Vec<Change>,
-    /// Targets whose entries have just been found missing, which may only be a
-    /// lapse: they stand until [`Registry::on_time`] removes them.
+    /// Targets whose entries were just found missing, possibly by expiry; they remain until
+    /// [`Registry::remove_expired`] removes them.
     pub missing: Vec<TargetId>,
 }
 
-/// All targets known.
+/// All known targets.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
-    rows: HashMap<TargetId, Row>,
+    entries: HashMap<TargetId, Entry>,
     removed: HashMap<TargetId, u64>,
     revision: u64,
     version: u64,
-    /// For each part, the sum of the hashes of what is known in it.
+    /// Sum of the entries' hashes, by bucket.
     digests: Vec<u64>,
 }
 
@@ -66,63 +64,61 @@
     (hash::bytes(id.as_bytes()) % DIGEST_BUCKETS as u64) as usize
 }
 
-/// Hash of an entry: what an entry says is a function of its revision.
+/// Hash of an entry, whose content is a function of its revision.
 fn digest_of(id: &str, revision: u64, is_present: bool) -> u64 {
     hash::weight(id.as_bytes(), revision << 1 | u64::from(is_present))
 }
 
 impl Registry {
-    /// Changes whenever a target does.
+    /// Incremented whenever a target changes.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Highest revision that any change carried.
+    /// Highest revision of any change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
     /// Targets that may be sent requests.
     pub fn usable(&self) -> impl Iterator<Item = &Target> {
-        self.rows.values().map(|row| &row.target).filter(|target| !target.leaving)
+        self.entries.values().map(|entry| &entry.target).filter(|target| !target.leaving)
     }
 
-    /// Whether a target is known to leave or to be gone, and may be sent nothing.
-    /// One that was never heard of isn't.
+    /// Whether a target is known to be leaving or removed; `false` if it is unknown.
     pub fn is_unusable(&self, id: &str) -> bool {
-        self.rows.get(id).map_or(self.removed.contains_key(id), |row| row.target.leaving)
+        self.entries.get(id).map_or(self.removed.contains_key(id), |entry| entry.target.leaving)
     }
 
-    /// What is known of a target, to be told to an instance that knows less.
+    /// Latest change of a target, for an instance that is out of date; `None` if it is unknown.
     pub fn change(&self, id: &str) -> Option<Change> {
         let gone = |revision: &u64| Change::Gone { id: id.to_owned(), revision: *revision };
-        let present = self.rows.get(id).map(|row| Change::Present(row.target.clone()));
+        let present = self.entries.get(id).map(|entry| Change::Present(entry.target.clone()));
         present.or_else(|| self.removed.get(id).map(gone))
     }
 
-    /// A target that is known, leaving or not.
+    /// A known target, leaving or not.
     pub fn get(&self, id: &str) -> Option<&Target> {
-        self.rows.get(id).map(|row| &row.target)
+        self.entries.get(id).map(|entry| &entry.target)
     }
 
-    /// A number that two instances share if they know the same.
+    /// Digest of the whole registry; equal on instances that know the same.
     pub fn digest(&self) -> u64 {
         self.digests.iter().copied().fold(0, u64::wrapping_add)
     }
 
-    /// The same for each part, to be given to [`Registry::differing`].
+    /// Digest by bucket, for [`Registry::changes_in_differing_buckets`] of another instance.
     pub fn digests(&self) -> Vec<u64> {
         let mut digests = self.digests.clone();
         digests.resize(DIGEST_BUCKETS, 0);
         digests
     }
 
-    /// What is known in the parts whose digests differ, for an instance that has
-    /// fallen behind.
+    /// Latest changes in the buckets whose digests differ, for an instance that is out of date.
     pub fn changes_in_differing_buckets(&self, digests: &[u64]) -> Vec<Change> {
         let own = self.digests();
         let differs = |id: &TargetId| digests.get(bucket(id)) != own.get(bucket(id));
-        let present = self.rows.values().map(|row| &row.target);
+        let present = self.entries.values().map(|entry| &entry.target);
         let present = present.filter(|target| differs(&target.id));
         let present = present.map(|target| Change::Present(target.clone()));
         let gone = self.removed.iter().filter(|(id, _)| differs(id));
@@ -130,15 +126,15 @@
         present.chain(gone).collect()
     }
 
-    /// What the digest of a target's part holds of it.
+    /// A target's part of its bucket's digest.
     fn contribution(&self, id: &str) -> u64 {
-        let row = self.rows.get(id);
-        let present = row.map_or(0, |row| digest_of(id, row.target.revision, true));
+        let entry = self.entries.get(id);
+        let present = entry.map_or(0, |entry| digest_of(id, entry.target.revision, true));
         let gone = self.removed.get(id).map_or(0, |revision| digest_of(id, *revision, false));
         present.wrapping_add(gone)
     }
 
-    /// Makes a target's part agree after a change; `before` is its share then.
+    /// Updates a bucket's digest after a change of a target, whose contribution was `before`.
     fn update_digest(&mut self, id: &str, before: u64) {
         let after = self.contribution(id);
         self.digests.resize(DIGEST_BUCKETS, 0);
@@ -147,20 +143,20 @@
         }
     }
 
-    /// Takes in a change; `true` when it was news.
+    /// Applies a change; `true` if it is new.
     pub fn on_change(&mut self, change: Change) -> bool {
         let id = match &change {
             Change::Present(target) => target.id.clone(),
             Change::Gone { id, .. } => id.clone(),
         };
         let before = self.contribution(&id);
-        let is_news = match change {
+        let is_new = match change {
             Change::Present(target) => self.on_present(target),
             Change::Gone { id, revision } => self.on_gone(&id, revision),
         };
         self.update_digest(&id, before);
-        self.version += u64::from(is_news);
-        is_news
+        self.version += u64::from(is_new);
+        is_new
     }
 
     fn on_present(&mut self, target: Target) -> bool {
@@ -168,12 +164,12 @@
         if self.removed.get(&target.id).is_some_and(|removed| *removed >= target.revision) {
             return false;
         }
-        match self.rows.get_mut(&target.id) {
-            Some(row) if row.target.revision > target.revision => false,
-            Some(row) if row.target == target && row.missing.is_none() => false,
+        match self.entries.get_mut(&target.id) {
+            Some(entry) if entry.target.revision > target.revision => false,
+            Some(entry) if entry.target == target && entry.missing_until.is_none() => false,
             _ => {
                 self.removed.remove(&target.id);
-                self.rows.insert(target.id.clone(), Row { target, missing: None });
+                self.entries.insert(target.id.clone(), Entry { target, missing_until: None });
                 true
             }
         }
@@ -181,16 +177,16 @@
 
     fn on_gone(&mut self, id: &str, revision: u64) -> bool {
         self.revision = self.revision.max(revision);
-        if self.rows.get(id).is_some_and(|row| row.target.revision > revision) {
+        if self.entries.get(id).is_some_and(|entry| entry.target.revision > revision) {
             return false;
         }
-        if self.removed.len() >= MOST_REMOVED {
+        if self.removed.len() >= MAX_REMOVED {
             self.forget_oldest();
         }
-        // Of several removals the latest counts, in whatever order they arrive.
+        // Of several removals the latest counts, whatever their order.
         let known = self.removed.get(id).copied();
         self.removed.insert(id.to_owned(), revision.max(known.unwrap_or(0)));
-        self.rows.remove(id).is_some() || known.is_none()
+        self.entries.remove(id).is_some() || known.is_none()
     }
 
     fn forget_oldest(&mut self) {
@@ -202,88 +198,90 @@
         }
     }
 
-    /// Takes in the whole registry as of `revision`, read at `now`; `regained` is
-    /// since when the platform has answered without a break in which entries lapse.
+    /// Applies a whole listing as of `revision`, read at `now`; `available_since` is when the
+    /// platform's current uptime began.
     pub fn on_list(
         &mut self,
         list: Vec<Target>,
         revision: u64,
-        regained: Option<Instant>,
+        available_since: Option<Instant>,
         now: Instant,
     ) -> Delta {
         let present: HashSet<TargetId> = list.iter().map(|target| target.id.clone()).collect();
-        let mut learnt = Delta::default();
+        let mut delta = Delta::default();
         for target in list {
-            self.on_entry(target, &mut learnt);
+            self.on_entry(target, &mut delta);
         }
         self.revision = self.revision.max(revision);
-        let absent = self.rows.keys().filter(|id| !present.contains(*id)).cloned();
+        let absent = self.entries.keys().filter(|id| !present.contains(*id)).cloned();
         let absent: Vec<TargetId> = absent.collect();
         for id in absent {
-            self.on_removed(&id, revision, regained, now, &mut learnt);
+            self.on_removed(&id, revision, available_since, now, &mut delta);
         }
-        learnt
+        delta
     }
 
     /// An entry was read.
-    pub fn on_entry(&mut self, target: Target, learnt: &mut Delta) {
+    pub fn on_entry(&mut self, target: Target, delta: &mut Delta) {
         let change = Change::Present(target);
         if self.on_change(change.clone()) {
-            learnt.changes.push(change);
+            delta.changes.push(change);
         }
     }
 
-    /// An entry was read that names no target to use, as of `revision`.
-    pub fn on_invalid(&mut self, id: &str, revision: u64, learnt: &mut Delta) {
+    /// An entry was read that describes no usable target, as of `revision`.
+    pub fn on_invalid(&mut self, id: &str, revision: u64, delta: &mut Delta) {
         let change = Change::Gone { id: id.to_owned(), revision };
-        if self.rows.contains_key(id) && self.on_change(change.clone()) {
-            learnt.changes.push(change);
+        if self.entries.contains_key(id) && self.on_change(change.clone()) {
+            delta.changes.push(change);
         }
     }
 
-    /// A removal was seen at `now`. Within [`RETURN_TIME`] of the platform's
-    /// return it may be a lapse; then it only counts once it has lasted.
+    /// A removal was observed at `now`. Within [`REREGISTRATION_GRACE`] of the platform's return
+    /// it may be an expiry, and then it counts only once it has lasted.
     pub fn on_removed(
         &mut self,
         id: &str,
         revision: u64,
-        regained: Option<Instant>,
+        available_since: Option<Instant>,
         now: Instant,
-        learnt: &mut Delta,
+        delta: &mut Delta,
     ) {
-        let settled = regained.map(|at| at + REREGISTRATION_GRACE).filter(|settled| now < *settled);
-        let Some(row) = self.rows.get_mut(id) else {
+        let grace_until = available_since
+            .map(|at| at + REREGISTRATION_GRACE)
+            .filter(|grace_until| now < *grace_until);
+        let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        if row.target.revision > revision {
+        if entry.target.revision > revision {
             return;
         }
-        if let Some(settled) = settled {
-            if row.missing.replace(row.missing.unwrap_or(settled)).is_none() {
-                learnt.missing.push(id.to_owned());
+        if let Some(grace_until) = grace_until {
+            if entry.missing_until.replace(entry.missing_until.unwrap_or(grace_until)).is_none() {
+                delta.missing.push(id.to_owned());
             }
             return;
         }
         let change = Change::Gone { id: id.to_owned(), revision };
         if self.on_change(change.clone()) {
-            learnt.changes.push(change);
+            delta.changes.push(change);
         }
     }
 
-    /// Removes what has been missing for too long; gives what is news.
+    /// Removes entries that have been missing for too long; returns the new changes.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<Change> {
-        let is_over = |row: &&Row| row.missing.is_some_and(|until| now >= until);
-        let over = self.rows.values().filter(is_over);
-        let over: Vec<Target> = over.map(|row| row.target.clone()).collect();
-        let mut news = Vec::new();
-        for target in over {
-            // It is gone as of its last known entry: an entry that came back in
-            // the meantime has a higher revision and stands.
+        let has_expired = |entry: &&Entry| entry.missing_until.is_some_and(|until| now >= until);
+        let expired = self.entries.values().filter(has_expired);
+        let expired: Vec<Target> = expired.map(|entry| entry.target.clone()).collect();
+        let mut changes = Vec::new();
+        for target in expired {
+            // Removed at the revision of its last known entry: a renewed entry has a higher one
+            // and remains.
             let change = Change::Gone { id: target.id, revision: target.revision };
             if self.on_change(change.clone()) {
-                news.push(change);
+                changes.push(change);
             }
         }
-        news
+        changes
     }
 }
--- a/crates/coordination/src/route.rs
+++ b/crates/coordination/src/route.rs
@@ -1,4 +1,4 @@
-//! Which target gets a request.
+//! Chooses the target of a request.
 
 use crate::hash;
 
@@ -7,28 +7,28 @@
 pub struct Candidate {
     /// Hash of the target's name.
     pub id: u64,
-    /// Whether it stands in this instance's data centre.
+    /// Whether it is in this instance's data centre.
     pub local: bool,
-    /// Online requests there, all instances.
+    /// Online requests there, from all instances.
     pub online: u32,
-    /// Requests it runs at once.
+    /// Requests that it runs at once.
     pub slots: u32,
-    /// Requests of this instance it may still be given; 0 means none now.
+    /// Further requests that this instance may send it; 0 excludes the target.
     pub free: u32,
 }
 
 impl Candidate {
-    fn share(&self) -> f64 {
+    fn load_ratio(&self) -> f64 {
         f64::from(self.online) / f64::from(self.slots.max(1))
     }
 }
 
-/// Weight of prefix affinity.
+/// Settings of prefix affinity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// How far over the mean load the prefix's own target may be.
+    /// Maximum load of the prefix's preferred target, as a multiple of the mean.
     pub max_load_factor: f64,
-    /// Whether affinity is used at all.
+    /// Whether prefix affinity is used.
     pub affinity: bool,
 }
 
@@ -38,36 +38,35 @@
     }
 }
 
-/// Picks a target: the index of a candidate, or `None` when none is free.
+/// Picks a target: the index of a candidate, or `None` if none is free.
 ///
-/// Local targets first, as long as one has a slot; then the target that the
-/// prefix hashes to, unless it is busier than `bound` times the mean, since a
-/// warm cache isn't worth a wait; then the less busy of two drawn ones. Taking
-/// the least busy of all would send every instance to the same target whenever
-/// reports lag.
+/// Local targets come first while one has a free slot. Among them it is the target that the prefix
+/// hashes to, unless its load exceeds `max_load_factor` times the mean; else the less loaded of
+/// two random ones. The least loaded of all would attract every instance at once while reports
+/// lag.
 pub fn pick(
     prefix: u64,
     candidates: &[Candidate],
     policy: Policy,
-    draws: [u64; 2],
+    random: [u64; 2],
 ) -> Option<usize> {
-    let pool = pool(candidates);
-    if pool.is_empty() {
+    let eligible = eligible(candidates);
+    if eligible.is_empty() {
         return None;
     }
     if policy.affinity {
-        let favourite = preferred(prefix, &pool, candidates);
-        if is_within(candidates[favourite], &pool, candidates, policy.max_load_factor) {
-            return Some(favourite);
+        let preferred_target = preferred(prefix, &eligible, candidates);
+        if is_within(candidates[preferred_target], &eligible, candidates, policy.max_load_factor) {
+            return Some(preferred_target);
         }
     }
-    let first = pool[(draws[0] % pool.len() as u64) as usize];
-    let second = pool[(draws[1] % pool.len() as u64) as usize];
-    let lesser = candidates[second].share() < candidates[first].share();
-    Some(if lesser { second } else { first })
+    let first = eligible[(random[0] % eligible.len() as u64) as usize];
+    let second = eligible[(random[1] % eligible.len() as u64) as usize];
+    let is_second_lower = candidates[second].load_ratio() < candidates[first].load_ratio();
+    Some(if is_second_lower { second } else { first })
 }
 
-fn pool(candidates: &[Candidate]) -> Vec<usize> {
+fn eligible(candidates: &[Candidate]) -> Vec<usize> {
     let free = |i: &usize| candidates[*i].free > 0;
     let has_slot = |i: &usize| candidates[*i].online < candidates[*i].slots;
     let all: Vec<usize> = (0..candidates.len()).filter(free).collect();
@@ -82,24 +81,29 @@
     if local.is_empty() { all } else { local }
 }
 
-fn preferred(prefix: u64, pool: &[usize], candidates: &[Candidate]) -> usize {
+fn preferred(prefix: u64, eligible: &[usize], candidates: &[Candidate]) -> usize {
     let weight = |i: &usize| hash::weight(&prefix.to_le_bytes(), candidates[*i].id);
-    pool.iter().copied().max_by_key(weight).unwrap_or(pool[0])
+    eligible.iter().copied().max_by_key(weight).unwrap_or(eligible[0])
 }
 
-fn is_within(one: Candidate, pool: &[usize], candidates: &[Candidate], bound: f64) -> bool {
-    let sum: f64 = pool.iter().map(|i| candidates[*i].share()).sum();
-    let mean = sum / pool.len() as f64;
-    let after = f64::from(one.online + 1) / f64::from(one.slots.max(1));
-    let one_slot = 1.0 / f64::from(one.slots.max(1));
-    after <= (mean + one_slot) * bound && one.online < one.slots
+fn is_within(
+    candidate: Candidate,
+    eligible: &[usize],
+    candidates: &[Candidate],
+    max_load_factor: f64,
+) -> bool {
+    let sum: f64 = eligible.iter().map(|i| candidates[*i].load_ratio()).sum();
+    let mean_load = sum / eligible.len() as f64;
+    let load_after = f64::from(candidate.online + 1) / f64::from(candidate.slots.max(1));
+    let one_slot = 1.0 / f64::from(candidate.slots.max(1));
+    load_after <= (mean_load + one_slot) * max_load_factor && candidate.online < candidate.slots
 }
 
-const PREFIX_BYTES: usize = 256;
+const MAX_PREFIX_BYTES: usize = 256;
 
 /// Hash of the part of a prompt that decides affinity.
 pub fn prefix(service: &str, text: &str) -> u64 {
-    let end = text.len().min(PREFIX_BYTES);
+    let end = text.len().min(MAX_PREFIX_BYTES);
     let mut bytes = Vec::with_capacity(service.len() + 1 + end);
     bytes.extend_from_slice(service.as_bytes());
     bytes.push(0);
@@ -107,13 +111,13 @@
     hash::bytes(&bytes)
 }
 
-/// The targets that one instance polls, when the fleet has more than `most`.
+/// The targets that one instance polls, at most `max_targets`.
 ///
-/// Each instance takes the targets with the highest weights for its own id, so
-/// that every target is polled by about the same number of instances.
-pub fn subset(me: u64, targets: &[u64], most: usize) -> Vec<u64> {
+/// Those with the highest rendezvous weights for the instance, so that every target is polled by
+/// about the same number of instances.
+pub fn subset(me: u64, targets: &[u64], max_targets: usize) -> Vec<u64> {
     let mut ranked: Vec<u64> = targets.to_vec();
     ranked.sort_by_key(|target| std::cmp::Reverse(hash::weight(&me.to_le_bytes(), *target)));
-    ranked.truncate(most);
+    ranked.truncate(max_targets);
     ranked
 }
--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -108,8 +108,8 @@
             state.target.clone_from(target);
             self.targets.insert(target.id.clone(), state);
         }
-        let rows = &self.targets;
-        self.leases.retain(|_, lease| rows.contains_key(&lease.target));
+        let targets = &self.targets;
+        self.leases.retain(|_, lease| targets.contains_key(&lease.target));
     }
 
     /// Restarts the period without batch grants, because targets were added whose leases aren't
@@ -183,8 +183,8 @@
             self.targets.values().filter(fits).map(|state| state.target.slots).sum();
         let in_use = self.targets.values().filter(fits).filter(|state| state.is_in_use(now));
         let in_use: u32 = in_use.map(|state| state.target.slots).sum();
-        let share = f64::from(in_use) / f64::from(local_slots.max(1));
-        let slots = (f64::from(local_slots.max(request.total_slots)) * share).max(1.0);
+        let in_use_ratio = f64::from(in_use) / f64::from(local_slots.max(1));
+        let slots = (f64::from(local_slots.max(request.total_slots)) * in_use_ratio).max(1.0);
         Duration::from_secs_f64(self.mean_hold_s * (ahead + 1) as f64 / slots)
     }
 
