--- a/crates/coordination/src/membership/types.rs
+++ b/crates/coordination/src/membership/types.rs
@@ -48,11 +48,11 @@
         /// Name of the target.
         target: String,
         /// Version by the source's own clock; the highest wins.
-        since: u64,
+        stamp: u64,
         /// Whether it leaves.
         leaving: bool,
         /// Origin of the notice.
-        witness: Source,
+        source: Source,
     },
     /// A job was cancelled.
     JobCancelled(String),
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -138,7 +138,7 @@
     pub fn tell_leaving(&self, target: &str, witness: Source, word: Notice) {
         if self.say_leaving(target, witness, word) {
             let Notice { leaving, stamp } = word;
-            let note = Update::Leaving { target: target.into(), since: stamp, leaving, witness };
+            let note = Update::Leaving { target: target.into(), stamp, leaving, source: witness };
             lock(&self.table).broadcast(note);
             self.news.notify_one();
         }
@@ -168,7 +168,7 @@
     pub fn on_note(&self, note: &Update) -> bool {
         match note {
             Update::Member(member) => lock(&self.table).merge(member.clone(), Instant::now()),
-            Update::Leaving { target, since, leaving, witness } => {
+            Update::Leaving { target, stamp: since, leaving, source: witness } => {
                 let word = Notice { leaving: *leaving, stamp: *since };
                 self.say_leaving(target, *witness, word)
             }
--- a/crates/transport/src/peer/codec.rs
+++ b/crates/transport/src/peer/codec.rs
@@ -73,7 +73,7 @@
         let mut slot = to.reborrow().get(index as u32);
         match note {
             Update::Member(member) => write_member(slot.init_member(), member),
-            Update::Leaving { target, since, leaving, witness } => {
+            Update::Leaving { target, stamp: since, leaving, source: witness } => {
                 let mut word = slot.init_leaving();
                 word.set_target(target);
                 word.set_since(*since);
@@ -109,9 +109,9 @@
             let word = word?;
             Ok(Update::Leaving {
                 target: word.get_target()?.to_string()?,
-                since: word.get_since(),
+                stamp: word.get_since(),
                 leaving: word.get_leaving(),
-                witness: read_witness(word.get_witness()?),
+                source: read_witness(word.get_witness()?),
             })
         }
         note::Which::Cancel(job) => Ok(Update::JobCancelled(job?.to_string()?)),
