--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -113,7 +113,7 @@
             return false;
         }
         let at = now.checked_sub(age).unwrap_or(now);
-        let fingerprint = report.content;
+        let fingerprint = report.fingerprint;
         let before = self.contribution(fingerprint);
         let history = self.histories.entry(fingerprint).or_default();
         let uncleared = history.uncleared().count();
@@ -345,12 +345,7 @@
 ) -> CrashReport {
     let age = now.saturating_duration_since(crash.at);
     let start = start.clone();
-    CrashReport {
-        content: fingerprint,
-        start,
-        age_ms: age.as_millis() as u64,
-        is_cleared: crash.is_cleared,
-    }
+    CrashReport { fingerprint, start, age_ms: age.as_millis() as u64, is_cleared: crash.is_cleared }
 }
 
 fn report_digest(fingerprint: RequestFingerprint, start: &TargetStart, crash: &Crash) -> u64 {
--- a/crates/coordination/src/quarantine/types.rs
+++ b/crates/coordination/src/quarantine/types.rs
@@ -19,7 +19,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// Fingerprint of the request.
-    pub content: RequestFingerprint,
+    #[serde(rename = "content")]
+    pub fingerprint: RequestFingerprint,
     /// The start of the target that crashed.
     #[serde(rename = "boot")]
     pub start: TargetStart,
@@ -33,7 +34,7 @@
 impl CrashReport {
     /// A report of a crash that was just observed.
     pub fn new(content: RequestFingerprint, start: TargetStart) -> CrashReport {
-        CrashReport { content, start, age_ms: 0, is_cleared: false }
+        CrashReport { fingerprint: content, start, age_ms: 0, is_cleared: false }
     }
 
     /// The same report `elapsed_ms` later.
@@ -44,7 +45,7 @@
     /// The report's part of a table's digest.
     pub(super) fn digest(&self) -> u64 {
         let seed =
-            self.content ^ self.start.started_at.rotate_left(32) ^ u64::from(self.is_cleared);
+            self.fingerprint ^ self.start.started_at.rotate_left(32) ^ u64::from(self.is_cleared);
         hash::weight(self.start.target.as_bytes(), seed)
     }
 }
--- a/crates/coordination/tests/quarantine.rs
+++ b/crates/coordination/tests/quarantine.rs
@@ -230,7 +230,7 @@
         let mut table = table();
         for (strike, is_success) in steps {
             if is_success {
-                table.on_success(strike.content, now);
+                table.on_success(strike.fingerprint, now);
             } else {
                 table.on_crash_report(strike, now);
             }
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -88,12 +88,12 @@
     let news: Vec<CrashReport> =
         strikes.into_iter().filter(|strike| table.on_crash_report(strike.clone(), now)).collect();
     for strike in &news {
-        let crashes = table.crashes(strike.content);
+        let crashes = table.crashes(strike.fingerprint);
         if crashes < MIN_LOGGED_CRASHES && from != "own" {
             continue;
         }
-        let verdict = table.decide(strike.content, now);
-        slog::info!(node.log, "request struck"; "content" => hex(strike.content),
+        let verdict = table.decide(strike.fingerprint, now);
+        slog::info!(node.log, "request struck"; "content" => hex(strike.fingerprint),
             "target" => &strike.start.target, "born" => strike.start.started_at,
             "acquitted" => strike.is_cleared, "age_ms" => strike.age_ms, "from" => from,
             "crashes" => crashes, "verdict" => ?verdict);
