--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -1,5 +1,4 @@
-//! Each instance now and then compares what it knows with another, drawn by lot:
-//! whatever word was lost on the way is made up for within a few rounds.
+//! Periodic state comparison with a random other instance, which repairs lost updates.
 
 use super::discovery;
 use super::job_table;
@@ -14,39 +13,38 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
-/// Time between comparisons with another instance.
+/// Interval between comparisons.
 const SYNC_INTERVAL: Duration = Duration::from_millis(500);
-/// The same until there are a configuration and targets.
+/// Interval while the configuration or the targets are unknown.
 const STARTUP_SYNC_INTERVAL: Duration = Duration::from_millis(40);
-/// Time after a start in which comparisons follow each other so fast: whoever knows nothing
-/// by then is cut off, or the platform is away.
+/// Time after the start in which the short interval applies. An instance that knows nothing
+/// by then is partitioned, or the platform is unavailable.
 const STARTUP_PERIOD: Duration = Duration::from_secs(5);
-/// Shortest time between looks at another instance's open jobs, if they differ:
-/// for a moment after each change they do.
+/// Minimum interval between fetches of open jobs: digests differ briefly after every
+/// change.
 const MIN_JOB_SYNC_INTERVAL: Duration = Duration::from_secs(4);
-/// Longest wait for a comparison's reply.
 const SYNC_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Compares until `stop`.
+/// Runs comparisons until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     loop {
         tokio::select! {
             () = tokio::time::sleep(pause(&node)) => {}
             () = stop.cancelled() => return,
         }
-        // Not awaited: one that is silent doesn't put off the next.
+        // Not awaited: an unresponsive instance must not delay the next comparison.
         spawn_local(compare(node.clone()));
     }
 }
 
-/// Time until the next comparison: an instance that knows no configuration or no targets
-/// serves nothing.
+/// Delay before the next comparison. Without a configuration and targets an instance serves
+/// nothing, so it asks more often.
 fn pause(node: &Node) -> Duration {
     let is_new = clock::since(node.started) < STARTUP_PERIOD;
     if node.is_initialized() || !is_new { SYNC_INTERVAL } else { STARTUP_SYNC_INTERVAL }
 }
 
-/// Compares with one other instance, drawn by lot.
+/// Compares state with one random other instance.
 pub async fn compare(node: Rc<Node>) {
     let others = node.others();
     if others.is_empty() {
@@ -88,7 +86,7 @@
     }
 }
 
-/// Learns the strikes of an instance that knows which requests are held.
+/// Fetches crash reports from an instance that has them if the digests differ.
 async fn compare_strikes(node: &Node, other: &Member, digest: u64) {
     if node.quarantine.borrow().digest() != digest {
         let reply = node.request(other.peer, &PeerRequest::CrashReports, SYNC_TIMEOUT).await;
--- a/crates/daemon/src/gateway/broadcast.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -1,13 +1,12 @@
-//! News for all instances, at a bounded number of messages for each.
+//! Sends updates to all instances with a bounded number of messages per instance.
 //!
-//! In each data centre one instance, found by rank, is the relay: what concerns
-//! all goes to the relays, and each passes it on to the instances of its own data
-//! centre. A word that is lost on the way is made up for when instances compare
-//! what they know, which each does with another twice a second.
+//! Each data centre has one relay, chosen by rank. Updates go to the relays, and each relay
+//! forwards them to the instances of its data centre. [`super::anti_entropy`] repairs lost
+//! updates.
 //!
-//! A version of the configuration is told by its number; who lacks it fetches it
-//! from whoever told. How jobs stand is told all the time, so a relay gathers it
-//! and each instance gets some messages a second, however many jobs there are.
+//! Configurations are announced by version and fetched by instances that lack them. Job
+//! statuses change all the time, so relays batch them, and the number of messages doesn't
+//! grow with the number of jobs.
 
 use super::message::{JobStatus, PeerReply, PeerRequest, Update};
 use super::node::Node;
@@ -26,43 +25,39 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
-/// A relay passes on together how jobs stand that it hears of within this time.
+/// Statuses that a relay receives within this window are forwarded together.
 const STATUS_BATCH_WINDOW: Duration = Duration::from_millis(150);
-/// Longest wait for a relay's reply; then the next in rank is told.
+/// Longest wait for a relay's reply before the next one is tried.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(300);
-/// Relays of a data centre that are tried, each twice.
+/// Relays tried per data centre, each twice.
 const MAX_RELAYS: usize = 2;
-/// Longest waits for the replies to one piece of news, told again to whoever didn't reply.
-/// An open connection may be silent for good while new ones work, and the first try is what
-/// finds it out; a piece of news is taken in within some milliseconds, a configuration after
-/// it was fetched. Without the second try a lost word waits for a comparison drawn by lot:
-/// of ten instances in a test eight or nine lacked a version 1.9 s after it was acknowledged,
-/// now none does.
+/// Timeouts of the two attempts to deliver an update. The first is short because an open
+/// connection may be dead while a new one works.
 const SEND_TIMEOUTS: [Duration; 2] = [Duration::from_millis(300), Duration::from_millis(800)];
-/// Longest waits for a configuration that another instance told of, for the same reason. The
-/// second is for the largest: half a megabyte takes 130 ms on the slowest links.
+/// Timeouts of the two attempts to fetch a configuration. The second allows for the largest
+/// one on the slowest links.
 const FETCH_TIMEOUTS: [Duration; 2] = [Duration::from_millis(250), Duration::from_millis(500)];
 
-/// News on its way through this instance.
+/// Updates on their way through this instance.
 #[derive(Default)]
 pub struct Outbox {
-    /// How jobs stand, to be passed on in the own data centre.
+    /// Job statuses to be forwarded within this data centre.
     statuses: RefCell<HashMap<JobId, JobStatus>>,
-    /// Version that is being fetched, and since when.
+    /// Version being fetched, and since when.
     fetching: Cell<Option<(Version, Instant)>>,
-    /// Highest version that was passed on as the relay.
+    /// Highest version forwarded as the relay.
     relayed: Cell<Version>,
 }
 
-/// Tells all instances.
+/// Sends an update to all instances.
 pub fn send(node: &Rc<Node>, update: Update) {
     let members = node.others();
     let data_centres: BTreeSet<&DataCentreId> =
         members.iter().map(|member| &member.data_centre).collect();
     for data_centre in data_centres {
-        let is_own = data_centre == node.data_centre();
-        if is_own && !matches!(update, Update::Statuses(_)) {
-            // No detour for what is rare.
+        let is_local = data_centre == node.data_centre();
+        if is_local && !matches!(update, Update::Statuses(_)) {
+            // Rare updates go directly, without the relay.
             send_to_data_centre(node, &update);
             continue;
         }
@@ -75,60 +70,60 @@
     }
 }
 
-/// Instances of a data centre by their rank as its relay.
+/// The relays of a data centre in order of rank.
 fn relays(node: &Node, data_centre: &DataCentreId) -> Vec<Member> {
     let now = clock::now();
     let members = node.members.borrow();
-    let able = members.workers().filter(|member| {
+    let candidates = members.workers().filter(|member| {
         member.data_centre == *data_centre
             && member.state == State::Alive
             && !node.is_unresponsive(member.peer, now)
     });
-    let mut able: Vec<Member> = able.cloned().collect();
-    able.sort_by_key(|member| {
+    let mut candidates: Vec<Member> = candidates.cloned().collect();
+    candidates.sort_by_key(|member| {
         (Reverse(capacity::class(member.id)), hash::weight(b"relay", member.id))
     });
-    able.truncate(MAX_RELAYS);
-    able
+    candidates.truncate(MAX_RELAYS);
+    candidates
 }
 
 async fn send_to_relay(node: Rc<Node>, relays: Vec<Member>, update: Update) {
-    let ask = PeerRequest::RelayUpdate(node.as_holder().address, update);
+    let request = PeerRequest::RelayUpdate(node.as_holder().address, update);
     for relay in relays.iter().chain(&relays) {
-        match node.request(relay.peer, &ask, RELAY_TIMEOUT).await {
+        match node.request(relay.peer, &request, RELAY_TIMEOUT).await {
             Ok(_) => return,
-            Err(fault) => slog::debug!(node.log, "relay silent"; "relay" => %relay.peer,
+            Err(fault) => slog::debug!(node.log, "relay unresponsive"; "relay" => %relay.peer,
                 "fault" => ?fault),
         }
     }
 }
 
 fn send_to_data_centre(node: &Rc<Node>, update: &Update) {
-    let ask = PeerRequest::Update(node.as_holder().address, update.clone());
+    let request = PeerRequest::Update(node.as_holder().address, update.clone());
     for member in node.others() {
         if member.data_centre != *node.data_centre() {
             continue;
         }
         if matches!(update, Update::Statuses(_)) {
-            // Told all the time: the next word makes up for a lost one.
-            node.notify(member.peer, ask.clone());
+            // Not retried: statuses are sent again and again.
+            node.notify(member.peer, request.clone());
         } else {
-            spawn_local(deliver(node.clone(), member.peer, ask.clone()));
+            spawn_local(deliver(node.clone(), member.peer, request.clone()));
         }
     }
 }
 
-/// Tells an instance, once more if it doesn't reply.
-async fn deliver(node: Rc<Node>, to: SocketAddr, ask: PeerRequest) {
-    if node.try_request(to, &ask, SEND_TIMEOUTS[0]).await.is_ok() {
+/// Delivers an update, with one retry.
+async fn deliver(node: Rc<Node>, to: SocketAddr, request: PeerRequest) {
+    if node.try_request(to, &request, SEND_TIMEOUTS[0]).await.is_ok() {
         return;
     }
-    if let Err(fault) = node.request(to, &ask, SEND_TIMEOUTS[1]).await {
-        slog::debug!(node.log, "not told"; "to" => %to, "fault" => ?fault);
+    if let Err(fault) = node.request(to, &request, SEND_TIMEOUTS[1]).await {
+        slog::debug!(node.log, "update not delivered"; "to" => %to, "fault" => ?fault);
     }
 }
 
-/// Takes in news that `from` tells.
+/// Applies an update received from `from`; returns whether it was new.
 pub async fn on_update(node: &Rc<Node>, from: SocketAddr, update: Update) -> bool {
     match update {
         Update::Config(version) => fetch(node, from, version).await,
@@ -147,11 +142,12 @@
     }
 }
 
-/// Takes in news as the relay of this data centre.
+/// Applies an update as this data centre's relay and forwards it if it is new.
 pub async fn on_relayed(node: &Rc<Node>, from: SocketAddr, update: Update) {
     let is_new = on_update(node, from, update.clone()).await;
-    let is_to_be_told = match &update {
-        // Another word may have brought it here meanwhile, for this instance only.
+    let should_forward = match &update {
+        // A comparison may have brought the version here already, without the other
+        // instances of this data centre.
         Update::Config(version) => {
             let is_known = current_version(node) >= *version;
             is_known
@@ -159,7 +155,7 @@
         }
         _ => is_new,
     };
-    if is_to_be_told {
+    if should_forward {
         forward(node, update);
     }
 }
@@ -168,7 +164,7 @@
     node.config().map_or(0, |config| config.table.version)
 }
 
-/// Passes news on in the own data centre.
+/// Forwards an update within this data centre.
 fn forward(node: &Rc<Node>, update: Update) {
     let Update::Statuses(statuses) = update else {
         return send_to_data_centre(node, &update);
@@ -189,25 +185,25 @@
     }
 }
 
-/// Fetches a configuration from an instance that has it; `true` when it is in
-/// force here now and wasn't before.
+/// Fetches a configuration from an instance that has it; returns whether it came into
+/// force.
 async fn fetch(node: &Rc<Node>, from: SocketAddr, version: Version) -> bool {
     let now = clock::now();
-    let is_under_way = node.outbox.fetching.get().is_some_and(|(fetched, since)| {
+    let is_in_progress = node.outbox.fetching.get().is_some_and(|(fetched, since)| {
         fetched >= version && now < since + FETCH_TIMEOUTS.iter().sum::<Duration>()
     });
-    if current_version(node) >= version || is_under_way {
+    if current_version(node) >= version || is_in_progress {
         return false;
     }
     node.outbox.fetching.set(Some((version, now)));
-    let ask = || PeerRequest::Sync {
+    let request = || PeerRequest::Sync {
         from: node.id(),
         digest: node.state_digest(),
         connectivity: node.connectivity(),
     };
-    let mut reply = node.try_request(from, &ask(), FETCH_TIMEOUTS[0]).await;
+    let mut reply = node.try_request(from, &request(), FETCH_TIMEOUTS[0]).await;
     if reply.is_err() {
-        reply = node.request(from, &ask(), FETCH_TIMEOUTS[1]).await;
+        reply = node.request(from, &request(), FETCH_TIMEOUTS[1]).await;
     }
     node.outbox.fetching.set(None);
     match reply {
@@ -216,7 +212,7 @@
         }
         Ok(_) => false,
         Err(fault) => {
-            slog::info!(node.log, "configuration not fetched"; "version" => version,
+            slog::info!(node.log, "configuration fetch failed"; "version" => version,
                 "from" => %from, "fault" => ?fault);
             false
         }
--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -1,8 +1,7 @@
-//! Configuration and targets, as they are learnt from the platform or from peers.
+//! Applies changes of the configuration and of the target registry.
 //!
-//! [`super::watch`] brings what changed on the platform; what is news is told to
-//! all other instances over [`super::broadcast`], and what is lost on the way,
-//! [`super::anti_entropy`] makes up for.
+//! Changes come from [`super::watch`] or from other instances; new ones are forwarded over
+//! [`super::broadcast`], and [`super::anti_entropy`] repairs lost updates.
 
 use super::broadcast;
 use super::message::Update;
@@ -18,52 +17,52 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// Time between looks for targets that stayed away for too long.
+/// Interval between checks for missing targets to remove.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Changes of targets that get a line each when they are learnt together.
+/// Changes logged one by one; a larger batch is logged as a count.
 const MAX_LOGGED_CHANGES: usize = 64;
-/// Missing targets that are named in a line.
+/// Missing targets listed in a log line.
 const MAX_LOGGED_TARGETS: usize = 8;
-/// Removes what has stayed missing, until `stop`.
+/// Removes targets that stayed missing for too long, until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     loop {
         tokio::select! {
             () = tokio::time::sleep(EXPIRY_CHECK_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
-        let lapsed = node.registry.borrow_mut().remove_expired(clock::now());
-        if !lapsed.is_empty() {
-            on_changed(&node, &lapsed, "lapsed");
-            broadcast::send(&node, Update::Targets(lapsed));
+        let expired = node.registry.borrow_mut().remove_expired(clock::now());
+        if !expired.is_empty() {
+            on_changed(&node, &expired, "expired");
+            broadcast::send(&node, Update::Targets(expired));
         }
     }
 }
 
-/// Takes in a version of the configuration; an earlier one is passed over.
-/// `true` when it is in force now and wasn't before.
+/// Applies a version of the configuration unless it is older than the current one. Returns
+/// whether it came into force now.
 pub fn on_config(node: &Rc<Node>, version: Version, text: &str, from: &str) -> bool {
-    let known = node.config().map_or(0, |config| config.table.version);
-    if version <= known {
+    let current = node.config().map_or(0, |config| config.table.version);
+    if version <= current {
         return false;
     }
     match config::decode(text.as_bytes()) {
         Ok(table) => {
             slog::info!(node.log, "configuration in force"; "version" => version,
-                "before" => known, "from" => from, "routes" => table.routes.len());
+                "before" => current, "from" => from, "routes" => table.routes.len());
             let config = Config { table, text: text.to_owned(), since: clock::now() };
             *node.config.borrow_mut() = Some(Rc::new(config));
             node.jobs.wake();
             true
         }
         Err(error) => {
-            slog::error!(node.log, "configuration not understood"; "version" => version,
+            slog::error!(node.log, "invalid configuration"; "version" => version,
                 "from" => from, "error" => %error);
             false
         }
     }
 }
 
-/// Takes in changes of the registry; `true` when any was news.
+/// Applies changes of the registry; returns whether any was new.
 pub fn on_targets(node: &Rc<Node>, changes: Vec<Change>, from: &str) -> bool {
     let news: Vec<Change> = {
         let mut registry = node.registry.borrow_mut();
@@ -73,13 +72,13 @@
     !news.is_empty()
 }
 
-/// Logs changes that were taken in, and lets those that wait for slots know.
+/// Logs applied changes and wakes those that wait for slots.
 fn on_changed(node: &Rc<Node>, news: &[Change], from: &str) {
     if news.is_empty() {
         return;
     }
     if news.len() > MAX_LOGGED_CHANGES {
-        slog::info!(node.log, "targets"; "changes" => news.len(), "from" => from,
+        slog::info!(node.log, "targets updated"; "changes" => news.len(), "from" => from,
             "revision" => node.registry.borrow().revision());
     }
     for change in news.iter().filter(|_| news.len() <= MAX_LOGGED_CHANGES) {
@@ -92,7 +91,7 @@
                 "target" => id, "revision" => revision, "from" => from),
         }
     }
-    note_births(node, news);
+    record_start_times(node, news);
     let registry = node.registry.borrow();
     let addresses: Vec<SocketAddr> = registry.usable().map(|target| target.address).collect();
     drop(registry);
@@ -101,15 +100,15 @@
     node.jobs.wake();
 }
 
-/// Targets may start again under their ids: no connection to the earlier start is used.
-fn note_births(node: &Node, news: &[Change]) {
+/// Closes connections to the previous process of a target that restarted under its id.
+fn record_start_times(node: &Node, news: &[Change]) {
     let mut births = node.start_times.borrow_mut();
     for change in news {
         match change {
             Change::Present(target) => {
                 let before = births.insert(target.id.clone(), target.started_at);
                 if before.is_some_and(|before| before != target.started_at) {
-                    slog::info!(node.log, "target started again"; "target" => &target.id,
+                    slog::info!(node.log, "target restarted"; "target" => &target.id,
                         "born" => target.started_at, "before" => before);
                     node.targets.close_idle(target.address);
                 }
@@ -119,7 +118,7 @@
     }
 }
 
-/// All entries of the registry were read.
+/// Handles a full listing of the registry.
 pub fn on_entries(node: &Rc<Node>, listing: &Listing) {
     let now = clock::now();
     let regained = node.store.reachable_since();
@@ -128,11 +127,11 @@
     for object in &listing.objects {
         match read_target(node, object) {
             Ok(target) => targets.push(target),
-            Err(revision) => spoil(node, &object.name, revision, &mut learnt),
+            Err(revision) => mark_invalid(node, &object.name, revision, &mut learnt),
         }
     }
     for name in listing.unreadable.iter().filter_map(|found| found.name.as_ref()) {
-        spoil(node, name, listing.revision, &mut learnt);
+        mark_invalid(node, name, listing.revision, &mut learnt);
     }
     let listed = node.registry.borrow_mut().on_list(targets, listing.revision, regained, now);
     learnt.changes.extend(listed.changes);
@@ -140,7 +139,7 @@
     on_learnt(node, learnt);
 }
 
-/// A watch brought changes of the registry.
+/// Handles registry changes delivered by a watch.
 pub fn on_changes(node: &Rc<Node>, changes: Changes) {
     let regained = node.store.reachable_since();
     let now = clock::now();
@@ -153,9 +152,9 @@
         .collect();
     for (at, change) in changes.changes.iter().enumerate() {
         let name = &change.object.name;
-        // What one answer brings of an entry counts as it stands at its end: the revision
-        // is that of the whole answer, so the removal of a target that has come back since
-        // would outdo its new entry.
+        // Only the last change of each entry counts: the revision is that of the whole
+        // response, so an earlier removal would override the new entry of a target that
+        // came back.
         if latest.get(name) != Some(&at) {
             continue;
         }
@@ -166,12 +165,12 @@
         }
         match read_target(node, &change.object) {
             Ok(target) => on_entry(node, target, &mut learnt),
-            Err(revision) => spoil(node, name, revision, &mut learnt),
+            Err(revision) => mark_invalid(node, name, revision, &mut learnt),
         }
     }
     let unreadable = changes.unreadable.iter().filter_map(|found| found.name.as_ref());
     for name in unreadable.filter(|name| !latest.contains_key(*name)) {
-        spoil(node, name, changes.revision, &mut learnt);
+        mark_invalid(node, name, changes.revision, &mut learnt);
     }
     on_learnt(node, learnt);
 }
@@ -180,14 +179,13 @@
     node.registry.borrow_mut().on_entry(target, learnt);
 }
 
-/// An entry that another writer has spoilt names no target to use. It doesn't say that the
-/// target leaves: the target writes its entry anew with its next heartbeat, and is used
-/// again then.
-fn spoil(node: &Node, id: &str, revision: Revision, learnt: &mut Delta) {
+/// An invalid entry makes its target unusable but doesn't mean that the target leaves: the
+/// target rewrites its entry with the next heartbeat.
+fn mark_invalid(node: &Node, id: &str, revision: Revision, learnt: &mut Delta) {
     node.registry.borrow_mut().on_invalid(id, revision, learnt);
 }
 
-/// Passes on what the platform's word changed.
+/// Logs and broadcasts what the platform reported.
 fn on_learnt(node: &Rc<Node>, learnt: Delta) {
     let Delta { changes: news, missing } = learnt;
     if !missing.is_empty() {
@@ -202,16 +200,16 @@
     }
 }
 
-/// Reads an entry; an error is the revision as of which it names no target.
+/// Decodes an entry. The error is the revision at which the entry became invalid.
 fn read_target(node: &Node, object: &Object) -> Result<Target, Revision> {
     target::decode(&object.name, object.revision, object.spec.get()).map_err(|fault| {
-        slog::warn!(node.log, "entry of a target not understood"; "target" => &object.name,
+        slog::warn!(node.log, "invalid target entry"; "target" => &object.name,
             "fault" => %fault, "revision" => object.revision);
         object.revision
     })
 }
 
-/// An object of the configuration's kind was read.
+/// Handles an object of the configuration's kind; all but the named one are ignored.
 pub fn on_config_object(node: &Rc<Node>, object: &Object) {
     if object.name != config::NAME {
         return;
@@ -220,7 +218,7 @@
     let version = match config::decode(text.as_bytes()) {
         Ok(table) => table.version,
         Err(error) => {
-            slog::error!(node.log, "configuration not understood";
+            slog::error!(node.log, "invalid configuration";
                 "revision" => object.revision, "error" => %error);
             return;
         }
--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -1,4 +1,4 @@
-//! Runs the items of held jobs on slots that online leaves free.
+//! Schedules the items of held jobs on slots that online requests leave free.
 
 mod run;
 
@@ -16,20 +16,17 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
-/// Time between looks for items when nothing has happened.
+/// Interval between checks for waiting items when nothing wakes the scheduler.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait of one request for slots; the account answers when it has one. Each
-/// holder with items waits at each account: at 250 instances and five accounts, 0.8 s
-/// makes 310 wishes a second for each account, beside 300 online requests at a peak.
+/// Longest wait for slots at one allocator. Every holder with items waits at every
+/// allocator, so a shorter timeout multiplies the requests that an allocator receives.
 const SLOT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a request for slots that failed.
 const SLOT_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Most slots asked for at once.
 const MAX_SLOTS_PER_REQUEST: usize = 4;
-/// Pause before a stopping instance tries again to pass on jobs that nobody took.
+/// Delay before a stopping instance retries to hand off jobs that nobody took over.
 const HANDOFF_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Hands items to slots until `stop`.
+/// Schedules items until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     loop {
         tokio::select! {
@@ -51,7 +48,7 @@
     }
 }
 
-/// Services that items wait for.
+/// Services for which items wait.
 fn services(node: &Node) -> HashSet<ServiceId> {
     let held_jobs = node.jobs.held.borrow();
     let held = held_jobs.values().filter(|held| held.state.borrow().runnable() > 0);
@@ -60,34 +57,37 @@
 
 fn service_of(node: &Node, state: &JobState) -> Option<ServiceId> {
     let job = state.job();
-    let draw = hash::bytes(job.id.as_bytes());
-    route_of(node, job)?.service(draw).cloned()
+    let job_hash = hash::bytes(job.id.as_bytes());
+    route_of(node, job)?.service(job_hash).cloned()
 }
 
-/// When the next item of a job must go on to be done by the time it is due: for sure,
-/// and at all.
+/// Latest start of a job's next item that still meets the due time: with slack for slow
+/// runs, and without.
 fn latest_starts(node: &Node, state: &JobState) -> (Millis, Millis) {
-    let made = state.next_event_count().unwrap_or_default();
-    let span = node.jobs.run_time.borrow();
+    let event_count = state.next_event_count().unwrap_or_default();
+    let run_time = node.jobs.run_time.borrow();
     let before_due = |time: Duration| state.job().due.saturating_sub(time.as_millis() as Millis);
-    let spare = node.settings.policy.slack_factor;
-    (before_due(span.upper_bound(made, spare)), before_due(span.remaining(made)))
+    let slack = node.settings.policy.slack_factor;
+    (
+        before_due(run_time.upper_bound(event_count, slack)),
+        before_due(run_time.remaining(event_count)),
+    )
 }
 
-/// Place of a job among those whose items wait; the lowest goes first. The accounts
-/// order wishes alike, so a holder's slots go to the job for which it got them.
+/// Scheduling order of jobs, lowest first. Allocators order requests in the same way, so
+/// slots go to the job for which they were granted.
 type Priority = (Feasibility, bool, Millis);
 
-/// What can't be in time any more comes last: in its turn it would make the others
-/// late as well. What was begun goes before what wasn't.
+/// Items that can no longer meet their due time go last, since they would only delay
+/// others. Started items go before unstarted ones.
 fn priority(node: &Node, state: &JobState, now: Millis) -> Priority {
-    let (sure, in_time) = latest_starts(node, state);
-    let is_begun = state.next_event_count().unwrap_or_default() > 0;
-    let is_fresh = node.settings.policy.started_first && !is_begun;
-    (Feasibility::at(now, sure, in_time), is_fresh, state.job().due)
+    let (safe_start, latest_start) = latest_starts(node, state);
+    let is_started = state.next_event_count().unwrap_or_default() > 0;
+    let is_unstarted = node.settings.policy.started_first && !is_started;
+    (Feasibility::at(now, safe_start, latest_start), is_unstarted, state.job().due)
 }
 
-/// HeldJob jobs with items that wait for the service, the most urgent first.
+/// Held jobs with items waiting for the service, most urgent first.
 fn waiting(node: &Node, service: &str) -> Vec<Rc<HeldJob>> {
     let now = unix_millis();
     let held_jobs = node.jobs.held.borrow();
@@ -100,25 +100,25 @@
     held
 }
 
-/// Items that wait whose priority is no later than that of the first job's, but for when
-/// they are due: others must wait for a priority of their own.
+/// Number of waiting items in the same class as the first job's, regardless of due times.
+/// Only these may share one request for slots.
 fn items_of_first_class(node: &Node, waiting: &[Rc<HeldJob>]) -> usize {
     let now = unix_millis();
     let class = |held: &Rc<HeldJob>| {
-        let (chance, is_fresh, _) = priority(node, &held.state.borrow(), now);
-        (chance, is_fresh)
+        let (feasibility, is_unstarted, _) = priority(node, &held.state.borrow(), now);
+        (feasibility, is_unstarted)
     };
     let first = waiting.first().map(class);
     let of_class = waiting.iter().filter(|held| Some(class(held)) == first);
-    let is_begun = node.settings.policy.started_first && matches!(first, Some((_, false)));
+    let is_started = node.settings.policy.started_first && matches!(first, Some((_, false)));
     let items = |held: &Rc<HeldJob>| {
         let state = held.state.borrow();
-        if is_begun { state.started() } else { state.runnable() }
+        if is_started { state.started() } else { state.runnable() }
     };
     of_class.map(items).sum()
 }
 
-/// What to ask of an account for the next item of a job.
+/// Request for slots on behalf of a job's next item.
 fn slot_query<'a>(
     node: &Node,
     data_centre: &'a str,
@@ -128,23 +128,23 @@
 ) -> leases::BatchQuery<'a> {
     let now = unix_millis();
     let state = held.state.borrow();
-    let made = state.next_event_count().unwrap_or_default();
+    let event_count = state.next_event_count().unwrap_or_default();
     let until = |at: Millis| Duration::from_millis(at.saturating_sub(now));
-    let (sure, in_time) = latest_starts(node, &state);
+    let (safe_start, latest_start) = latest_starts(node, &state);
     leases::BatchQuery {
         data_centre,
         service,
         due: until(state.job().due),
-        latest_start: until(in_time),
-        safe_start: until(sure),
-        remaining: node.jobs.run_time.borrow().remaining(made),
-        is_started: made > 0,
+        latest_start: until(latest_start),
+        safe_start: until(safe_start),
+        remaining: node.jobs.run_time.borrow().remaining(event_count),
+        is_started: event_count > 0,
         limit: most,
         wait: SLOT_TIMEOUT,
     }
 }
 
-/// Gets slots of one data centre for one service as long as items wait.
+/// Acquires slots of one data centre for one service while items wait.
 async fn acquire_slots(
     node: Rc<Node>,
     data_centre: String,
@@ -167,7 +167,7 @@
     node.jobs.acquiring.borrow_mut().remove(&(data_centre, service));
 }
 
-/// Runs the most urgent item on a slot; without one, the slot goes back.
+/// Runs the most urgent item on a slot. The slot is released if no item waits.
 fn run_next(node: &Rc<Node>, service: &str, lease: Lease) {
     if node.is_stopping() {
         return;
@@ -181,7 +181,7 @@
     }
 }
 
-/// Gives all jobs to other instances, with what their runs have made.
+/// Hands off all jobs to other instances, including partial output of their runs.
 pub async fn hand_off_jobs(node: &Rc<Node>) {
     let held_jobs: Vec<Rc<HeldJob>> = node.jobs.held.borrow().values().cloned().collect();
     let open: Vec<Rc<HeldJob>> =
@@ -189,34 +189,34 @@
     for held in &open {
         held.released.cancel();
     }
-    // The runs put down what they have made.
+    // Lets cancelled runs store their partial output.
     tokio::task::yield_now().await;
     tokio::time::sleep(job_writer::RUN_STOP_DELAY).await;
-    let mut left = Vec::new();
+    let mut remaining = Vec::new();
     for held in open {
-        let is_fresh = held.state.borrow().next_write().is_some();
-        if is_fresh && !job_writer::write(node, &held).await {
-            slog::warn!(node.log, "results not written before the stop";
+        let has_unwritten = held.state.borrow().next_write().is_some();
+        if has_unwritten && !job_writer::write(node, &held).await {
+            slog::warn!(node.log, "results not written before shutdown";
                 "job" => &held.state.borrow().job().id);
         }
         let state = held.state.borrow();
         let id = state.job().id.clone();
         node.jobs.held.borrow_mut().remove(&id);
-        left.push((id, state.handoff()));
+        remaining.push((id, state.handoff()));
     }
-    // While it is cut off there is nobody to pass a job to, and what it accepted
-    // meanwhile is known to nobody else. The bound of the stop ends this.
+    // A partitioned instance finds nobody to take its jobs, and jobs that it accepted
+    // meanwhile are known to nobody else. The shutdown deadline ends this loop.
     loop {
         let mut pending = Vec::new();
-        for (id, learnt) in left {
-            if !takeover::hand_off(node, &id, &learnt).await {
-                pending.push((id, learnt));
+        for (id, handoff) in remaining {
+            if !takeover::hand_off(node, &id, &handoff).await {
+                pending.push((id, handoff));
             }
         }
         if pending.is_empty() {
             return;
         }
-        left = pending;
+        remaining = pending;
         tokio::time::sleep(HANDOFF_RETRY_DELAY).await;
     }
 }
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -1,4 +1,4 @@
-//! One run of one item on a slot: sends it, takes its events, and says how it ended.
+//! A single run of an item on a slot.
 
 use crate::clock;
 use crate::gateway::crash::{self, BrokenRequest, hex};
@@ -21,38 +21,37 @@
 use transport::event::Splitter;
 use transport::upstream::{Exchange, SendError};
 
-/// An engine that sends nothing for this long is taken for silent. Prompts are
-/// read and tokens made within tens of milliseconds; an engine that runs five
-/// times slower still stays below it.
+/// Time without data after which a target counts as unresponsive. Leaves room for targets
+/// that run several times slower than normal.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause before an item runs again whose run broke off or was turned away.
+/// Delay before an item whose run was interrupted or rejected may run again.
 const ITEM_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Longest answer of a target that isn't a stream and is looked at.
+/// Largest error body that is read to keep the connection reusable.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// How a run of an item ended.
+/// How a run ended.
 enum RunEnd {
     Completed,
     Failed(Failure),
-    /// It goes on later, where it stopped.
+    /// Interrupted; a later run resumes after the last event received.
     Stopped(LeaseOutcome, String),
 }
 
-/// Runs an item on a slot, unless it is held because it crashes its targets.
+/// Runs an item unless it is quarantined.
 pub(super) async fn run_item(node: Rc<Node>, held: Rc<HeldJob>, item: Item, lease: Lease) {
     let mut partial = held.state.borrow().partial(&item.id);
     let before = partial.events.len();
-    let began = clock::now();
-    held.first_started.borrow_mut().entry(item.id.clone()).or_insert(began);
+    let started = clock::now();
+    held.first_started.borrow_mut().entry(item.id.clone()).or_insert(started);
     let target = lease.grant.target.clone();
     let content = fingerprint_of(&held, &item);
-    if let Admission::Held(left) = quarantine::admit(&node, || content).await {
+    if let Admission::Held(remaining) = quarantine::admit(&node, || content).await {
         lease.end(LeaseOutcome::Unused);
-        withhold(&node, &held, &item, left).await;
+        withhold(&node, &held, &item, remaining).await;
         return;
     }
-    let ended = tokio::select! {
-        ended = attempt(&node, &held, &item, &lease, &mut partial) => ended,
+    let run_end = tokio::select! {
+        run_end = attempt(&node, &held, &item, &lease, &mut partial) => run_end,
         () = lease.stop.cancelled() => RunEnd::Stopped(LeaseOutcome::Unused, String::from("revoked")),
         () = held.released.cancelled() => RunEnd::Stopped(LeaseOutcome::Unused, String::from("released")),
         () = held.ended.cancelled() => RunEnd::Stopped(LeaseOutcome::Unused, String::from("job ended")),
@@ -60,9 +59,9 @@
     let mut lease = lease;
     let new_events = partial.events.len() - before.min(partial.events.len());
     if new_events > 1 {
-        lease.report.event_interval = Some(clock::since(began) / new_events as u32);
+        lease.report.event_interval = Some(clock::since(started) / new_events as u32);
     }
-    let (how, fault) = match &ended {
+    let (how, fault) = match &run_end {
         RunEnd::Completed => ("complete", String::new()),
         RunEnd::Failed(failure) => ("failed", format!("{failure:?}")),
         RunEnd::Stopped(_, fault) => ("stopped", fault.clone()),
@@ -71,17 +70,17 @@
         "job" => &held.state.borrow().job().id, "target" => target, "how" => how,
         "fault" => &fault, "events" => partial.events.len(), "resumed_at" => before,
         "registry" => lease.registry,
-        "ran_ms" => clock::since(began).as_millis() as u64);
+        "ran_ms" => clock::since(started).as_millis() as u64);
     let mut pause = Duration::ZERO;
-    match ended {
+    match run_end {
         RunEnd::Completed => {
-            let took =
-                clock::since(held.first_started.borrow_mut().remove(&item.id).unwrap_or(began));
+            let total =
+                clock::since(held.first_started.borrow_mut().remove(&item.id).unwrap_or(started));
             let events = partial.events.len() as u32;
-            lease.report.completed = lease.report.event_interval.map(|pace| Sample {
+            lease.report.completed = lease.report.event_interval.map(|interval| Sample {
                 events,
-                event_interval: pace,
-                elapsed: took,
+                event_interval: interval,
+                elapsed: total,
             });
             if let Some(done) = lease.report.completed {
                 node.jobs.run_time.borrow_mut().record(done);
@@ -92,8 +91,8 @@
             held.state.borrow_mut().on_done(&item.id, outcome);
         }
         RunEnd::Failed(failure) => {
-            // An item that has failed elsewhere says nothing of this target, and one
-            // that can't be done nothing of any.
+            // A failure counts against the target only if the item hasn't failed on another
+            // one and isn't permanently invalid.
             let is_first = !held.state.borrow().has_failed(&item.id);
             let is_evidence = is_first && failure == Failure::Retryable;
             lease.end(if is_evidence { LeaseOutcome::Failed } else { LeaseOutcome::Unused });
@@ -119,15 +118,15 @@
     node.jobs.wake();
 }
 
-/// Leaves an item that crashes its targets alone for a while.
-async fn withhold(node: &Rc<Node>, held: &HeldJob, item: &Item, left: Duration) {
+/// Delays an item that is quarantined.
+async fn withhold(node: &Rc<Node>, held: &HeldJob, item: &Item, remaining: Duration) {
     slog::info!(node.log, "item withheld"; "item" => &item.id,
-        "job" => &held.state.borrow().job().id, "for_ms" => left.as_millis() as u64);
+        "job" => &held.state.borrow().job().id, "for_ms" => remaining.as_millis() as u64);
     let give_up = held.state.borrow().job().expires;
     held.state.borrow_mut().withhold(&item.id);
-    let left = left.min(Duration::from_millis(give_up.saturating_sub(unix_millis())));
+    let remaining = remaining.min(Duration::from_millis(give_up.saturating_sub(unix_millis())));
     tokio::select! {
-        () = tokio::time::sleep(left) => {}
+        () = tokio::time::sleep(remaining) => {}
         () = held.released.cancelled() => {}
         () = held.ended.cancelled() => {}
     }
@@ -135,10 +134,9 @@
     node.jobs.wake();
 }
 
-/// What an item asks for, the same as for a request of its own.
+/// Fingerprint of the equivalent online request.
 fn fingerprint_of(held: &HeldJob, item: &Item) -> RequestFingerprint {
     let state = held.state.borrow();
-    // A body that can't be decoded is never sent.
     let body = job::body_of(&item.body).unwrap_or_default();
     hash::request_fingerprint("POST", &state.job().host, &item.path, &body)
 }
@@ -154,7 +152,7 @@
     let request = match request(&host, item, lease, partial) {
         Ok(request) => request,
         Err(fault) => {
-            slog::warn!(node.log, "item can't be sent"; "item" => &item.id, "fault" => &fault);
+            slog::warn!(node.log, "invalid item request"; "item" => &item.id, "fault" => &fault);
             return RunEnd::Failed(Failure::Permanent);
         }
     };
@@ -168,61 +166,64 @@
             return RunEnd::Stopped(LeaseOutcome::Interrupted, fault);
         }
         Err(_) => {
-            return RunEnd::Stopped(LeaseOutcome::Unresponsive, String::from("no answer in time"));
+            return RunEnd::Stopped(
+                LeaseOutcome::Unresponsive,
+                String::from("no response within the idle timeout"),
+            );
         }
     };
     let head = exchange.head();
     if is_not_run(head) {
         return RunEnd::Stopped(
             rejection_outcome(head),
-            format!("turned away with {}", head.status),
+            format!("rejected with status {}", head.status),
         );
     }
     if !belongs_to_request(&head.headers, &item.id) {
         return RunEnd::Stopped(
             LeaseOutcome::Interrupted,
-            String::from("an answer to another request"),
+            String::from("response to a different request"),
         );
     }
     let status = head.status;
     if status.is_success() {
-        let ended = read_events(&mut exchange, partial).await;
-        if matches!(ended, RunEnd::Completed) && exchange.has_body_framing() {
+        let run_end = read_events(&mut exchange, partial).await;
+        if matches!(run_end, RunEnd::Completed) && exchange.has_body_framing() {
             quarantine::on_success(node, || fingerprint_of(held, item));
         }
-        return ended;
+        return run_end;
     }
-    // Reading the rest keeps the connection.
+    // Reading the rest keeps the connection reusable.
     let rest = exchange.read_to_end(MAX_BODY_BYTES).await;
     slog::info!(node.log, "item failed"; "item" => &item.id, "status" => status.as_u16(),
         "target" => &lease.grant.target, "whole" => rest.is_ok());
     match status {
         StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Failed(Failure::Permanent),
         StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed(Failure::Retryable),
-        _ => RunEnd::Stopped(LeaseOutcome::Interrupted, format!("answered with {status}")),
+        _ => RunEnd::Stopped(LeaseOutcome::Interrupted, format!("unexpected status {status}")),
     }
 }
 
 async fn read_events(exchange: &mut Exchange, partial: &mut PartialOutput) -> RunEnd {
-    let broken = |fault: &str| RunEnd::Stopped(LeaseOutcome::Interrupted, fault.to_owned());
+    let interrupted = |fault: &str| RunEnd::Stopped(LeaseOutcome::Interrupted, fault.to_owned());
     let mut splitter = Splitter::default();
     loop {
-        let piece = match tokio::time::timeout(IDLE_TIMEOUT, exchange.next()).await {
-            Err(_) => return RunEnd::Stopped(LeaseOutcome::Unresponsive, String::from("silent")),
-            Ok(Err(fault)) => return broken(&fault),
-            Ok(Ok(None)) if !splitter.is_empty() => return broken("ended within an event"),
+        let chunk = match tokio::time::timeout(IDLE_TIMEOUT, exchange.next()).await {
+            Err(_) => return RunEnd::Stopped(LeaseOutcome::Unresponsive, String::from("idle")),
+            Ok(Err(fault)) => return interrupted(&fault),
+            Ok(Ok(None)) if !splitter.is_empty() => return interrupted("ended inside an event"),
             Ok(Ok(None)) => return RunEnd::Completed,
-            Ok(Ok(Some(piece))) => piece,
+            Ok(Ok(Some(chunk))) => chunk,
         };
-        if !splitter.push(&piece) {
-            return broken("an event is too long");
+        if !splitter.push(&chunk) {
+            return interrupted("event exceeds the size limit");
         }
         while let Some(event) = splitter.next_event() {
-            let is_known = match (event.id, partial.last_event_id) {
+            let is_duplicate = match (event.id, partial.last_event_id) {
                 (Some(id), Some(last)) => id <= last,
                 _ => false,
             };
-            if is_known {
+            if is_duplicate {
                 continue;
             }
             partial.last_event_id = event.id.or(partial.last_event_id);
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -1,9 +1,8 @@
-//! Looks through all jobs on the platform for those without a holder, and drops
-//! those that are past their retention.
+//! Scans all jobs on the platform for jobs without a holder, and deletes expired ones.
 //!
-//! Needed after a start and after a loss: what a lost instance accepted last may
-//! be known to nobody. A few instances share the list, and what a page shows is
-//! told at once, since a page takes long on a slow link.
+//! Runs after a start and after the loss of a member, since nobody else may know of the
+//! jobs that a lost instance accepted last. A few instances share the range of jobs.
+//! Findings are reported page by page, because a page takes long on a slow link.
 
 use super::broadcast;
 use super::call_reason::CallReason;
@@ -23,55 +22,54 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
-/// Time between looks whether a sweep is due.
+/// Interval between checks whether a scan is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// A sweep after a start waits until the members known have not changed for this
-/// long, so that each knows its share...
+/// The first scan waits until the members haven't changed for this long, so that each
+/// instance knows its range...
 const MEMBERSHIP_STABLE_PERIOD: Duration = Duration::from_millis(250);
 /// ...but no longer than this.
 const MAX_FIRST_SCAN_DELAY: Duration = Duration::from_millis(1_500);
-/// Pause after a look that failed, or that came before all members were met.
+/// Delay after a scan that failed or ran before all members were known.
 const SCAN_RETRY_DELAY: Duration = Duration::from_millis(1_000);
-/// Pause after a member was lost: others may be lost with it.
+/// Delay after the loss of a member, since others may be lost with it.
 const SCAN_DELAY_AFTER_LOSS: Duration = Duration::from_millis(2_000);
-/// Time between looks when nothing has happened.
+/// Interval between scans when nothing has happened.
 const SCAN_INTERVAL: Duration = Duration::from_secs(60);
-/// One in this many instances takes part: a page is a megabyte and takes some
-/// 300 ms on the slowest links, while each reader costs a call more.
+/// One in this many instances scans. More of them cost more calls; fewer take longer, as
+/// pages are large.
 const INSTANCES_PER_SCANNER: usize = 8;
 
-/// When the next sweep is due.
+/// When the next scan is due.
 struct Schedule {
-    began: Instant,
+    started_at: Instant,
     next: Option<Instant>,
     losses: u64,
     members: u64,
-    settled_since: Instant,
+    stable_since: Instant,
 }
 
 impl Schedule {
     fn new(now: Instant) -> Schedule {
-        Schedule { began: now, next: None, losses: 0, members: 0, settled_since: now }
+        Schedule { started_at: now, next: None, losses: 0, members: 0, stable_since: now }
     }
 
-    /// Whether a sweep is due, by how many members were lost and by the version
-    /// of the members known.
+    /// Whether a scan is due, given the number of losses and the version of the membership.
     fn is_due(&mut self, losses: u64, members: u64, now: Instant) -> bool {
         if self.members != members {
-            (self.members, self.settled_since) = (members, now);
+            (self.members, self.stable_since) = (members, now);
         }
         if self.losses != losses {
             self.losses = losses;
             let after_loss = now + SCAN_DELAY_AFTER_LOSS;
             self.next = self.next.map(|next| next.min(after_loss));
         }
-        let is_settled = members > 0 && now >= self.settled_since + MEMBERSHIP_STABLE_PERIOD;
-        let first = || is_settled || now >= self.began + MAX_FIRST_SCAN_DELAY;
+        let is_stable = members > 0 && now >= self.stable_since + MEMBERSHIP_STABLE_PERIOD;
+        let first = || is_stable || now >= self.started_at + MAX_FIRST_SCAN_DELAY;
         self.next.map_or_else(first, |next| now >= next)
     }
 }
 
-/// Sweeps until `stop`.
+/// Runs scans until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     let mut schedule = Schedule::new(clock::now());
     loop {
@@ -90,7 +88,7 @@
         if !schedule.is_due(losses, version, now) {
             continue;
         }
-        let is_warmed_up = now >= schedule.began + MEMBERSHIP_WARM_UP;
+        let is_warmed_up = now >= schedule.started_at + MEMBERSHIP_WARM_UP;
         let is_done = match own_range(&node) {
             Some(range) => scan(&node, range, is_warmed_up).await,
             None => is_warmed_up,
@@ -109,7 +107,7 @@
     )
 }
 
-/// Looks through a range of the jobs; `false` when it has to be repeated.
+/// Scans a range of the jobs; `false` if it must be repeated.
 async fn scan(node: &Rc<Node>, range: Range, is_warmed_up: bool) -> bool {
     let mut after = range.after.map(str::to_owned);
     let mut is_done = true;
@@ -118,7 +116,7 @@
         let page = match node.store.list(CallReason::Sweep, job::KIND, after.as_deref()).await {
             Ok(page) => page,
             Err(fault) => {
-                slog::info!(node.log, "jobs not listed"; "fault" => %fault);
+                slog::info!(node.log, "job list failed"; "fault" => %fault);
                 return false;
             }
         };
@@ -134,7 +132,7 @@
                     is_done &=
                         takeover::take_over(node, &object.name, Handoff::default()).await.is_some();
                 }
-                // Unless it is passed on, it has no holder in a moment.
+                // If the hand-off fails, the job has no holder soon.
                 ScanResult::Leaving => is_done = false,
                 ScanResult::Nothing => {}
             }
@@ -147,24 +145,24 @@
     }
     slog::info!(node.log, "jobs swept"; "jobs" => jobs, "without_holder" => orphans,
         "after" => range.after, "before" => range.before, "acquainted" => is_warmed_up);
-    // Holders that are not known yet may still be found.
+    // Before the warm-up ends, unknown holders may still appear.
     is_done && is_warmed_up
 }
 
-/// What a job on the platform asks for.
+/// What a scanned job needs.
 enum ScanResult {
     Nothing,
-    /// This instance holds it and doesn't know.
+    /// Held by this instance, which doesn't know it.
     Own,
-    /// Its holder is stopping.
+    /// The holder is stopping.
     Leaving,
-    /// Its holder is gone.
+    /// The holder is gone.
     Orphan(Box<JobStatus>),
 }
 
 fn classify(node: &Node, object: &Object, is_warmed_up: bool) -> ScanResult {
     let Ok(JobSummary { holder, is_open, job, tokens }) = job_store::summary(object) else {
-        slog::error!(node.log, "job not understood"; "job" => &object.name,
+        slog::error!(node.log, "malformed job object"; "job" => &object.name,
             "revision" => object.revision);
         return ScanResult::Nothing;
     };
@@ -190,7 +188,8 @@
     }))
 }
 
-/// Whoever each orphan falls to takes it over, and tries again until it is done.
+/// Reports orphaned jobs to all instances; each is taken over by the instance chosen for
+/// it.
 fn report_orphans(node: &Rc<Node>, orphans: Vec<JobStatus>) {
     if orphans.is_empty() {
         return;
@@ -199,7 +198,7 @@
     broadcast::send(node, Update::Statuses(orphans));
 }
 
-/// Drops what is past its retention, here and on the platform.
+/// Deletes finished jobs past their retention from memory and from the platform.
 fn expire(node: &Rc<Node>) {
     let now = unix_millis();
     let retention = node.settings.retention.as_millis() as u64;
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -1,10 +1,10 @@
-//! How a batch job lies on the platform.
+//! Storage format of batch jobs on the platform.
 //!
-//! A job is one object: the job as spec, its progress as status. An object holds
-//! a bounded number of bytes, so what is too long for it lies in overflow, further
-//! objects that never change: items of a long job, written before the job is
-//! created, and the first results of a long progress. Only overflow that the job's
-//! own object names count; others were left by a writer that came too late.
+//! A job is one object, with the job as its spec and its progress as its status. Objects
+//! are limited in size, so items and results that don't fit are stored in overflow objects,
+//! which are immutable. Items overflow before the job is created, results with each write.
+//! Only overflow objects named by the job's own object count; others were left by a failed
+//! write.
 
 use super::call_reason::CallReason;
 use super::node::Node;
@@ -14,78 +14,78 @@
 use serde::{Deserialize, Serialize};
 use state::progress::{Holder, Item, Job, Outcome, Progress};
 
-/// Share of an object's bytes that its spec may take; a status takes less than
-/// the rest, so that both fit with the object's head.
+/// Maximum share of an object's bytes for its spec. Spec, status and metadata must fit
+/// together.
 const SPEC_BYTES_RATIO: f64 = 0.5;
-/// Share of an object's bytes that its status may take.
+/// Maximum share of an object's bytes for its status.
 const STATUS_BYTES_RATIO: f64 = 0.35;
 
-/// A run of items or results that lies in an object of its own.
+/// Reference to an overflow object with `count` items or results.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct OverflowObject {
     name: String,
     count: usize,
 }
 
-/// What of a job lies in overflow.
+/// Overflow objects of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overflow {
     items: Vec<OverflowObject>,
     results: Vec<OverflowObject>,
 }
 
-/// A job as read.
+/// A job as loaded from the platform.
 #[derive(Clone, Debug)]
 pub struct StoredJob {
-    /// The job.
+    /// Description and items.
     pub job: Job,
-    /// What has happened to it.
+    /// Results, failures and holder.
     pub progress: Progress,
-    /// What of it lies in overflow.
+    /// Where the rest of it is stored.
     pub overflow: Overflow,
-    /// Revision of its object.
+    /// Revision of the job's object.
     pub revision: u64,
 }
 
 impl StoredJob {
-    /// Whether something is left to run.
+    /// Whether items remain to be run.
     pub fn is_open(&self) -> bool {
         !self.progress.ended && self.progress.outcomes.len() < self.job.items.len()
     }
 
-    /// Who holds it by what is durable.
+    /// The holder according to the platform.
     pub fn holder(&self) -> Holder {
         self.progress.holder.unwrap_or(self.job.accepted_by)
     }
 }
 
-/// What a job's own object tells without its overflow.
+/// What the job's own object says, without its overflow objects.
 #[derive(Clone, Debug)]
 pub struct JobSummary {
-    /// Who holds it.
+    /// The holder according to the platform.
     pub holder: Holder,
-    /// Whether something is left to run.
+    /// Whether items remain to be run.
     pub is_open: bool,
-    /// The job, with the items of its own object only.
+    /// The job with only those items that its own object holds.
     pub job: Job,
-    /// Tokens of all its items.
+    /// Tokens of all items, including overflow.
     pub tokens: u64,
 }
 
-/// Why a job could not be read.
+/// Why a job can't be loaded.
 #[derive(Clone, Debug)]
 pub enum LoadError {
-    /// Its objects hold something else.
+    /// An object can't be decoded, or an overflow object is missing.
     Malformed(String),
-    /// The platform didn't give it.
+    /// A call of the platform failed.
     Fault(Fault),
 }
 
 impl std::fmt::Display for LoadError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            LoadError::Malformed(text) => write!(f, "not understood: {text}"),
-            LoadError::Fault(fault) => write!(f, "not read: {fault}"),
+            LoadError::Malformed(text) => write!(f, "malformed: {text}"),
+            LoadError::Fault(fault) => write!(f, "read failed: {fault}"),
         }
     }
 }
@@ -100,7 +100,7 @@
 struct Spec {
     #[serde(flatten)]
     job: Job,
-    /// Overflow with the items that follow those of the job; tokens of these.
+    /// Items that follow those of the job, and their tokens.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "pieces")]
     overflow: Vec<OverflowObject>,
@@ -113,7 +113,7 @@
 struct Status {
     #[serde(flatten)]
     progress: Progress,
-    /// Overflow with the results before those of the progress.
+    /// Results that precede those of the progress.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "pieces")]
     overflow: Vec<OverflowObject>,
@@ -129,11 +129,11 @@
     Ok((spec, status.unwrap_or_default()))
 }
 
-/// What a job's own object tells.
+/// Decodes a job's own object.
 ///
 /// # Errors
 ///
-/// What is wrong with the object.
+/// The object holds something else.
 pub fn summary(object: &Object) -> Result<JobSummary, serde_json::Error> {
     let (spec, status) = decode(object)?;
     let items = spec.job.items.len() + count(&spec.overflow);
@@ -146,11 +146,11 @@
     })
 }
 
-/// Reads a job from its object and its overflow.
+/// Loads a job from its object and its overflow objects.
 ///
 /// # Errors
 ///
-/// Why it can't be read now.
+/// An object is malformed or can't be read now.
 pub async fn read(
     node: &Node,
     reason: CallReason,
@@ -168,11 +168,11 @@
     Ok(StoredJob { job, progress, overflow, revision: object.revision })
 }
 
-/// Reads a job by its id; `None` when there is none.
+/// Loads a job by its id; `None` if there is none.
 ///
 /// # Errors
 ///
-/// Why it can't be read now.
+/// As [`read`].
 pub async fn load(
     node: &Node,
     reason: CallReason,
@@ -197,7 +197,10 @@
             .await
             .map_err(LoadError::Fault)?;
         let Some(object) = found else {
-            return Err(LoadError::Malformed(format!("piece `{}` is missing", object.name)));
+            return Err(LoadError::Malformed(format!(
+                "overflow object `{}` is missing",
+                object.name
+            )));
         };
         let mut part: Vec<T> = serde_json::from_str(object.spec.get())?;
         all.append(&mut part);
@@ -205,11 +208,11 @@
     Ok(all)
 }
 
-/// Keeps a job that was accepted here.
+/// Stores a newly accepted job.
 ///
 /// # Errors
 ///
-/// [`Fault::Conflict`] when it is kept already, else how a call failed.
+/// [`Fault::Conflict`] if the job exists, else the error of the failed call.
 pub async fn create(node: &Node, job: &Job) -> Result<(Object, Overflow), Fault> {
     let most = share(node, SPEC_BYTES_RATIO);
     let runs = runs(&job.items, most);
@@ -228,17 +231,17 @@
         overflow_tokens,
     };
     let object = node.store.create(CallReason::Submission, job::KIND, &job.id, &spec).await?;
-    slog::info!(node.log, "long job kept in overflow"; "job" => &job.id,
+    slog::info!(node.log, "job stored with overflow objects"; "job" => &job.id,
         "items" => job.items.len(), "pieces" => items.len());
     Ok((object, Overflow { items, results: Vec::new() }))
 }
 
-/// Replaces a job's progress if its object has this revision; gives the object
-/// and what lies in overflow from now on.
+/// Replaces a job's progress if its object has this revision. Returns the object and the
+/// updated overflow.
 ///
 /// # Errors
 ///
-/// [`Fault::Conflict`] when it has another revision, else how a call failed.
+/// [`Fault::Conflict`] if the revision differs, else the error of the failed call.
 pub async fn write(
     node: &Node,
     reason: CallReason,
@@ -267,7 +270,7 @@
     Ok((object, overflow))
 }
 
-/// Deletes a job and its overflow.
+/// Deletes a job and its overflow objects.
 pub async fn delete(node: &Node, id: &str, revision: u64, overflow: &Overflow) {
     if let Err(fault) = node.store.delete(CallReason::Expiry, job::KIND, id, Some(revision)).await {
         slog::info!(node.log, "job not deleted"; "job" => id, "fault" => %fault);
@@ -277,7 +280,8 @@
         if let Err(fault) =
             node.store.delete(CallReason::Expiry, job::PIECE_KIND, &object.name, None).await
         {
-            slog::info!(node.log, "piece not deleted"; "piece" => &object.name, "fault" => %fault);
+            slog::info!(node.log, "overflow object not deleted";
+                "piece" => &object.name, "fault" => %fault);
         }
     }
 }
@@ -286,14 +290,14 @@
     (node.settings.value_bytes as f64 * share) as usize
 }
 
-/// Cuts a list into runs whose encoded form has at most `most` bytes, an element
-/// that is longer by itself.
+/// Splits a list into runs whose encoded form has at most `most` bytes each. A larger
+/// element gets a run of its own.
 fn runs<T: Serialize>(all: &[T], most: usize) -> Vec<&[T]> {
     let mut runs = Vec::new();
     let mut begin = 0;
     let mut bytes = 0;
     for (at, one) in all.iter().enumerate() {
-        // Plain data of strings and numbers: encoding can't fail.
+        // Strings and numbers only: encoding can't fail.
         let size = serde_json::to_vec(one).map_or(0, |text| text.len() + 1);
         if at > begin && bytes + size > most {
             runs.push(&all[begin..at]);
@@ -307,8 +311,8 @@
     runs
 }
 
-/// Puts a run into an object. Its name tells its contents, so that a repeated write
-/// finds it there and two writers never share one by mistake.
+/// Writes a run to an overflow object. The name contains a hash of the contents, so a
+/// repeated write is idempotent and writers never collide.
 async fn write_overflow<T: Serialize>(
     node: &Node,
     reason: CallReason,
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -1,5 +1,5 @@
-//! Jobs that this instance knows of: those in its memory, and how all others
-//! stand by their holders' word.
+//! Batch jobs known to this instance: those it holds, and the reported status of all
+//! others.
 
 use super::job_store::{Overflow, StoredJob};
 use super::message::{JobFilter, JobStatus, PeerReply, PeerRequest, Update};
@@ -21,51 +21,49 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
-/// How jobs stand is told together that comes within this time: each message
-/// goes to every member.
+/// Statuses that change within this window are broadcast in one message.
 const STATUS_BATCH_WINDOW: Duration = Duration::from_millis(60);
-/// Longest wait for another instance to know of a job.
+/// Longest wait for a witness to acknowledge a new job.
 const WITNESS_TIMEOUT: Duration = Duration::from_millis(60);
-/// Attempts of an item when its route no longer tells.
+/// Attempts per item when the job's route is no longer configured.
 const DEFAULT_MAX_ATTEMPTS: u32 = 3;
-/// Pause before others are asked again how jobs stand.
 const FETCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// One job in memory.
+/// A job in this instance's memory.
 pub struct HeldJob {
-    /// Its state.
+    /// Items, results and progress.
     pub state: RefCell<JobState>,
-    /// Revision of its object.
+    /// Revision of the job's object that this instance last read or wrote.
     pub revision: Cell<u64>,
-    /// What of it lies in overflow on the platform.
+    /// Parts of the job stored in overflow objects.
     pub overflow: RefCell<Overflow>,
-    /// When items that aren't done were first run here.
+    /// When each unfinished item was first started here.
     pub(super) first_started: RefCell<HashMap<ItemId, Instant>>,
-    /// Woken when results or the end have become durable.
+    /// Notified when results or the end of the job have become durable.
     pub changed: Notify,
-    /// Woken when there is something to write.
+    /// Notified when there is something to write.
     pub(super) dirty: Notify,
-    /// When the oldest result that isn't durable came.
+    /// Arrival of the oldest unwritten result; `None` if all are written.
     pub(super) oldest_unwritten: Cell<Option<Instant>>,
-    /// When the oldest result came that isn't durable and says that its item failed.
+    /// Arrival of the oldest unwritten result that is a failure.
     pub(super) oldest_failure: Cell<Option<Instant>>,
-    /// When the platform last showed that the job is held here.
+    /// When the platform last confirmed that this instance holds the job.
     pub(super) confirmed_at: Cell<Instant>,
-    /// Cancelled when the job's submitter has ended it: its runs stop.
+    /// Cancelled when the submitter ends the job; stops its runs.
     pub(super) ended: CancellationToken,
-    /// Cancelled when this instance no longer holds the job.
+    /// Cancelled when this instance stops holding the job; stops its runs.
     pub released: CancellationToken,
-    /// Whether it only serves reads: nothing is left to run.
+    /// Whether the job is finished and held only to serve reads.
     pub is_read_only: bool,
 }
 
 impl HeldJob {
-    /// The job has ended: its runs stop.
+    /// Stops all runs because the job has ended.
     pub fn stop_runs(&self) {
         self.ended.cancel();
     }
 
-    /// Something is to be written.
+    /// Schedules a write of what has changed.
     pub fn mark_dirty(&self) {
         let now = clock::now();
         let state = self.state.borrow();
@@ -75,41 +73,40 @@
         self.dirty.notify_one();
     }
 
-    /// What is known of the job's holder by the platform was as expected just now.
+    /// The platform has just confirmed the holder.
     pub(super) fn on_confirmed(&self, now: Instant) {
         self.confirmed_at.set(now);
     }
 }
 
-/// All jobs that this instance knows of.
+/// All jobs known to this instance.
 #[derive(Default)]
 pub struct JobTable {
-    /// Jobs in memory here.
+    /// Jobs in memory.
     pub held: RefCell<HashMap<JobId, Rc<HeldJob>>>,
-    /// How jobs stand by their holders' word.
+    /// Statuses as reported by holders.
     pub directory: RefCell<HashMap<JobId, JobStatus>>,
-    /// What is to be told to all others.
+    /// Statuses that wait to be broadcast.
     outbox: RefCell<HashMap<JobId, JobStatus>>,
-    /// Jobs read from the platform for callers, and when.
+    /// Jobs read from the platform on behalf of callers, with the time of the read.
     pub(super) cache: RefCell<HashMap<JobId, (Instant, StoredJob)>>,
-    /// When another instance's open jobs were last asked for.
+    /// When open jobs were last fetched from another instance.
     pub last_fetch: Cell<Option<Instant>>,
     pub(super) work: Notify,
-    /// What was learnt of how long items run.
+    /// Estimate of how long items run.
     pub(super) run_time: RefCell<Estimate>,
-    /// What was learnt elsewhere of jobs that this instance is about to take over, as
-    /// others have asked.
+    /// Hand-offs received for jobs whose takeover is in progress.
     pub(super) pending_takeovers: RefCell<HashMap<JobId, Vec<Handoff>>>,
     pub(super) acquiring: RefCell<HashSet<(String, ServiceId)>>,
 }
 
 impl JobTable {
-    /// Jobs in memory.
+    /// Number of jobs in memory.
     pub fn held_count(&self) -> usize {
         self.held.borrow().len()
     }
 
-    /// A word about a job; an earlier one is passed over.
+    /// Records a reported status unless a later revision is known.
     pub fn on_status(&self, status: JobStatus) {
         let mut directory = self.directory.borrow_mut();
         let known = directory.get(&status.job);
@@ -118,17 +115,17 @@
         }
     }
 
-    /// Something has changed for items that wait.
+    /// Wakes the scheduler of items.
     pub fn wake(&self) {
         self.work.notify_one();
     }
 
-    /// The job, if it is in memory here.
+    /// The job if it is in memory.
     pub fn held_job(&self, job: &str) -> Option<Rc<HeldJob>> {
         self.held.borrow().get(job).cloned()
     }
 
-    /// Tokens that wait on a route, over all instances.
+    /// Tokens of unfinished items on a route, over all instances.
     pub fn waiting_tokens(&self, node: &Node, route: &str) -> u64 {
         let held_jobs = self.held.borrow();
         let held = held_jobs.values().filter(|held| !held.is_read_only);
@@ -145,8 +142,8 @@
     }
 }
 
-/// A holder's word; if it speaks of a job that is held here, the platform tells
-/// whose it is.
+/// Handles a reported status. If another instance claims a later revision of a job held
+/// here, the holder is verified on the platform.
 pub fn on_status(node: &Rc<Node>, status: JobStatus) {
     let held = node.jobs.held_job(&status.job).filter(|held| !held.is_read_only);
     if let Some(held) = held
@@ -159,13 +156,13 @@
     node.jobs.on_status(status);
 }
 
-/// The route of a job in the configuration in force.
+/// Route of a job in the current configuration.
 pub fn route_of(node: &Node, job: &Job) -> Option<Route> {
     let config = node.config()?;
     config.table.route_for(&job.host, &job.path).cloned()
 }
 
-/// Puts a job into memory and, unless it is settled, begins to run it.
+/// Loads a job into memory and starts it unless it is finished.
 pub fn hold(node: &Rc<Node>, stored_job: StoredJob) -> Rc<HeldJob> {
     let StoredJob { job, progress, overflow, revision } = stored_job;
     let id = job.id.clone();
@@ -195,7 +192,7 @@
     held
 }
 
-/// This instance no longer holds the job: its runs stop.
+/// Drops a job that this instance no longer holds and stops its runs.
 pub fn release(node: &Node, held: &HeldJob) {
     held.released.cancel();
     let id = held.state.borrow().job().id.clone();
@@ -216,7 +213,7 @@
     }
 }
 
-/// Tells all others how a job stands, together with what else is to be told soon.
+/// Broadcasts a job's status, batched with others.
 pub fn announce(node: &Rc<Node>, held: &HeldJob) {
     let status = status(node, held);
     let is_first = {
@@ -235,37 +232,38 @@
     });
 }
 
-/// Has two other instances know of a job before its submitter is answered, so
-/// that it is missed at once if this instance is lost in the next moment. Without
-/// an answer from them it is found by a look through all jobs, later.
+/// Reports a new job to two other instances before its submission is acknowledged, so that
+/// its loss is noticed at once if this instance crashes. If neither replies, such a job is
+/// only found by the next scan of all jobs.
 pub async fn notify_witnesses(node: &Rc<Node>, held: &HeldJob) {
     let now = clock::now();
     let mut members = node.others();
     members.retain(|member| !node.is_unresponsive(member.peer, now));
-    // One far and one near, where there are such.
+    // One in another data centre and one in this one, where available.
     let near = |member: &Member| member.data_centre == *node.data_centre();
     let id = held.state.borrow().job().id.clone();
     members.sort_by_key(|member| hash::weight(id.as_bytes(), member.id));
     let witnesses =
         [members.iter().find(|member| !near(member)), members.iter().find(|member| near(member))];
-    let ask = PeerRequest::Statuses(vec![status(node, held)]);
-    let tell = |witness: Option<&Member>| {
-        let (node, ask) = (node.clone(), ask.clone());
+    let request = PeerRequest::Statuses(vec![status(node, held)]);
+    let notify = |witness: Option<&Member>| {
+        let (node, request) = (node.clone(), request.clone());
         let address = witness.map(|member| member.peer);
         async move {
             match address {
-                Some(address) => node.request(address, &ask, WITNESS_TIMEOUT).await.is_ok(),
+                Some(address) => node.request(address, &request, WITNESS_TIMEOUT).await.is_ok(),
                 None => false,
             }
         }
     };
-    let (far, near) = tokio::join!(tell(witnesses[0]), tell(witnesses[1]));
+    let (far, near) = tokio::join!(notify(witnesses[0]), notify(witnesses[1]));
     if !far && !near {
-        slog::info!(node.log, "job without witness"; "job" => id, "members" => members.len());
+        slog::info!(node.log, "no witness acknowledged the job"; "job" => id,
+            "members" => members.len());
     }
 }
 
-/// How the jobs stand that another instance asks for.
+/// Statuses that another instance asks for.
 pub fn statuses_for(node: &Node, filter: &JobFilter) -> Vec<JobStatus> {
     let mut statuses = all_statuses(node);
     if let JobFilter::Open(ids) = filter {
@@ -275,7 +273,7 @@
     statuses
 }
 
-/// How jobs stand that are known here.
+/// Statuses of all jobs known here.
 fn all_statuses(node: &Node) -> Vec<JobStatus> {
     let held_jobs = node.jobs.held.borrow();
     let own = held_jobs.values().filter(|held| !held.is_read_only).map(|held| status(node, held));
@@ -284,7 +282,7 @@
     own.chain(others.cloned()).collect()
 }
 
-/// A number that two instances share if they know the same open jobs and holders.
+/// Equal on two instances that know the same open jobs with the same holders.
 pub fn digest(node: &Node) -> u64 {
     let one = |status: &JobStatus| hash::weight(status.job.as_bytes(), status.holder.instance);
     open_statuses(node).iter().map(one).fold(0, u64::wrapping_add)
@@ -294,13 +292,13 @@
     all_statuses(node).into_iter().filter(|status| !status.is_finished).collect()
 }
 
-/// What to ask another instance for whose open jobs differ: a job may have been
-/// settled without a word of it here.
+/// Filter for a request to an instance whose open jobs differ. It names the jobs believed
+/// open here, since one of them may have finished unnoticed.
 pub fn open_jobs_filter(node: &Node) -> JobFilter {
     JobFilter::Open(open_statuses(node).into_iter().map(|status| status.job).collect())
 }
 
-/// Learns from another instance how jobs stand, after a start.
+/// Fetches statuses from any other instance, retrying until one replies.
 pub async fn fetch_statuses(node: &Rc<Node>) {
     loop {
         for member in node.others() {
@@ -312,11 +310,11 @@
     }
 }
 
-/// Learns how jobs stand from one instance; `false` when it didn't answer.
+/// Fetches statuses from one instance; `false` if it didn't reply.
 pub async fn fetch_statuses_from(node: &Rc<Node>, address: SocketAddr, filter: JobFilter) -> bool {
     let is_open_only = matches!(filter, JobFilter::Open(_));
-    let ask = PeerRequest::ListJobs(filter);
-    let reply = node.request(address, &ask, peers::HEARTBEAT_TIMEOUT).await;
+    let request = PeerRequest::ListJobs(filter);
+    let reply = node.request(address, &request, peers::HEARTBEAT_TIMEOUT).await;
     let Ok(PeerReply::Statuses(statuses)) = reply else {
         return false;
     };
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -1,5 +1,5 @@
-//! Makes what happens to a held job durable, and finds out whether it is still
-//! held here.
+//! Writes the progress of held jobs to the platform and detects when another instance has
+//! taken a job over.
 
 use super::call_reason::CallReason;
 use super::job_store::{self, LoadError, StoredJob};
@@ -15,67 +15,67 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
-/// A holder that finds itself this late was stopped or starved: its jobs may have
-/// been taken over meanwhile.
+/// A holder whose loop runs this late was suspended or starved, so its jobs may have been
+/// taken over.
 const STALL_THRESHOLD: Duration = Duration::from_millis(1_500);
-/// Time between looks at a job that nothing has happened to.
+/// Interval between checks of a job without changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Shortest pause after a write that failed.
+/// Minimum delay after a failed write.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time after which a job is looked at that the platform hasn't shown to be held here
-/// meanwhile, while whole data centres are out of sight: they may have taken it over,
-/// or seen its end. A write that succeeds shows as much as a look.
+/// Maximum age of the platform's last confirmation while a whole data centre is
+/// unreachable: instances there may have taken the job over or ended it. A successful write
+/// confirms too.
 const VERIFY_INTERVAL: Duration = Duration::from_millis(1_500);
-/// How long that goes on after all are in sight again: whoever ended a job just
-/// before may not have known its holder. Members of a data centre that was cut off
-/// meet again within some two seconds.
+/// How long verification continues once all data centres are reachable again. Whoever ended
+/// a job just before may not have known its holder.
 const ISOLATION_COOLDOWN: Duration = Duration::from_secs(4);
 
-/// Runs that were told to stop have put down what they made after this time.
+/// Time for cancelled runs to store their partial output.
 pub(super) const RUN_STOP_DELAY: Duration = Duration::from_millis(5);
 
-/// Looks whether a job is still held here.
+/// Checks on the platform whether a job is still held here.
 pub async fn verify(node: &Rc<Node>, held: &Rc<HeldJob>) {
     let id = held.state.borrow().job().id.clone();
     match node.store.get(CallReason::Verify, job::KIND, &id).await {
         Ok(Some(object)) if object.revision > held.revision.get() => {
             let draft = held.state.borrow().to_progress();
-            // Not read now, it is met again with the next write.
+            // If loading fails now, the next write runs into the same conflict.
             on_newer_object(node, held, &draft, &object).await;
         }
         Ok(Some(_)) => held.on_confirmed(clock::now()),
         Ok(None) => job_table::release(node, held),
-        Err(fault) => slog::info!(node.log, "job not read"; "job" => &id, "fault" => %fault),
+        Err(fault) => slog::info!(node.log, "job load failed"; "job" => &id, "fault" => %fault),
     }
 }
 
-/// Writes what happens to a job until nothing is left to write.
+/// Writes changes of a job until it is finished and durable.
 pub async fn write_loop(node: Rc<Node>, held: Rc<HeldJob>) {
-    let mut tried = clock::now();
-    let mut looked = clock::now();
-    let mut isolated: Option<Instant> = None;
+    let mut last_attempt = clock::now();
+    let mut last_poll = clock::now();
+    let mut last_isolated: Option<Instant> = None;
     loop {
         tokio::select! {
             () = held.dirty.notified() => {}
             () = tokio::time::sleep(time_to_write(&node, &held, clock::now()).min(POLL_INTERVAL)) => {}
             () = held.released.cancelled() => return,
         }
-        if clock::since(looked) >= STALL_THRESHOLD {
+        if clock::since(last_poll) >= STALL_THRESHOLD {
             verify(&node, &held).await;
         }
-        looked = clock::now();
+        last_poll = clock::now();
         held.state.borrow_mut().on_time(unix_millis());
         if node.is_isolated() {
-            isolated = Some(looked);
+            last_isolated = Some(last_poll);
         }
-        let may_be_overtaken = isolated.is_some_and(|at| clock::since(at) < ISOLATION_COOLDOWN);
-        let is_due = clock::since(tried.max(held.confirmed_at.get())) >= VERIFY_INTERVAL;
-        if is_due && may_be_overtaken {
-            tried = clock::now();
+        let may_be_taken_over =
+            last_isolated.is_some_and(|at| clock::since(at) < ISOLATION_COOLDOWN);
+        let is_due = clock::since(last_attempt.max(held.confirmed_at.get())) >= VERIFY_INTERVAL;
+        if is_due && may_be_taken_over {
+            last_attempt = clock::now();
             verify(&node, &held).await;
         }
-        // Who has been overtaken writes nothing: the new holder answers from memory,
-        // and would show nothing where others had read it on the platform.
+        // A holder that was replaced must not write: the new holder serves results from
+        // memory and wouldn't return those that others have read from the platform.
         while !held.released.is_cancelled() && time_to_write(&node, &held, clock::now()).is_zero() {
             if !write(&node, &held).await {
                 let pause = node.store.backoff_remaining(clock::now()).max(WRITE_RETRY_DELAY);
@@ -87,7 +87,7 @@
         }
         if held.state.borrow().is_finished() {
             let state = held.state.borrow();
-            slog::info!(node.log, "job settled"; "job" => &state.job().id,
+            slog::info!(node.log, "job finished"; "job" => &state.job().id,
                 "results" => state.durable_results().len(), "items" => state.job().items.len(),
                 "ended" => state.is_ended(),
                 "age_ms" => unix_millis().saturating_sub(state.job().accepted));
@@ -98,7 +98,7 @@
     }
 }
 
-/// Time until something is to be written; the longest there is if nothing is.
+/// Time until the next write; [`Duration::MAX`] if nothing is unwritten.
 fn time_to_write(node: &Node, held: &HeldJob, now: Instant) -> Duration {
     let state = held.state.borrow();
     if !state.has_unwritten() {
@@ -119,7 +119,7 @@
     flush::flush_at(policy, fresh).saturating_duration_since(now)
 }
 
-/// One write of a job's progress; `false` when it has to be tried again later.
+/// Writes a job's progress once; `false` if it must be retried.
 pub async fn write(node: &Rc<Node>, held: &Rc<HeldJob>) -> bool {
     let (id, draft) = {
         let state = held.state.borrow();
@@ -144,33 +144,33 @@
                 Ok(Some(object)) => return on_newer_object(node, held, &draft, &object).await,
                 Ok(None) => job_table::release(node, held),
                 Err(fault) => {
-                    slog::info!(node.log, "job not read"; "job" => &id, "fault" => %fault);
+                    slog::info!(node.log, "job load failed"; "job" => &id, "fault" => %fault);
                     return false;
                 }
             }
             true
         }
         Err(Fault::Missing) => {
-            slog::warn!(node.log, "job is gone"; "job" => &id, "revision" => revision);
+            slog::warn!(node.log, "job object missing"; "job" => &id, "revision" => revision);
             job_table::release(node, held);
             true
         }
         Err(fault) => {
-            slog::info!(node.log, "job not written"; "job" => &id, "fault" => %fault,
+            slog::info!(node.log, "job write failed"; "job" => &id, "fault" => %fault,
                 "revision" => revision);
             false
         }
     }
 }
 
-/// Tells the new holder of a job what was learnt here.
+/// Sends the new holder of a job the progress made here.
 async fn hand_off_progress(node: Rc<Node>, held: Rc<HeldJob>, holder: Holder) {
     tokio::time::sleep(RUN_STOP_DELAY).await;
-    let (id, learnt) = {
+    let (id, handoff) = {
         let state = held.state.borrow();
         (state.job().id.clone(), state.handoff())
     };
-    takeover::send_handoff(node, id, holder, learnt).await;
+    takeover::send_handoff(node, id, holder, handoff).await;
 }
 
 fn on_durable(node: &Rc<Node>, held: &Rc<HeldJob>, draft: &Progress, revision: u64) {
@@ -186,8 +186,8 @@
     job_table::announce(node, held);
 }
 
-/// The object isn't as it was: an earlier write of ours was done after all, or
-/// another instance has written. `false` when it couldn't be read whole.
+/// Handles an object that changed since it was read: an earlier write succeeded after all,
+/// or another instance wrote. `false` if the job couldn't be loaded.
 async fn on_newer_object(
     node: &Rc<Node>,
     held: &Rc<HeldJob>,
@@ -198,13 +198,13 @@
         match job_store::read(node, CallReason::Verify, object).await {
             Ok(stored_job) => stored_job,
             Err(error @ LoadError::Malformed(_)) => {
-                slog::error!(node.log, "job not read"; "job" => &object.name,
+                slog::error!(node.log, "job load failed"; "job" => &object.name,
                 "revision" => object.revision, "fault" => %error);
                 job_table::release(node, held);
                 return true;
             }
             Err(error) => {
-                slog::info!(node.log, "job not read"; "job" => &object.name, "fault" => %error);
+                slog::info!(node.log, "job load failed"; "job" => &object.name, "fault" => %error);
                 return false;
             }
         };
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -1,4 +1,4 @@
-//! Calls of batch jobs: submission, results, an item's body, the end.
+//! Calls about accepted batch jobs: results, the body of an item, the end.
 
 use super::call_reason::CallReason;
 use super::front::{error_response, set_header, text_response};
@@ -17,24 +17,23 @@
 use std::time::{Duration, Instant};
 use transport::listen::Body;
 
-/// Longest time for which a read of results is held, whatever the caller says.
+/// Longest time for which a read waits for new results, whatever the caller asks.
 const MAX_RESULTS_WAIT: Duration = Duration::from_secs(5);
-/// Time for a holder to answer, on top of the time for which a read is held.
+/// Time for a holder to reply, on top of the time for which it waits for results.
 const HOLDER_REPLY_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time between looks whether a job has a holder again.
+/// Interval between checks for a new holder.
 const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a job that was read from the platform is shown again without a call. What
-/// one instance has shown, all others must show a second later.
+/// How long a job read from the platform is served again. Bounded because results returned
+/// by one instance must be visible on all others within a second.
 const JOB_CACHE_TTL: Duration = Duration::from_millis(700);
-/// Longest wait for the end of a job to become durable.
+/// Longest wait until the end of a job is durable.
 const END_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Tries to write an end while others write to the job.
+/// Attempts to write an end while others write to the same job.
 const MAX_END_ATTEMPTS: u32 = 4;
 
-/// Header of an answer of our own.
 const CONTENT_TYPE: &str = "content-type";
 
-/// Answers a call about a job.
+/// Serves a call about a job.
 pub async fn call(node: &Rc<Node>, call: job::Call, headers: &HeaderMap) -> Response<Body> {
     match call {
         job::Call::Results { job, from } => {
@@ -50,8 +49,8 @@
     let until = clock::now() + wait;
     loop {
         let left = until.saturating_duration_since(clock::now());
-        let ask = |id| PeerRequest::Results(id, from, left.as_millis() as u64);
-        match find(node, id, ask, left).await {
+        let request = |id| PeerRequest::Results(id, from, left.as_millis() as u64);
+        match find(node, id, request, left).await {
             Location::Local(held) => {
                 let (total, outcomes) = held_results(&held, from, left).await;
                 return results_response(total, from, &outcomes);
@@ -72,11 +71,10 @@
     }
 }
 
-/// Waits until a job whose holder couldn't be asked has another that can; `false` when
-/// the time is over.
+/// Waits until a job whose holder couldn't be reached has a reachable one; `false` on
+/// timeout.
 ///
-/// Gains calls of the platform: a read that finds nothing new is held as long as its
-/// caller asks instead of coming again at once, which made a call each time.
+/// Without this wait, a caller polls at once and each poll costs a call of the platform.
 async fn wait_for_holder(node: &Rc<Node>, id: &str, until: Instant) -> bool {
     let holder = |node: &Node| {
         let status = node.jobs.directory.borrow().get(id).map(|status| status.holder.instance);
@@ -103,14 +101,14 @@
 }
 
 fn unavailable(node: &Node, id: &str) -> Response<Body> {
-    slog::info!(node.log, "job in doubt"; "job" => id,
+    slog::info!(node.log, "job unavailable"; "job" => id,
         "platform_away" => node.store.is_backing_off(clock::now()));
     let mut error = Error::new(Kind::PlatformUnavailable, "the job can't be read now");
     error.retry_after = Some(submit::RETRY_AFTER);
     error_response(node, "", &error)
 }
 
-/// Results of a held job from a position on, waited for if there is none.
+/// Results of a held job starting at an index; waits if there are none yet.
 async fn held_results(held: &Rc<HeldJob>, from: usize, wait: Duration) -> (usize, Vec<Outcome>) {
     let until = tokio::time::Instant::now() + wait;
     loop {
@@ -133,8 +131,8 @@
 }
 
 async fn body(node: &Rc<Node>, id: &str, item: &str) -> Response<Body> {
-    let ask = |id| PeerRequest::Body(id, item.to_owned());
-    let found = match find(node, id, ask, Duration::ZERO).await {
+    let request = |id| PeerRequest::Body(id, item.to_owned());
+    let found = match find(node, id, request, Duration::ZERO).await {
         Location::Local(held) => body_in(held.state.borrow().job(), item),
         Location::Reply(PeerReply::Body(body)) => body,
         Location::Stored(job, _) => body_in(&job, item),
@@ -172,15 +170,15 @@
     }
 }
 
-/// Ends a job whose holder can't be asked: on the platform, where its holder
-/// finds it with its next write; whoever can be reached is told besides.
+/// Ends a job whose holder can't be reached, by writing to the platform. The holder notices
+/// with its next write, or earlier if a broadcast reaches it.
 async fn end_stored(node: &Rc<Node>, id: &str) -> bool {
     for _ in 0..MAX_END_ATTEMPTS {
         let mut stored_job = match job_store::load(node, CallReason::End, id).await {
             Ok(Some(stored_job)) => stored_job,
             Ok(None) => return false,
             Err(error) => {
-                slog::info!(node.log, "end not written"; "job" => id, "fault" => %error);
+                slog::info!(node.log, "job end not written"; "job" => id, "fault" => %error);
                 return false;
             }
         };
@@ -191,15 +189,15 @@
         let StoredJob { progress, overflow, revision, .. } = &stored_job;
         let written =
             job_store::write(node, CallReason::End, id, *revision, progress, overflow).await;
-        slog::info!(node.log, "end written for a holder that is silent"; "job" => id,
+        slog::info!(node.log, "job end written for an unresponsive holder"; "job" => id,
             "revision" => *revision, "written" => written.is_ok());
         match written {
             Ok(_) => {
-                // The holder may be no member here, as just after a cut: it is
-                // told where it was when it took the job.
+                // Right after a partition the holder may not be a known member yet, so the
+                // address stored with the job is used.
                 let update = Update::Ended(id.to_owned());
-                let ask = PeerRequest::Update(node.as_holder().address, update.clone());
-                node.notify(stored_job.holder().address, ask);
+                let request = PeerRequest::Update(node.as_holder().address, update.clone());
+                node.notify(stored_job.holder().address, request);
                 broadcast::send(node, update);
                 return true;
             }
@@ -210,7 +208,7 @@
     false
 }
 
-/// A job was ended on the platform: it stops here, if it runs here.
+/// Handles a job's end that another instance has written to the platform.
 pub fn on_ended(node: &Node, id: &str) {
     if let Some(held) = node.jobs.held_job(id) {
         slog::info!(node.log, "job ended elsewhere"; "job" => id);
@@ -220,11 +218,11 @@
     }
 }
 
-/// Ends a held job; `true` once that is durable.
+/// Ends a held job; `true` once the end is durable.
 async fn end_held(node: &Rc<Node>, held: &Rc<HeldJob>) -> bool {
     let until = tokio::time::Instant::now() + END_TIMEOUT;
     if held.state.borrow().is_all_durable() {
-        return true; // Nothing is left that could be ended.
+        return true; // The job is already complete.
     }
     held.state.borrow_mut().end();
     slog::info!(node.log, "job ended by its submitter"; "job" => &held.state.borrow().job().id);
@@ -247,44 +245,43 @@
 
 /// Where a job was found.
 enum Location {
-    /// In memory here.
+    /// Held by this instance.
     Local(Rc<HeldJob>),
-    /// Its holder answered.
+    /// The holder's reply.
     Reply(PeerReply),
-    /// On the platform, while its holder can't be asked.
+    /// On the platform; its holder can't be reached.
     Stored(Box<Job>, Box<Progress>),
-    /// There is no such job.
     NotFound,
-    /// Nobody can say now.
+    /// Neither the holder nor the platform could be asked.
     Unknown,
 }
 
-/// Finds a job: here, at its holder, or on the platform.
+/// Finds a job here, at its holder or on the platform.
 async fn find(
     node: &Rc<Node>,
     id: &str,
-    ask: impl Fn(String) -> PeerRequest,
+    request: impl Fn(String) -> PeerRequest,
     wait: Duration,
 ) -> Location {
     if let Some(held) = node.jobs.held_job(id) {
         return Location::Local(held);
     }
-    let limit = wait + HOLDER_REPLY_TIMEOUT;
+    let timeout = wait + HOLDER_REPLY_TIMEOUT;
     let status = node.jobs.directory.borrow().get(id).cloned();
-    let mut asked = None;
+    let mut asked_holder = None;
     if let Some(status) = status {
         if let Some(reply) =
-            ask_holder(node, status.holder.instance, ask(id.to_owned()), limit).await
+            request_from_holder(node, status.holder.instance, request(id.to_owned()), timeout).await
         {
             return Location::Reply(reply);
         }
-        asked = Some(status.holder.instance);
+        asked_holder = Some(status.holder.instance);
     }
     let stored_job = match load_cached(node, id).await {
         Ok(Some(stored_job)) => stored_job,
         Ok(None) => return Location::NotFound,
         Err(error) => {
-            slog::info!(node.log, "job not read"; "job" => id, "fault" => %error);
+            slog::info!(node.log, "job load failed"; "job" => id, "fault" => %error);
             return Location::Unknown;
         }
     };
@@ -292,25 +289,26 @@
     if !stored_job.is_open() {
         return Location::Local(job_table::hold(node, stored_job));
     }
-    let stored = |stored_job: StoredJob| {
+    let as_stored = |stored_job: StoredJob| {
         Location::Stored(Box::new(stored_job.job), Box::new(stored_job.progress))
     };
     if holder.instance == node.id() {
         return match takeover::take_over(node, id, Handoff::default()).await {
             Some(held) => Location::Local(held),
-            None => stored(stored_job),
+            None => as_stored(stored_job),
         };
     }
-    if asked != Some(holder.instance) {
-        let reply = ask_holder(node, holder.instance, ask(id.to_owned()), limit).await;
+    if asked_holder != Some(holder.instance) {
+        let reply =
+            request_from_holder(node, holder.instance, request(id.to_owned()), timeout).await;
         if let Some(reply) = reply {
             return Location::Reply(reply);
         }
     }
-    stored(stored_job)
+    as_stored(stored_job)
 }
 
-/// A job by its id, as it was a moment ago at most.
+/// Loads a job, serving recent reads from the cache.
 async fn load_cached(node: &Node, id: &str) -> Result<Option<StoredJob>, LoadError> {
     let now = clock::now();
     let known = node.jobs.cache.borrow().get(id).cloned();
@@ -321,31 +319,31 @@
     let mut cache = node.jobs.cache.borrow_mut();
     cache.retain(|_, (read, _)| now < *read + JOB_CACHE_TTL);
     if let Some(stored_job) = &stored_job {
-        // As of before the call: the answer may show no more than that.
+        // Stamped with the time before the call, since the data is no newer than that.
         cache.insert(id.to_owned(), (now, stored_job.clone()));
     }
     Ok(stored_job)
 }
 
-/// The holder's reply; `None` if it can't be asked or doesn't hold the job.
-async fn ask_holder(
+/// The holder's reply; `None` if it can't be reached or doesn't hold the job.
+async fn request_from_holder(
     node: &Rc<Node>,
     holder: u64,
-    ask: PeerRequest,
-    limit: Duration,
+    request: PeerRequest,
+    timeout: Duration,
 ) -> Option<PeerReply> {
     let address = node.members.borrow().get(holder).map(|member| member.peer)?;
-    match node.request(address, &ask, limit).await {
+    match node.request(address, &request, timeout).await {
         Ok(PeerReply::NotOwner) => None,
         Ok(reply) => Some(reply),
         Err(fault) => {
-            slog::info!(node.log, "holder silent"; "holder" => %address, "fault" => ?fault);
+            slog::info!(node.log, "holder unresponsive"; "holder" => %address, "fault" => ?fault);
             None
         }
     }
 }
 
-/// Results for another instance.
+/// Handles a request for results from another instance.
 pub async fn on_results(node: &Rc<Node>, id: &str, from: usize, wait: Duration) -> PeerReply {
     match node.jobs.held_job(id) {
         Some(held) => {
@@ -356,7 +354,7 @@
     }
 }
 
-/// Body of an item for another instance.
+/// Handles a request for an item's body from another instance.
 pub fn on_body(node: &Node, id: &str, item: &str) -> PeerReply {
     match node.jobs.held_job(id) {
         Some(held) => PeerReply::Body(body_in(held.state.borrow().job(), item)),
@@ -364,7 +362,7 @@
     }
 }
 
-/// The end of a job for another instance.
+/// Handles a request to end a job from another instance.
 pub async fn on_end(node: &Rc<Node>, id: &str) -> PeerReply {
     match node.jobs.held_job(id) {
         None => PeerReply::NotOwner,
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! Membership, and answers to what other instances say.
+//! Membership, and requests from other instances.
 
 use super::message::{Connectivity, PeerReply, PeerRequest, StateDigest, decode, encode};
 use super::node::Node;
@@ -16,33 +16,31 @@
 use tokio_util::sync::CancellationToken;
 use transport::peer::{Entries, Handler, PeerError};
 
-/// Longest wait for the answer to a heartbeat. A machine that runs five times
-/// slower still answers within it.
+/// Longest wait for the reply to a heartbeat. Leaves room for a machine that is several
+/// times slower than normal.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause before a heartbeat that failed is sent again.
 const HEARTBEAT_RETRY_DELAY: Duration = Duration::from_millis(80);
-/// Changes of members that come within this time are acted on together.
+/// Membership changes within this window are handled together.
 const MEMBER_CHANGE_WINDOW: Duration = Duration::from_millis(25);
-/// A heartbeat whose failure is noticed this much after its time limit says that
-/// this instance was late itself, and nothing of the other.
+/// A heartbeat timeout noticed later than this was delayed by this instance itself and
+/// isn't counted as a miss.
 const MAX_LOCAL_DELAY: Duration = Duration::from_millis(150);
-/// Members that aren't alive and are named in a line.
+/// Members listed in a log line because they aren't alive.
 const MAX_LOGGED_MEMBERS: usize = 8;
-/// News that comes in within this time leaves together.
+/// Updates received within this window are sent together.
 const UPDATE_BATCH_WINDOW: Duration = Duration::from_millis(5);
-/// Longest wait for a seed's answer: it may be without power still, and be up in the
-/// next moment. Within a region a round trip takes 2 ms.
+/// Longest wait for a seed, which may not have been started yet.
 const SEED_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time after the first look at the seeds; each further one takes so much longer. When
-/// all start at once, the seeds do as well.
+/// Increment of the delay between attempts to reach a seed. Seeds often start at the same
+/// time as this instance.
 const SEED_RETRY_STEP: Duration = Duration::from_millis(30);
-/// Longest time between looks at the seeds while no other member is known.
+/// Longest delay between attempts while no other member is known.
 const MAX_SEED_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// PeerHandler other instances.
+/// Serves requests from other instances.
 #[derive(Clone)]
 pub struct PeerHandler {
-    /// The instance.
+    /// The instance that serves them.
     pub node: Rc<Node>,
 }
 
@@ -55,18 +53,18 @@
     }
 
     async fn command(&self, _shard: u32, _body: Vec<u8>) -> Vec<u8> {
-        Vec::new() // Shards belong to the product's own interface.
+        Vec::new() // Gateways have no shards.
     }
 
     async fn entries(&self, _after: u64) -> Entries {
-        Entries::default() // So do generations.
+        Entries::default() // Gateways keep no configuration log.
     }
 
     async fn pressure(&self, _from: u64, _target: String, _online: u32) {}
 
     async fn ask(&self, body: Vec<u8>) -> Vec<u8> {
         let reply = match decode::<PeerRequest>(&body) {
-            Some(ask) => handle(&self.node, ask).await,
+            Some(request) => handle(&self.node, request).await,
             None => PeerReply::Unavailable,
         };
         encode(&reply)
@@ -78,8 +76,8 @@
     }
 }
 
-async fn handle(node: &Rc<Node>, ask: PeerRequest) -> PeerReply {
-    match ask {
+async fn handle(node: &Rc<Node>, request: PeerRequest) -> PeerReply {
+    match request {
         PeerRequest::Slots(request) => allocator::on_slot_request(node, request).await,
         PeerRequest::CancelSlots(from, id) => {
             allocator::on_cancelled(node, (from, id));
@@ -131,10 +129,10 @@
         }
         PeerRequest::Body(job, item) => jobs::on_body(node, &job, &item),
         PeerRequest::End(job) => jobs::on_end(node, &job).await,
-        PeerRequest::TakeOver(job, learnt) => {
+        PeerRequest::TakeOver(job, handoff) => {
             let node = node.clone();
-            // The asker doesn't wait: it may be about to stop.
-            spawn_local(async move { takeover::take_over_with_retry(&node, &job, learnt).await });
+            // Not awaited: the sender may be about to stop.
+            spawn_local(async move { takeover::take_over_with_retry(&node, &job, handoff).await });
             PeerReply::Done
         }
         PeerRequest::Trial(content) => PeerReply::Trial(quarantine::on_trial(node, content)),
@@ -142,11 +140,11 @@
     }
 }
 
-/// Does what an asker started, also if it doesn't wait for the end: its connection may be
-/// gone by then, and what is under way here would be dropped in the middle.
-async fn run_to_completion<T: 'static>(duty: impl Future<Output = T> + 'static) {
-    // A panic has been printed by its own task, and the asker is told no more than that.
-    let _ended = spawn_local(duty).await;
+/// Runs a future in a task of its own, so that it completes even if the sender closes its
+/// connection and this call is dropped.
+async fn run_to_completion<T: 'static>(future: impl Future<Output = T> + 'static) {
+    // A panic is reported by the task itself.
+    let _ended = spawn_local(future).await;
 }
 
 fn sync(
@@ -181,8 +179,8 @@
     }
 }
 
-/// Whoever changes the members calls this with the version before. Changes come
-/// by hundreds when a fleet starts, so what follows from them is done together.
+/// Handles a possible change of the members, whose version was `before`. Changes are
+/// batched, since hundreds arrive when a fleet starts.
 fn on_members(node: &Rc<Node>, before: u64) {
     if node.members.borrow().version() == before {
         return;
@@ -199,24 +197,24 @@
     });
 }
 
-/// The members have changed.
+/// Logs the members after a batch of changes.
 fn on_members_settled(node: &Rc<Node>) {
     let members = node.members.borrow();
     let alive = members.others().filter(|member| member.state == State::Alive).count();
-    let doubtful = members.others().filter(|member| member.state != State::Alive);
+    let not_alive = members.others().filter(|member| member.state != State::Alive);
     let name = |member: &Member| format!("{:x} {:?} {}", member.id, member.state, member.peer);
-    let doubtful: Vec<String> = doubtful.take(MAX_LOGGED_MEMBERS).map(name).collect();
+    let not_alive: Vec<String> = not_alive.take(MAX_LOGGED_MEMBERS).map(name).collect();
     slog::info!(node.log, "members"; "version" => members.version(), "alive" => alive,
-        "doubtful" => ?doubtful, "lost" => members.losses());
+        "doubtful" => ?not_alive, "lost" => members.losses());
     drop(members);
     allocator::grant_waiters(node);
 }
 
-/// Sends heartbeats and news until `stop`.
+/// Sends heartbeats and membership updates until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     spawn_local(run_until(join(node.clone()), stop.clone()));
-    // Independent of the news: were each piece of news to put the heartbeat off,
-    // a member that can't be reached would never be found out.
+    // Updates must not delay the heartbeats, or an unreachable member would never be
+    // detected.
     let mut heartbeat = tokio::time::interval(node.settings.heartbeat_interval);
     heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -237,16 +235,15 @@
     }
 }
 
-async fn run_until(duty: impl Future<Output = ()>, stop: CancellationToken) {
+async fn run_until(future: impl Future<Output = ()>, stop: CancellationToken) {
     tokio::select! {
-        () = duty => {}
+        () = future => {}
         () = stop.cancelled() => {}
     }
 }
 
-/// Sends heartbeats to a member until it has the latest news. One is under way to
-/// each member at a time: news that comes meanwhile goes with the next one, or a
-/// slow fleet would send the same news over and over.
+/// Sends heartbeats to a member until it has all updates. Only one per member is in flight,
+/// and later updates go with the next one, so that a slow fleet isn't flooded with repeats.
 fn send_heartbeats(node: &Rc<Node>, to: Member) {
     if !node.pending_heartbeats.borrow_mut().insert(to.id) {
         return;
@@ -254,12 +251,12 @@
     let node = node.clone();
     spawn_local(async move {
         loop {
-            let mut is_answered = heartbeat_once(&node, &to).await;
-            if !is_answered {
+            let mut has_replied = heartbeat_once(&node, &to).await;
+            if !has_replied {
                 tokio::time::sleep(HEARTBEAT_RETRY_DELAY).await;
-                is_answered = heartbeat_once(&node, &to).await;
+                has_replied = heartbeat_once(&node, &to).await;
             }
-            if !is_answered || !node.members.borrow().is_out_of_date(to.id) {
+            if !has_replied || !node.members.borrow().is_out_of_date(to.id) {
                 break;
             }
             tokio::time::sleep(UPDATE_BATCH_WINDOW).await;
@@ -268,7 +265,7 @@
     });
 }
 
-/// `true` when the member answered, or another stands in its place.
+/// `true` if the member replied, or another instance replied at its address.
 async fn heartbeat_once(node: &Rc<Node>, to: &Member) -> bool {
     let (me, (mark, notes)) = {
         let members = node.members.borrow();
@@ -278,7 +275,7 @@
     let result = node.peers.ping(to.peer, &me, &notes).await;
     let now = clock::now();
     let before = node.members.borrow().version();
-    let is_answered = match result {
+    let has_replied = match result {
         Ok((from, doubt)) => {
             let mut members = node.members.borrow_mut();
             merge(&mut members, &doubt, now);
@@ -299,23 +296,23 @@
         }
     };
     on_members(node, before);
-    is_answered
+    has_replied
 }
 
-/// Finds the first other members: by the seeds, or by what instances that watch
-/// have left on the platform.
+/// Finds the first other members through the seeds, or through addresses registered on the
+/// platform.
 async fn join(node: Rc<Node>) {
-    let mut tries = 0_u32;
+    let mut attempts = 0_u32;
     loop {
         let seeds = node.seeds.borrow().clone();
         let own = node.as_holder().address;
         let seeds = seeds.into_iter().filter(|seed| *seed != own);
-        // At once: one without power holds up its own answer only.
-        let asked =
+        // Concurrently, so that an unreachable seed doesn't delay the others.
+        let fetches =
             seeds.map(|seed| tokio::time::timeout(SEED_TIMEOUT, fetch_members(&node, seed)));
-        futures_util::future::join_all(asked).await;
-        tries += 1;
-        if node.members.borrow().others().next().is_none() && tries.is_multiple_of(8) {
+        futures_util::future::join_all(fetches).await;
+        attempts += 1;
+        if node.members.borrow().others().next().is_none() && attempts.is_multiple_of(8) {
             for address in watch::registered_addresses(&node).await {
                 if address != own {
                     fetch_members(&node, address).await;
@@ -325,7 +322,8 @@
         if node.members.borrow().others().next().is_some() {
             break;
         }
-        tokio::time::sleep(SEED_RETRY_STEP.saturating_mul(tries).min(MAX_SEED_RETRY_DELAY)).await;
+        tokio::time::sleep(SEED_RETRY_STEP.saturating_mul(attempts).min(MAX_SEED_RETRY_DELAY))
+            .await;
     }
     job_table::fetch_statuses(&node).await;
 }
@@ -341,7 +339,7 @@
             }
         }
         Err(PeerError::NotSent(fault) | PeerError::OutcomeUnknown(fault)) => {
-            slog::debug!(node.log, "seed silent"; "seed" => %address, "fault" => fault);
+            slog::debug!(node.log, "seed unresponsive"; "seed" => %address, "fault" => fault);
         }
     }
     on_members(node, before);
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -1,15 +1,12 @@
-//! Whether the platform still answers this instance, and who else reaches it.
+//! Probes of the platform, and which other instances reach it.
 //!
-//! News of targets and of the configuration rests on watches, and a watch that will
-//! never be answered looks like a quiet one: because the platform is silent to this
-//! instance alone, because the connection has died without a word, or because the
-//! request was lost in an outage that is over. So an instance that watches asks for
-//! a sign of life whenever nothing was answered for a while. Without one it gives up
-//! its watches and says so, and another instance of its data centre watches.
-//!
-//! Gains against waiting for overdue watches: news of a target that leaves comes
-//! after 1.2 s instead of 6.7 s where the platform is silent to all that watch. A
-//! sign of life costs a tenth of a call.
+//! Updates of targets and of the configuration depend on watches, and a watch that will
+//! never be answered looks like one without changes: the platform may be unreachable from
+//! this instance only, the connection may be dead, or the request was lost in an outage
+//! that is over. An instance that watches therefore sends a probe when it hasn't received a
+//! response for a while. If the probe fails, it gives up its watches and reports that, and
+//! another instance of its data centre takes over. A probe is much cheaper than any other
+//! call.
 
 use super::call_reason::CallReason;
 use super::message::{Connectivity, PeerRequest};
@@ -25,23 +22,21 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
-/// Time between looks whether a sign of life is due.
+/// Interval between checks whether a probe is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait for a sign of life until this instance counts as cut off, and for
-/// the answer of a watch whose wait is over. The platform answers in 4 ms, in 240 ms
-/// when it is sixty times slower.
+/// Longest wait for a probe, and for the response of a watch beyond its own timeout. Leaves
+/// room for a platform that is many times slower than normal.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a member that lost contact with the platform ranks behind others, if it
-/// says nothing more.
+/// How long a member reported as disconnected from the platform ranks behind others.
 const DISCONNECTED_TTL: Duration = Duration::from_secs(5);
-/// Time between lines about the calls made.
+/// Interval between log lines about the calls made.
 const CALL_LOG_INTERVAL: Duration = Duration::from_secs(4);
-/// Time after which an instance that stays cut off says so again: well before the
-/// others forget it.
+/// Interval at which a disconnected instance repeats its report; less than
+/// [`DISCONNECTED_TTL`].
 const REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Asks for signs of life while this instance watches, and tells the others of its
-/// data centre whether it has any, until `stop`.
+/// Sends probes while this instance watches and reports its connectivity to the other
+/// instances of its data centre, until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     let mut last_report = LastReport::default();
     let mut calls = BTreeMap::new();
@@ -67,11 +62,11 @@
     }
 }
 
-/// Logs which calls of the platform were made since it was done last.
-fn log_calls(node: &Node, last_report: &mut BTreeMap<CallReason, u64>) {
+/// Logs the calls of the platform since the last time.
+fn log_calls(node: &Node, last_calls: &mut BTreeMap<CallReason, u64>) {
     let calls = node.store.calls();
     let new = |(cause, count): (&CallReason, &u64)| {
-        let before = last_report.get(cause).copied().unwrap_or_default();
+        let before = last_calls.get(cause).copied().unwrap_or_default();
         (*count > before).then(|| format!("{} {}", cause.name(), count - before))
     };
     let new: Vec<String> = calls.iter().filter_map(new).collect();
@@ -79,10 +74,10 @@
         slog::info!(node.log, "platform calls"; "counts" => new.join(", "),
             "within_s" => CALL_LOG_INTERVAL.as_secs());
     }
-    *last_report = calls;
+    *last_calls = calls;
 }
 
-/// What the others were told last.
+/// The last report sent to other instances.
 #[derive(Default)]
 struct LastReport {
     is_lost: bool,
@@ -90,7 +85,7 @@
 }
 
 impl LastReport {
-    /// Whether to tell them now; counts as told if so.
+    /// Whether a report is due; records it as sent if so.
     fn is_due(&mut self, is_lost: bool, now: Instant) -> bool {
         let is_old = self.at.is_none_or(|at| now >= at + REPORT_INTERVAL);
         if is_lost == self.is_lost && !(is_lost && is_old) {
@@ -101,26 +96,27 @@
     }
 }
 
-/// Asks for one sign of life.
+/// Sends one probe.
 async fn probe(node: Rc<Node>) {
     let name = node.settings.name.clone();
-    let mut touch = std::pin::pin!(node.store.probe(instance::KIND, &name));
-    let in_time = tokio::time::timeout(PROBE_TIMEOUT, touch.as_mut()).await;
+    let mut probe = std::pin::pin!(node.store.probe(instance::KIND, &name));
+    let in_time = tokio::time::timeout(PROBE_TIMEOUT, probe.as_mut()).await;
     let result = match in_time {
         Ok(result) => result,
         Err(_) => {
             node.store.on_probe_failed(clock::now());
-            touch.await
+            probe.await
         }
     };
-    // The store's breaker has logged the fault.
+    // The circuit breaker has logged the error.
     if result.is_err() {
         node.store.on_probe_failed(clock::now());
     }
     node.is_probing.set(false);
 }
 
-/// Tells the instances of the own data centre whether this one reaches the platform.
+/// Reports to the other instances of this data centre whether this one reaches the
+/// platform.
 fn send_report(node: &Rc<Node>) {
     let ask = PeerRequest::Sync {
         from: node.id(),
@@ -133,23 +129,23 @@
     }
 }
 
-/// A member says whether it reaches the platform.
+/// Handles a member's report of its connectivity.
 pub fn on_peer_report(node: &Node, member: InstanceId, connectivity: Connectivity) {
     let now = clock::now();
     let ago = |millis: u64| now.checked_sub(Duration::from_millis(millis));
-    let series = connectivity.uptime.and_then(|answers| {
+    let uptime = connectivity.uptime.and_then(|answers| {
         Some(Uptime { since: ago(answers.since_ms)?, last: ago(answers.last_ms)? })
     });
-    node.store.on_peer_report(series, connectivity.is_disconnected);
-    let mut lost = node.disconnected.borrow_mut();
+    node.store.on_peer_report(uptime, connectivity.is_disconnected);
+    let mut disconnected = node.disconnected.borrow_mut();
     if connectivity.is_disconnected {
-        lost.insert(member, now + DISCONNECTED_TTL);
+        disconnected.insert(member, now + DISCONNECTED_TTL);
     } else {
-        lost.remove(&member);
+        disconnected.remove(&member);
     }
 }
 
-/// Whether a member, or this instance, lately failed to reach the platform.
+/// Whether a member, or this instance, is currently disconnected from the platform.
 pub fn is_disconnected(node: &Node, member: InstanceId, now: Instant) -> bool {
     if member == node.id() {
         return node.store.is_disconnected();
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -1,7 +1,7 @@
-//! The platform's store with a breaker in front.
+//! The platform's store behind a circuit breaker.
 //!
-//! Every call is paid for, refused ones too, and a store that is away answers
-//! none: after a failure, calls fail here at once until a back-off has passed.
+//! Every call costs, rejected ones included. After a failed call, further ones fail locally
+//! until a back-off has passed.
 
 use super::call_reason::CallReason;
 use crate::clock;
@@ -16,16 +16,15 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// First back-off after a failed call.
 const MIN_BACKOFF: Duration = Duration::from_millis(150);
-/// Longest back-off: a store that is back is used again within it.
+/// Bounds the time until a recovered store is used again.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_200);
-/// Shortest outage in which entries of living targets may lapse, in heartbeats. They
-/// go after three, and the last write before the outage may be one heartbeat old;
-/// half a one is for heartbeats that come late.
+/// Shortest outage, in heartbeat intervals, in which entries of live targets may expire.
+/// Entries expire after three intervals, of which one may have passed before the outage;
+/// half an interval allows for late heartbeats.
 const EXPIRY_HEARTBEATS: f64 = 1.5;
 
-/// Objects of one answer that can't be read and get a line each.
+/// Undecodable objects logged per response.
 const MAX_LOGGED_UNDECODABLE: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,20 +33,20 @@
     until: Option<Instant>,
 }
 
-/// The store behind a breaker.
+/// The store behind a circuit breaker.
 pub struct PlatformStore {
     store: Store,
-    /// Calls made, by cause.
+    /// Calls made, by reason.
     calls: RefCell<BTreeMap<CallReason, u64>>,
     breaker: RefCell<Breaker>,
     contact: RefCell<Tracker>,
-    /// Told when the store counts as lost.
-    lost: Notify,
+    /// Notified when the store counts as disconnected.
+    disconnected: Notify,
     log: Logger,
 }
 
 impl PlatformStore {
-    /// The store that the settings name.
+    /// Connects to the platform named in the settings.
     pub fn new(settings: &Settings, log: Logger) -> PlatformStore {
         let lapse = settings.entry_heartbeat.mul_f64(EXPIRY_HEARTBEATS);
         PlatformStore {
@@ -55,17 +54,18 @@
             calls: RefCell::default(),
             breaker: RefCell::default(),
             contact: RefCell::new(Tracker::new(Policy { expiry: lapse, ..Policy::default() })),
-            lost: Notify::new(),
+            disconnected: Notify::new(),
             log,
         }
     }
 
-    /// The store without the breaker, for watches, which pace themselves.
+    /// The store without the circuit breaker, for watches, which have a back-off of their
+    /// own.
     pub fn without_breaker(&self) -> &Store {
         &self.store
     }
 
-    /// Whether calls fail at once now.
+    /// Whether calls currently fail locally.
     pub fn is_backing_off(&self, now: Instant) -> bool {
         self.breaker.borrow().until.is_some_and(|until| now < until)
     }
@@ -75,69 +75,69 @@
         self.breaker.borrow().failures > 0
     }
 
-    /// Since when the store has answered, here or elsewhere, without a break in which
-    /// entries may have lapsed.
+    /// Start of the current period without an outage in which entries may have expired, as
+    /// observed here or by other instances.
     pub fn reachable_since(&self) -> Option<Instant> {
         self.uptime().map(|series| series.since)
     }
 
-    /// As [`Contact::series`].
+    /// As [`Tracker::uptime`].
     pub fn uptime(&self) -> Option<Uptime> {
         self.contact.borrow().uptime()
     }
 
-    /// How long ago the store last answered this instance; `None` if it never did.
+    /// Time since the last response to this instance; `None` if there was none.
     pub fn silence(&self, now: Instant) -> Option<Duration> {
         self.contact.borrow().idle_time(now)
     }
 
-    /// Whether this instance counts as cut off from the store.
+    /// Whether this instance counts as disconnected from the store.
     pub fn is_disconnected(&self) -> bool {
         self.contact.borrow().is_disconnected()
     }
 
-    /// Returns once the store counts as lost.
+    /// Returns once this instance counts as disconnected.
     pub async fn disconnected(&self) {
         loop {
-            let lost = self.lost.notified();
+            let disconnected = self.disconnected.notified();
             if self.is_disconnected() {
                 return;
             }
-            lost.await;
+            disconnected.await;
         }
     }
 
-    /// Whether a sign of life should be asked for.
+    /// Whether a probe should be sent.
     pub fn is_probe_due(&self, now: Instant) -> bool {
         self.contact.borrow().is_probe_due(now)
     }
 
-    /// How long until a call may be made.
+    /// Time until a call may be made; zero if one may be made now.
     pub fn backoff_remaining(&self, now: Instant) -> Duration {
         let until = self.breaker.borrow().until;
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// A call was answered.
+    /// Records a response.
     pub fn on_response(&self, now: Instant) {
         let failures = std::mem::take(&mut *self.breaker.borrow_mut()).failures;
         let silence = self.silence(now).map(|time| time.as_millis() as u64);
         let mut contact = self.contact.borrow_mut();
-        let was_lost = contact.is_disconnected();
+        let was_disconnected = contact.is_disconnected();
         contact.on_response(now);
-        if failures > 0 || was_lost {
+        if failures > 0 || was_disconnected {
             slog::info!(self.log, "platform regained"; "failures" => failures,
-                "was_lost" => was_lost, "silence_ms" => silence,
+                "was_lost" => was_disconnected, "silence_ms" => silence,
                 "may_have_lapsed" => contact.uptime().is_some_and(|series| series.since == now));
         }
     }
 
-    /// A watch broke, which alone doesn't stop other calls.
+    /// Records a failed watch, which alone doesn't open the breaker.
     pub fn on_watch_failed(&self) {
         self.contact.borrow_mut().on_failure();
     }
 
-    /// A sign of life is overdue, or was refused: this instance counts as cut off.
+    /// Records that a probe timed out or failed: this instance counts as disconnected.
     pub fn on_probe_failed(&self, now: Instant) {
         let silence = self.silence(now).map(|time| time.as_millis() as u64);
         let mut contact = self.contact.borrow_mut();
@@ -146,24 +146,24 @@
         }
         contact.on_probe_failed();
         drop(contact);
-        self.lost.notify_waiters();
+        self.disconnected.notify_waiters();
     }
 
-    /// As [`Contact::on_word`].
-    pub fn on_peer_report(&self, series: Option<Uptime>, is_lost: bool) {
-        self.contact.borrow_mut().on_peer_report(series, is_lost);
+    /// As [`Tracker::on_peer_report`].
+    pub fn on_peer_report(&self, series: Option<Uptime>, is_disconnected: bool) {
+        self.contact.borrow_mut().on_peer_report(series, is_disconnected);
     }
 
-    /// A call failed.
+    /// Records a failed call and opens the breaker.
     pub fn on_failure(&self, fault: &Fault, now: Instant) {
         self.contact.borrow_mut().on_failure();
         let mut breaker = self.breaker.borrow_mut();
         breaker.failures += 1;
-        let wait = retry::backoff(breaker.failures, MIN_BACKOFF, MAX_BACKOFF, rand::random());
-        breaker.until = Some(now + wait);
+        let backoff = retry::backoff(breaker.failures, MIN_BACKOFF, MAX_BACKOFF, rand::random());
+        breaker.until = Some(now + backoff);
         if breaker.failures == 1 {
             slog::warn!(self.log, "platform lost"; "fault" => %fault,
-                "back_off_ms" => wait.as_millis() as u64);
+                "back_off_ms" => backoff.as_millis() as u64);
         }
     }
 
@@ -176,20 +176,20 @@
         result
     }
 
-    /// A call is made.
+    /// Counts a call that is about to be made.
     pub fn count_call(&self, reason: CallReason) {
         *self.calls.borrow_mut().entry(reason).or_default() += 1;
     }
 
-    /// Calls made so far, by cause.
+    /// Calls made so far, by reason.
     pub fn calls(&self) -> BTreeMap<CallReason, u64> {
         self.calls.borrow().clone()
     }
 
-    /// Tells of objects that can't be read; the others hold.
+    /// Logs objects that can't be decoded.
     pub fn log_undecodable(&self, kind: &str, unreadable: &[Unreadable]) {
         for found in unreadable.iter().take(MAX_LOGGED_UNDECODABLE) {
-            slog::warn!(self.log, "object not understood"; "kind" => kind,
+            slog::warn!(self.log, "undecodable object"; "kind" => kind,
                 "name" => found.name.as_deref(), "fault" => &found.fault,
                 "count" => unreadable.len());
         }
@@ -203,8 +203,8 @@
         Ok(())
     }
 
-    /// As [`Store::touch`], also while calls back off: it paces itself, and tells
-    /// when they may go on.
+    /// As [`Store::touch`]. Not subject to the back-off, since probes are rate-limited and
+    /// end it.
     ///
     /// # Errors
     ///
@@ -218,7 +218,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::get`], and [`Fault::Away`] while calls back off.
+    /// As [`Store::get`], and [`Fault::Away`] during a back-off.
     pub async fn get(
         &self,
         reason: CallReason,
@@ -233,7 +233,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::list_all`], and [`Fault::Away`] while calls back off.
+    /// As [`Store::list_all`], and [`Fault::Away`] during a back-off.
     pub async fn list_all(&self, reason: CallReason, kind: &str) -> Result<Vec<Object>, Fault> {
         self.check_breaker(reason)?;
         let listing = self.record_result(self.store.list_all(kind).await)?;
@@ -245,7 +245,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::list`], and [`Fault::Away`] while calls back off.
+    /// As [`Store::list`], and [`Fault::Away`] during a back-off.
     pub async fn list(
         &self,
         reason: CallReason,
@@ -262,7 +262,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::create`], and [`Fault::Away`] while calls back off.
+    /// As [`Store::create`], and [`Fault::Away`] during a back-off.
     pub async fn create<T: Serialize>(
         &self,
         reason: CallReason,
@@ -274,11 +274,11 @@
         self.record_result(self.store.create(kind, name, spec).await)
     }
 
-    /// As [`Store::replace`], whatever revision the object has.
+    /// As [`Store::replace`], for any revision.
     ///
     /// # Errors
     ///
-    /// As [`Store::replace`], and [`Fault::Away`] while calls back off.
+    /// As [`Store::replace`], and [`Fault::Away`] during a back-off.
     pub async fn replace<T: Serialize>(
         &self,
         reason: CallReason,
@@ -294,7 +294,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::set_status`], and [`Fault::Away`] while calls back off.
+    /// As [`Store::set_status`], and [`Fault::Away`] during a back-off.
     pub async fn set_status<T: Serialize>(
         &self,
         reason: CallReason,
@@ -311,7 +311,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::delete`], and [`Fault::Away`] while calls back off.
+    /// As [`Store::delete`], and [`Fault::Away`] during a back-off.
     pub async fn delete(
         &self,
         reason: CallReason,
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -1,5 +1,5 @@
-//! Streams: events are passed on as they come, and a stream that may be resumed
-//! goes on at another target where it broke.
+//! Proxies event streams. A resumable stream that is interrupted continues on another
+//! target.
 
 use super::crash::hex;
 use super::front::CallerRequest;
@@ -18,11 +18,10 @@
 use transport::listen::{self, Body, Broken, Sender};
 use transport::upstream::Exchange;
 
-/// A stream is taken for silent after this many of its longest good pauses, if
-/// it can go on elsewhere.
+/// A resumable stream is idle after this many times the route's maximum gap between events.
 const IDLE_GAP_FACTOR: u32 = 3;
 
-/// What is known of a stream's events so far.
+/// Timing of the events received from one target.
 #[derive(Debug, Default)]
 struct EventStats {
     began: Option<Instant>,
@@ -43,19 +42,19 @@
         self.chunks += 1;
     }
 
-    /// From `started` to the first event of the last target.
+    /// Time from `started` to the first event of the last target.
     fn first_after(&self, started: Instant) -> Option<Duration> {
         Some(self.began?.saturating_duration_since(started) + self.first?)
     }
 
-    fn pace(&self) -> Option<Duration> {
+    fn event_interval(&self) -> Option<Duration> {
         let began = self.began? + self.first?;
         let gaps = self.chunks.checked_sub(1).filter(|gaps| *gaps > 0)?;
         Some(self.last?.saturating_duration_since(began) / gaps)
     }
 }
 
-/// The answer to a stream's request; its events follow from a task of their own.
+/// Starts the response to a streaming request; a separate task forwards the events.
 pub fn stream(
     forward: ProxiedRequest,
     begun: TargetResponse,
@@ -78,17 +77,14 @@
     stats: EventStats,
 }
 
-/// Why a stream no longer comes from a target.
+/// Why a target's stream ended.
 enum StreamEnd {
-    /// It came to its end.
     Completed,
-    /// The caller has gone.
     CallerGone,
-    /// The time is over.
     DeadlineExceeded,
-    /// It broke off.
+    /// The target's response was interrupted; holds the error.
     Interrupted(String),
-    /// Nothing came for too long.
+    /// No event within the allowed gap.
     Idle,
 }
 
@@ -97,70 +93,72 @@
         let mut begun = begun;
         loop {
             let target = begun.lease.grant.target.clone();
-            let stop = self.forward_response(begun).await;
-            let fault = match stop {
+            let end = self.forward_response(begun).await;
+            let fault = match end {
                 StreamEnd::Completed => return self.log("stream ended", &target, ""),
-                StreamEnd::CallerGone => return self.log("caller gone", &target, ""),
-                StreamEnd::DeadlineExceeded => return self.abort(&target, "time over").await,
+                StreamEnd::CallerGone => return self.log("caller disconnected", &target, ""),
+                StreamEnd::DeadlineExceeded => return self.abort(&target, "timed out").await,
                 StreamEnd::Interrupted(fault) => fault,
-                StreamEnd::Idle => String::from("silent"),
+                StreamEnd::Idle => String::from("idle"),
             };
             self.forward.excluded.push(target.clone());
             if !self.forward.may_send_again() {
                 return self.abort(&target, &fault).await;
             }
-            slog::info!(self.forward.node.log, "stream resumes"; "request" => &self.call().id,
-                "content" => hex(self.call().content()),
+            slog::info!(self.forward.node.log, "resuming interrupted stream";
+                "request" => &self.call().id, "content" => hex(self.call().content()),
                 "target" => &target, "fault" => &fault, "after" => self.last_event,
                 "sent" => self.forward.sent);
             let next = tokio::select! {
                 next = self.forward.begin(self.last_event) => next,
-                () = self.sender.closed() => return self.log("caller gone", &target, ""),
+                () = self.sender.closed() => return self.log("caller disconnected", &target, ""),
             };
             begun = match next {
                 Ok(begun) if begun.exchange.head().status.is_success() => begun,
                 Ok(begun) => {
                     let status = begun.exchange.head().status;
                     begun.lease.end(LeaseOutcome::Completed);
-                    return self.abort(&target, &format!("the next target answers {status}")).await;
+                    return self
+                        .abort(&target, &format!("next target responded with {status}"))
+                        .await;
                 }
                 Err(ForwardError::NotRun(AcquireError::Quarantined(_))) => {
-                    return self.abort(&target, "crashes its targets").await;
+                    return self.abort(&target, "request is quarantined").await;
                 }
                 Err(ForwardError::NotRun(_)) => {
-                    return self.abort(&target, "no slot to go on").await;
+                    return self.abort(&target, "no slot to resume on").await;
                 }
                 Err(ForwardError::MayHaveRun(fault)) => return self.abort(&target, &fault).await,
                 Err(ForwardError::DeadlineExceeded) => {
-                    return self.abort(&target, "time over").await;
+                    return self.abort(&target, "timed out").await;
                 }
             };
         }
     }
 
-    /// Passes on what one target sends.
+    /// Forwards one target's response.
     async fn forward_response(&mut self, begun: TargetResponse) -> StreamEnd {
         let TargetResponse { mut exchange, mut lease } = begun;
         let mut splitter = Splitter::default();
         self.stats = EventStats { began: Some(clock::now()), ..EventStats::default() };
-        let stop = self.forward_events(&mut exchange, &lease, &mut splitter).await;
-        // Closes the connection, unless the answer came to its end.
+        let end = self.forward_events(&mut exchange, &lease, &mut splitter).await;
+        // Closes the connection unless the response is complete.
         let is_framed = exchange.has_body_framing();
         drop(exchange);
-        match stop {
+        match end {
             StreamEnd::Interrupted(_) => self.forward.on_interrupted(&lease.grant),
             StreamEnd::Completed => self.forward.on_end(is_framed),
             StreamEnd::CallerGone | StreamEnd::DeadlineExceeded | StreamEnd::Idle => {}
         }
         lease.report.first_event = self.stats.first;
-        lease.report.event_interval = self.stats.pace();
-        lease.end(match stop {
+        lease.report.event_interval = self.stats.event_interval();
+        lease.end(match end {
             StreamEnd::Completed => LeaseOutcome::Completed,
             StreamEnd::CallerGone | StreamEnd::DeadlineExceeded => LeaseOutcome::Unused,
             StreamEnd::Interrupted(_) => LeaseOutcome::Interrupted,
             StreamEnd::Idle => LeaseOutcome::Unresponsive,
         });
-        stop
+        end
     }
 
     async fn forward_events(
@@ -172,16 +170,16 @@
         let is_resumable = self.forward.route.resumable;
         let mut is_overdue = false;
         loop {
-            let quiet = self.max_gap();
+            let max_gap = self.max_gap();
             let left = self.call().left(clock::now());
             if left.is_zero() {
                 return StreamEnd::DeadlineExceeded;
             }
-            let piece = tokio::select! {
-                piece = exchange.next() => piece,
+            let chunk = tokio::select! {
+                chunk = exchange.next() => chunk,
                 () = self.sender.closed() => return StreamEnd::CallerGone,
                 () = tokio::time::sleep(left) => return StreamEnd::DeadlineExceeded,
-                () = tokio::time::sleep(quiet), if !is_overdue => {
+                () = tokio::time::sleep(max_gap), if !is_overdue => {
                     lease.report_overdue();
                     is_overdue = true;
                     if self.forward.may_send_again() {
@@ -190,17 +188,17 @@
                     continue;
                 }
             };
-            let bytes = match piece {
+            let bytes = match chunk {
                 Ok(Some(bytes)) => bytes,
                 Ok(None) if is_resumable && !splitter.is_empty() => {
-                    return StreamEnd::Interrupted(String::from("ended within an event"));
+                    return StreamEnd::Interrupted(String::from("ended inside an event"));
                 }
                 Ok(None) => return StreamEnd::Completed,
                 Err(fault) => return StreamEnd::Interrupted(fault),
             };
             is_overdue = false;
             let bytes = if is_resumable {
-                match self.whole_events(splitter, &bytes) {
+                match self.complete_events(splitter, &bytes) {
                     Ok(bytes) => bytes,
                     Err(fault) => return StreamEnd::Interrupted(fault),
                 }
@@ -217,13 +215,13 @@
         }
     }
 
-    /// The whole events in what has come; one that an earlier target has sent
-    /// already is left out.
-    fn whole_events(&mut self, splitter: &mut Splitter, bytes: &[u8]) -> Result<Bytes, String> {
+    /// Complete events in the received data, without those already sent by an earlier
+    /// target.
+    fn complete_events(&mut self, splitter: &mut Splitter, bytes: &[u8]) -> Result<Bytes, String> {
         if !splitter.push(bytes) {
-            return Err(String::from("an event is too long"));
+            return Err(String::from("event exceeds the size limit"));
         }
-        let mut whole = BytesMut::new();
+        let mut complete = BytesMut::new();
         while let Some(event) = splitter.next_event() {
             if let (Some(id), Some(last)) = (event.id, self.last_event)
                 && id <= last
@@ -233,9 +231,9 @@
             if event.id.is_some() {
                 self.last_event = event.id;
             }
-            whole.extend_from_slice(&event.raw);
+            complete.extend_from_slice(&event.raw);
         }
-        Ok(whole.freeze())
+        Ok(complete.freeze())
     }
 
     fn max_gap(&self) -> Duration {
@@ -251,15 +249,14 @@
         &self.forward.node
     }
 
-    /// Breaks the answer off: it must not look complete.
+    /// Aborts the response so that it can't be taken for a complete one.
     async fn abort(&self, target: &str, fault: &str) {
         self.node().metrics.count("stream.broken");
-        self.log("stream broken", target, fault);
-        // The caller may have gone.
+        self.log("stream aborted", target, fault);
         let _gone = self.sender.send(Err(Broken)).await;
     }
 
-    fn log(&self, what: &'static str, target: &str, fault: &str) {
+    fn log(&self, event: &'static str, target: &str, fault: &str) {
         let call = self.call();
         let node = self.node();
         let age = clock::since(call.started);
@@ -270,7 +267,7 @@
         let is_in_time = first.is_some_and(|first| first <= route.objective);
         let is_good = fault.is_empty() && is_in_time && self.stats.slowest <= route.max_event_gap;
         node.metrics.record_request(&route.name, is_good, clock::now());
-        slog::info!(node.log, "{}", what; "request" => &call.id, "target" => target,
+        slog::info!(node.log, "{}", event; "request" => &call.id, "target" => target,
             "content" => hex(call.content()),
             "route" => &self.forward.route.name, "config" => self.forward.version,
             "registry" => self.forward.registry,
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -1,4 +1,5 @@
-//! Submissions of batch jobs: kept on the platform before they are acknowledged.
+//! Submissions of batch jobs, which are stored on the platform before they are
+//! acknowledged.
 
 use super::call_reason::CallReason;
 use super::front::{CallerRequest, error_response, text_response};
@@ -21,23 +22,24 @@
 use tokio::task::spawn_local;
 use transport::listen::Body;
 
-/// Longest wait for an instance that keeps a submission in our place.
+/// Longest wait for an instance to which a submission is forwarded.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
-/// Instances that are asked to keep a submission in our place.
+/// Instances to which a submission is forwarded, one after the other.
 const MAX_FORWARDS: usize = 2;
-/// Share of the caller's time that may go into finding out what became of a
-/// submission whose answer was lost.
+/// Share of the caller's remaining time for finding out whether a job was stored after the
+/// response of the platform was lost.
 const CONFIRM_TIME_RATIO: f64 = 0.4;
-/// Pause before a submission is tried again whose answer was lost.
+/// Delay before a job is created again after the response was lost.
 const CREATE_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait for a holder that is told of its job.
+/// Longest wait for a holder's reply.
 const NOTIFY_HOLDER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Shortest pause before a holder is told again.
+/// Minimum delay before the holder is notified again.
 const NOTIFY_HOLDER_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// When a caller comes back whose job didn't fit, or while the platform is away.
+/// When a caller should retry whose job exceeds the route's limit, or while the platform is
+/// unavailable.
 pub const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Answers a submission.
+/// Serves a submission.
 pub async fn submit(node: &Rc<Node>, route: &Route, call: &CallerRequest) -> Response<Body> {
     let until = call.started + call.left(call.started).mul_f64(CONFIRM_TIME_RATIO);
     let mut outcome = accept(node, route, call, until).await;
@@ -47,7 +49,7 @@
             outcome = forward(node, call, outcome).await;
         }
     }
-    slog::info!(node.log, "submission"; "job" => &call.id, "route" => &route.name,
+    slog::info!(node.log, "submission handled"; "job" => &call.id, "route" => &route.name,
         "acceptance" => ?outcome, "bytes" => call.body.len(),
         "age_ms" => clock::since(call.started).as_millis() as u64);
     response(node, &call.id, outcome)
@@ -69,7 +71,7 @@
     }
 }
 
-/// A submission that another instance couldn't put on the platform.
+/// Handles a submission forwarded by an instance that can't reach the platform.
 pub async fn on_submit(
     node: &Rc<Node>,
     host: &str,
@@ -98,7 +100,7 @@
     accept(node, route, &call, now + FORWARD_TIMEOUT.mul_f64(0.8)).await
 }
 
-/// Has other instances keep a submission.
+/// Has another instance store a submission.
 async fn forward(node: &Rc<Node>, call: &CallerRequest, outcome: SubmitOutcome) -> SubmitOutcome {
     let Ok(body) = std::str::from_utf8(&call.body) else {
         return SubmitOutcome::Malformed;
@@ -113,13 +115,13 @@
     let now = clock::now();
     let mut members = node.others();
     members.retain(|member| !node.is_unresponsive(member.peer, now));
-    let has_lost = |member: &Member| platform_health::is_disconnected(node, member.id, now);
-    // Cached: a key that is drawn anew at each comparison is no order.
-    members.sort_by_cached_key(|member| (has_lost(member), rand::random::<u32>()));
+    let is_disconnected = |member: &Member| platform_health::is_disconnected(node, member.id, now);
+    // Cached, because a random key must not change between comparisons.
+    members.sort_by_cached_key(|member| (is_disconnected(member), rand::random::<u32>()));
     let mut result = outcome;
     for member in members.into_iter().take(MAX_FORWARDS) {
         let reply = node.request(member.peer, &ask, FORWARD_TIMEOUT).await;
-        slog::info!(node.log, "submission relayed"; "job" => &call.id, "to" => %member.peer,
+        slog::info!(node.log, "submission forwarded"; "job" => &call.id, "to" => %member.peer,
             "reply" => ?reply);
         match reply {
             Ok(PeerReply::Submitted(SubmitOutcome::Accepted)) => return SubmitOutcome::Accepted,
@@ -134,7 +136,7 @@
     result
 }
 
-/// Keeps a job on the platform, or finds it kept already.
+/// Stores a job, or finds it stored already.
 async fn accept(
     node: &Rc<Node>,
     route: &Route,
@@ -152,7 +154,7 @@
         Ok(items) if !id.is_empty() => items,
         Ok(_) => return SubmitOutcome::Malformed,
         Err(error) => {
-            slog::info!(node.log, "submission not understood"; "job" => id, "error" => error);
+            slog::info!(node.log, "malformed submission"; "job" => id, "error" => error);
             return SubmitOutcome::Malformed;
         }
     };
@@ -169,28 +171,29 @@
     };
     let waiting = node.jobs.waiting_tokens(node, &route.name);
     if terms.waiting_tokens > 0 && waiting + job.tokens() > terms.waiting_tokens {
-        slog::info!(node.log, "submission doesn't fit"; "job" => id, "waiting" => waiting,
+        slog::info!(node.log, "submission exceeds the token limit";
+            "job" => id, "waiting" => waiting,
             "tokens" => job.tokens(), "most" => terms.waiting_tokens);
         return is_stored(node, id).await;
     }
     create(node, job, until).await
 }
 
-/// A job that doesn't fit may have been kept before, when it did.
+/// A job that exceeds the limit now may have been accepted earlier.
 async fn is_stored(node: &Rc<Node>, id: &str) -> SubmitOutcome {
     match node.store.get(CallReason::Submission, job::KIND, id).await {
         Ok(Some(_)) => SubmitOutcome::Accepted,
         Ok(None) => SubmitOutcome::Full,
         Err(fault) => {
-            slog::info!(node.log, "job not read"; "job" => id, "fault" => %fault);
+            slog::info!(node.log, "job load failed"; "job" => id, "fault" => %fault);
             SubmitOutcome::Unknown
         }
     }
 }
 
 async fn create(node: &Rc<Node>, job: Job, until: Instant) -> SubmitOutcome {
-    // Once an answer was lost, the job may be kept, and a refusal would be false.
-    let mut is_doubtful = false;
+    // Once a response was lost the job may be stored, so it can't be reported as rejected.
+    let mut is_outcome_unknown = false;
     loop {
         match job_store::create(node, &job).await {
             Ok((object, overflow)) => {
@@ -205,16 +208,18 @@
                 return SubmitOutcome::Accepted;
             }
             Err(Fault::Lost(fault)) => {
-                slog::info!(node.log, "submission in doubt"; "job" => &job.id, "fault" => fault);
-                is_doubtful = true;
+                slog::info!(node.log, "submission outcome unknown";
+                    "job" => &job.id, "fault" => fault);
+                is_outcome_unknown = true;
             }
-            Err(Fault::Away(_)) if !is_doubtful => return SubmitOutcome::Refused,
+            Err(Fault::Away(_)) if !is_outcome_unknown => return SubmitOutcome::Refused,
             Err(Fault::Rejected(fault)) => {
-                slog::warn!(node.log, "submission not kept"; "job" => &job.id, "fault" => fault);
+                slog::warn!(node.log, "submission rejected by the platform";
+                    "job" => &job.id, "fault" => fault);
                 return SubmitOutcome::TooLong;
             }
             Err(fault) => {
-                slog::info!(node.log, "submission in doubt"; "job" => &job.id,
+                slog::info!(node.log, "submission outcome unknown"; "job" => &job.id,
                     "fault" => %fault);
             }
         }
@@ -226,11 +231,11 @@
     }
 }
 
-/// The job is kept already: its holder, if it lives, must know. Tried until it does:
-/// nobody else may know of the job, and its submitter is answered that it is kept.
+/// Makes sure that the holder of a job stored earlier knows of it. Retried until it does,
+/// since the submitter is told that the job is stored and nobody else may know of it.
 async fn notify_holder(node: Rc<Node>, id: JobId) {
     while let Err(fault) = try_notify_holder(&node, &id).await {
-        slog::info!(node.log, "holder not told of its job"; "job" => &id, "fault" => fault,
+        slog::info!(node.log, "holder not notified of its job"; "job" => &id, "fault" => fault,
             "again" => !node.is_stopping());
         if node.is_stopping() {
             takeover::hand_off(&node, &id, &Handoff::default()).await;
@@ -243,7 +248,7 @@
     }
 }
 
-/// One try; what failed otherwise.
+/// A single attempt of [`notify_holder`]; the error says what failed.
 async fn try_notify_holder(node: &Rc<Node>, id: &str) -> Result<(), String> {
     let found = node
         .store
@@ -254,7 +259,7 @@
         return Ok(());
     };
     let Ok(summary) = job_store::summary(&object) else {
-        slog::error!(node.log, "job not understood"; "job" => id);
+        slog::error!(node.log, "malformed job object"; "job" => id);
         return Ok(());
     };
     if !summary.is_open {
@@ -262,7 +267,7 @@
     }
     let member = node.members.borrow().get(summary.holder.instance).cloned();
     let Some(member) = member else {
-        // Its own, or that of an instance that is gone.
+        // Held by this instance, or by one that is gone.
         takeover::take_over_with_retry(node, id, Handoff::default()).await;
         return Ok(());
     };
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -1,9 +1,8 @@
-//! Jobs whose holder is gone, and jobs that are handed over.
+//! Takeover of jobs whose holder is gone, and hand-off of jobs by instances that stop.
 //!
-//! A takeover is a write on the condition that nobody else has written since,
-//! so two instances that both try agree on one. What it costs when the holder
-//! was only cut off is double work on its items, so a whole data centre that
-//! falls silent at once is given more time than a single instance.
+//! A takeover is a conditional write, so of two concurrent ones only one succeeds. If the
+//! holder was merely partitioned, its items run twice; a data centre that becomes
+//! unreachable as a whole is therefore given more time than a single instance.
 
 use super::call_reason::CallReason;
 use super::job_store::{self, LoadError, StoredJob};
@@ -23,31 +22,28 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
-/// Time between looks for jobs without a holder.
+/// Interval between checks for jobs without a holder.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// A holder must be gone for this long before its jobs are taken over: until
-/// then it shows whether the rest of its data centre is out of sight, too.
+/// How long a holder must be gone before its jobs are taken over. Long enough to see
+/// whether the rest of its data centre is unreachable too.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(1_200);
-/// The same when nobody of its data centre is heard of: it may be cut off, and
-/// cuts last some seconds.
+/// The same if its whole data centre is unreachable; longer than a typical network
+/// partition.
 const PARTITION_TAKEOVER_DELAY: Duration = Duration::from_secs(8);
-/// How long after a takeover this instance looks whether it still stands: another
-/// may have done the same a moment later.
+/// Delay after a takeover before it is verified, since a concurrent one may have followed.
 const VERIFY_DELAY: Duration = Duration::from_millis(700);
-/// A holder that no member list names counts as gone once this instance has
-/// been up for so long.
+/// Uptime after which an unknown holder counts as gone.
 pub(super) const MEMBERSHIP_WARM_UP: Duration = Duration::from_secs(3);
-/// Tries to take a job over while others write to it.
+/// Attempts to take a job over while others write to it.
 const MAX_ATTEMPTS: u32 = 4;
-/// Shortest pause before a job is tried again that couldn't be taken over.
+/// Minimum delay after a failed takeover.
 const TAKEOVER_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// How long a holder is told what was learnt of its job: longer than the cuts of some
-/// seconds that data centres are known to have.
+/// How long a hand-off is retried; longer than a typical network partition.
 const SEND_HANDOFF_TIMEOUT: Duration = Duration::from_secs(15);
-/// Longest wait for an instance that is to take a job over.
+/// Longest wait for the reply to a hand-off.
 const HANDOFF_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Looks for jobs without a holder until `stop`.
+/// Takes over jobs without a holder until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     let began = clock::now();
     let mut absences: HashMap<JobId, Absence> = HashMap::new();
@@ -67,13 +63,13 @@
     }
 }
 
-/// Whether this instance is the one to act on a key.
+/// Whether this instance is the one responsible for a key.
 fn is_successor(node: &Node, key: &[u8]) -> bool {
     let members = node.members.borrow();
     hash::owner(key, members.workers().map(|member| member.id)) == Some(members.me().id)
 }
 
-/// Whether a holder is gone.
+/// Whether a job's holder is gone.
 pub(super) fn is_gone(node: &Node, holder: Holder, is_warmed_up: bool) -> bool {
     let members = node.members.borrow();
     if holder.instance == members.me().id {
@@ -85,22 +81,22 @@
     is_replaced(&members, holder) || is_warmed_up || members.is_dead(holder.instance)
 }
 
-/// Whether a holder's address answers under another id: it was started anew.
+/// Whether another instance has started at the holder's address.
 fn is_replaced(members: &MemberTable, holder: Holder) -> bool {
     let is_other = |member: &Member| member.peer == holder.address && member.id != holder.instance;
     members.workers().any(is_other)
 }
 
-/// A job whose holder is gone.
+/// Since when a job's holder is gone.
 #[derive(Clone, Copy, Debug)]
 struct Absence {
     since: Instant,
-    /// Whether the holder's whole data centre was out of sight at some time
-    /// since: when it comes back, so will the holder in a moment.
+    /// Whether the holder's whole data centre was unreachable at any time since. If it
+    /// comes back, so does the holder shortly after.
     was_unreachable: bool,
 }
 
-/// Jobs that fall to this instance because their holder is gone.
+/// Jobs that this instance should take over now.
 fn due_jobs(
     node: &Node,
     absences: &mut HashMap<JobId, Absence>,
@@ -109,31 +105,31 @@
 ) -> Vec<JobId> {
     let directory = node.jobs.directory.borrow();
     let held_jobs = node.jobs.held.borrow();
-    let orphaned = directory.values().filter(|status| {
+    let orphans = directory.values().filter(|status| {
         !status.is_finished
             && !held_jobs.contains_key(&status.job)
             && is_gone(node, status.holder, is_warmed_up)
     });
-    let orphaned: Vec<&JobStatus> = orphaned.collect();
-    absences.retain(|id, _| orphaned.iter().any(|status| status.job == *id));
+    let orphans: Vec<&JobStatus> = orphans.collect();
+    absences.retain(|id, _| orphans.iter().any(|status| status.job == *id));
     let mut due = Vec::new();
-    for status in orphaned {
+    for status in orphans {
         let first = Absence { since: now, was_unreachable: false };
         let absence = absences.entry(status.job.clone()).or_insert(first);
         absence.was_unreachable |= is_unreachable(node, &status.data_centre);
-        let patience = match absence.was_unreachable {
+        let delay = match absence.was_unreachable {
             _ if is_replaced(&node.members.borrow(), status.holder) => Duration::ZERO,
             true => PARTITION_TAKEOVER_DELAY,
             false => TAKEOVER_DELAY,
         };
-        if now >= absence.since + patience && is_successor(node, status.job.as_bytes()) {
+        if now >= absence.since + delay && is_successor(node, status.job.as_bytes()) {
             due.push(status.job.clone());
         }
     }
     due
 }
 
-/// Whether nobody of a data centre is in sight; one that isn't known isn't dark.
+/// Whether a data centre has no reachable member; `false` for an unknown one.
 fn is_unreachable(node: &Node, data_centre: &str) -> bool {
     if data_centre.is_empty() {
         return false;
@@ -144,9 +140,9 @@
     !members.workers().any(is_seen)
 }
 
-/// Has another instance take a job over; this one, if no other does and it isn't
-/// stopping. `false` when nobody did.
-pub async fn hand_off(node: &Rc<Node>, id: &str, learnt: &Handoff) -> bool {
+/// Hands a job off to another instance, or takes it over if no other does and this one
+/// isn't stopping. `false` if nobody took it.
+pub async fn hand_off(node: &Rc<Node>, id: &str, handoff: &Handoff) -> bool {
     let mut ranked: Vec<Member> = node.members.borrow().workers().cloned().collect();
     ranked.sort_by_key(|member| std::cmp::Reverse(hash::weight(id.as_bytes(), member.id)));
     for member in ranked {
@@ -154,24 +150,24 @@
             if node.is_stopping() {
                 continue;
             }
-            return take_over(node, id, learnt.clone()).await.is_some();
+            return take_over(node, id, handoff.clone()).await.is_some();
         }
-        let ask = PeerRequest::TakeOver(id.to_owned(), learnt.clone());
-        if node.request(member.peer, &ask, HANDOFF_TIMEOUT).await.is_ok() {
-            slog::info!(node.log, "job passed on"; "job" => id, "to" => %member.peer,
-                "partials" => learnt.partials.len(), "failures" => learnt.failures.len(),
-                "outcomes" => learnt.outcomes.len());
+        let request = PeerRequest::TakeOver(id.to_owned(), handoff.clone());
+        if node.request(member.peer, &request, HANDOFF_TIMEOUT).await.is_ok() {
+            slog::info!(node.log, "job handed off"; "job" => id, "to" => %member.peer,
+                "partials" => handoff.partials.len(), "failures" => handoff.failures.len(),
+                "outcomes" => handoff.outcomes.len());
             return true;
         }
     }
-    slog::warn!(node.log, "job passed to nobody"; "job" => id);
+    slog::warn!(node.log, "no instance took the job over"; "job" => id);
     false
 }
 
-/// Takes a job over, unless it is settled or another holder is at work; `None`
-/// when it can't be done now, or there is no such job.
-pub async fn take_over(node: &Rc<Node>, id: &str, learnt: Handoff) -> Option<Rc<HeldJob>> {
-    match try_take_over(node, id, &learnt).await {
+/// Takes a job over unless it is finished or has a live holder. `None` if that failed or
+/// there is no such job.
+pub async fn take_over(node: &Rc<Node>, id: &str, handoff: Handoff) -> Option<Rc<HeldJob>> {
+    match try_take_over(node, id, &handoff).await {
         Ok(held) => held,
         Err(fault) => {
             slog::info!(node.log, "job not taken over"; "job" => id, "fault" => %fault);
@@ -180,16 +176,13 @@
     }
 }
 
-/// Takes a job over as another instance asks, as soon as the platform can be asked:
-/// whoever asks takes the job for held and doesn't ask again.
-///
-/// Guards against a job that lies for the rest of the day because its holder couldn't
-/// read it at that moment (seen 41 s long, on a platform three hundred times slower).
-pub async fn take_over_with_retry(node: &Rc<Node>, id: &str, learnt: Handoff) {
+/// Takes a job over at another instance's request, retrying until the platform is
+/// available: the other instance considers the job held and won't ask again.
+pub async fn take_over_with_retry(node: &Rc<Node>, id: &str, handoff: Handoff) {
     let is_first = {
         let mut pending_takeovers = node.jobs.pending_takeovers.borrow_mut();
         let is_first = !pending_takeovers.contains_key(id);
-        pending_takeovers.entry(id.to_owned()).or_default().push(learnt);
+        pending_takeovers.entry(id.to_owned()).or_default().push(handoff);
         is_first
     };
     if !is_first {
@@ -199,76 +192,76 @@
         slog::info!(node.log, "job not taken over"; "job" => id, "fault" => %fault,
             "again" => !node.is_stopping());
         if node.is_stopping() {
-            for learnt in node.jobs.pending_takeovers.borrow_mut().remove(id).unwrap_or_default() {
-                spawn_local(hand_off_detached(node.clone(), id.to_owned(), learnt));
+            for handoff in node.jobs.pending_takeovers.borrow_mut().remove(id).unwrap_or_default() {
+                spawn_local(hand_off_detached(node.clone(), id.to_owned(), handoff));
             }
             return;
         }
         tokio::time::sleep(node.store.backoff_remaining(clock::now()).max(TAKEOVER_RETRY_DELAY))
             .await;
     }
-    let learnt = node.jobs.pending_takeovers.borrow_mut().remove(id).unwrap_or_default();
-    for learnt in learnt {
-        forward_handoff(node, id, learnt).await;
+    let handoffs = node.jobs.pending_takeovers.borrow_mut().remove(id).unwrap_or_default();
+    for handoff in handoffs {
+        forward_handoff(node, id, handoff).await;
     }
 }
 
-async fn hand_off_detached(node: Rc<Node>, id: JobId, learnt: Handoff) {
-    hand_off(&node, &id, &learnt).await;
+async fn hand_off_detached(node: Rc<Node>, id: JobId, handoff: Handoff) {
+    hand_off(&node, &id, &handoff).await;
 }
 
-/// Brings what was learnt of a job to its holder, be it this instance.
-async fn forward_handoff(node: &Rc<Node>, id: &str, learnt: Handoff) {
+/// Delivers a hand-off to the job's holder, which may be this instance.
+async fn forward_handoff(node: &Rc<Node>, id: &str, handoff: Handoff) {
     if let Some(held) = node.jobs.held_job(id) {
-        merge_handoff(node, &held, learnt);
+        merge_handoff(node, &held, handoff);
         return;
     }
     let holder = node.jobs.directory.borrow().get(id).map(|status| status.holder);
     if let Some(holder) = holder.filter(|holder| holder.instance != node.id()) {
-        send_handoff(node.clone(), id.to_owned(), holder, learnt).await;
+        send_handoff(node.clone(), id.to_owned(), holder, handoff).await;
     }
 }
 
-/// Takes in what another holder has learnt.
-fn merge_handoff(node: &Node, held: &HeldJob, learnt: Handoff) {
-    held.state.borrow_mut().merge_handoff(learnt);
+/// Merges progress received from another holder.
+fn merge_handoff(node: &Node, held: &HeldJob, handoff: Handoff) {
+    held.state.borrow_mut().merge_handoff(handoff);
     held.mark_dirty();
     node.jobs.wake();
 }
 
-/// Tells the holder of a job what was learnt here, until it has heard it: it may be
-/// out of sight for as long as a cut lasts.
-pub async fn send_handoff(node: Rc<Node>, id: JobId, holder: Holder, learnt: Handoff) {
-    if learnt.is_empty() {
+/// Sends progress made here to the job's holder, retrying for as long as a network
+/// partition may last.
+pub async fn send_handoff(node: Rc<Node>, id: JobId, holder: Holder, handoff: Handoff) {
+    if handoff.is_empty() {
         return;
     }
     let until = clock::now() + SEND_HANDOFF_TIMEOUT;
-    let ask = PeerRequest::TakeOver(id.clone(), learnt);
+    let request = PeerRequest::TakeOver(id.clone(), handoff);
     while clock::now() < until {
-        if node.request(holder.address, &ask, HANDOFF_TIMEOUT).await.is_ok() {
+        if node.request(holder.address, &request, HANDOFF_TIMEOUT).await.is_ok() {
             slog::info!(node.log, "what was learnt passed on"; "job" => &id,
                 "to" => %holder.address);
             return;
         }
         tokio::time::sleep(TAKEOVER_RETRY_DELAY).await;
     }
-    slog::info!(node.log, "what was learnt is lost"; "job" => &id, "to" => %holder.address);
+    slog::info!(node.log, "handoff lost"; "job" => &id, "to" => %holder.address);
 }
 
-/// As [`take_over`]; `None` when the job isn't to be taken over.
+/// As [`take_over`], with `None` if the job shouldn't be taken over.
 ///
 /// # Errors
 ///
-/// Why it can't be done now.
+/// The failed call of the platform.
 async fn try_take_over(
     node: &Rc<Node>,
     id: &str,
-    learnt: &Handoff,
+    handoff: &Handoff,
 ) -> Result<Option<Rc<HeldJob>>, Fault> {
     let mut conflict = None;
     for _ in 0..MAX_ATTEMPTS {
         if let Some(held) = node.jobs.held_job(id) {
-            merge_handoff(node, &held, learnt.clone());
+            merge_handoff(node, &held, handoff.clone());
             return Ok(Some(held));
         }
         let Some(object) = node.store.get(CallReason::Takeover, job::KIND, id).await? else {
@@ -276,7 +269,7 @@
         };
         match claim(node, &object).await {
             Ok(Some(held)) => {
-                merge_handoff(node, &held, learnt.clone());
+                merge_handoff(node, &held, handoff.clone());
                 return Ok(Some(held));
             }
             Ok(None) => return Ok(None),
@@ -287,29 +280,30 @@
     conflict.map_or(Ok(None), Err)
 }
 
-/// Writes this instance down as the holder; `None` when another is, or nobody can
-/// read the job.
+/// Writes this instance to the platform as the holder. `None` if another instance is, or if
+/// the job can't be decoded.
 async fn claim(node: &Rc<Node>, object: &Object) -> Result<Option<Rc<HeldJob>>, Fault> {
     let mut stored_job = match job_store::read(node, CallReason::Takeover, object).await {
         Ok(stored_job) => stored_job,
         Err(LoadError::Fault(fault)) => return Err(fault),
         Err(error @ LoadError::Malformed(_)) => {
-            slog::warn!(node.log, "job not read"; "job" => &object.name, "fault" => %error);
+            slog::warn!(node.log, "job load failed"; "job" => &object.name, "fault" => %error);
             return Ok(None);
         }
     };
-    let former = stored_job.holder();
-    if !stored_job.is_open() || former.instance == node.id() {
+    let previous_holder = stored_job.holder();
+    if !stored_job.is_open() || previous_holder.instance == node.id() {
         return Ok(Some(job_table::hold(node, stored_job)));
     }
-    if let Some(holder) = live_holder(node, former) {
-        // Others were faster: whoever holds it now is told, in case it doesn't
-        // know, and asked from now on.
-        slog::info!(node.log, "job is held"; "job" => &object.name, "holder" => %holder.peer);
+    if let Some(holder) = live_holder(node, previous_holder) {
+        // Another instance was faster. It is notified in case it doesn't know that it holds
+        // the job, and recorded as the holder.
+        slog::info!(node.log, "job has a live holder"; "job" => &object.name,
+            "holder" => %holder.peer);
         node.notify(holder.peer, PeerRequest::TakeOver(object.name.clone(), Handoff::default()));
         node.jobs.on_status(JobStatus {
             job: object.name.clone(),
-            holder: former,
+            holder: previous_holder,
             data_centre: holder.data_centre,
             revision: object.revision,
             route: job_table::route_of(node, &stored_job.job)
@@ -329,7 +323,7 @@
         return Ok(Some(held));
     }
     slog::info!(node.log, "job taken over"; "job" => &object.name,
-        "from" => format!("{:x}", former.instance), "revision" => written.revision,
+        "from" => format!("{:x}", previous_holder.instance), "revision" => written.revision,
         "results" => progress.outcomes.len(), "items" => stored_job.job.items.len());
     let held =
         job_table::hold(node, StoredJob { overflow, revision: written.revision, ..stored_job });
@@ -343,7 +337,7 @@
     Ok(Some(held))
 }
 
-/// The member that holds a job, if it lives and isn't about to stop.
+/// The member that holds a job, unless it is gone or stopping.
 fn live_holder(node: &Node, holder: Holder) -> Option<Member> {
     let members = node.members.borrow();
     let mut found = members.workers().filter(|member| member.id == holder.instance);
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -1,9 +1,8 @@
-//! Watches the platform for all instances: a few in each data centre do, and tell
-//! the others what changed.
+//! Watches the platform. A few instances of each data centre do so on behalf of the others.
 //!
-//! Who watches follows from ranks that all agree on ([`coordination::watch`]). A
-//! watcher lists once and watches from there; after a watch that broke it lists
-//! again. What it learns goes to [`super::discovery`].
+//! All instances agree on the watchers by rank ([`coordination::watch`]). A watcher lists
+//! once and watches from that revision; after a failed watch it lists again.
+//! [`super::discovery`] applies what it receives.
 
 use super::call_reason::CallReason;
 use super::discovery;
@@ -21,42 +20,39 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
-/// Rank by which instances watch: one that does watches all topics, so that a data
-/// centre has one that asks for signs of life.
+/// Key by which instances are ranked. One key for all topics, so that a single instance per
+/// data centre watches all of them and sends probes.
 const RANK_KEY: &str = "watch";
-/// Instances of a data centre that watch.
+/// Watchers per data centre, or in total for global topics.
 const WATCHER_COUNT: usize = 1;
-/// Longest wait of one watch of the targets. What [`super::platform_health`] can't see, a
-/// watch that was lost alone, is noticed when it is overdue, after 1.9 s: targets that
-/// leave get nothing 2 s after their word. Each watch costs a call.
+/// Timeout of a watch of the targets. A watch that was lost without a failed probe is
+/// noticed only this long plus [`PROBE_TIMEOUT`] later, which must stay below the 2 s in
+/// which requests to a leaving target must stop. Each watch costs a call.
 const TARGETS_WATCH_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The same for the configuration, which is in force 2 s after its word and, for the
-/// 3 s after a disturbance of the platform, later.
+/// The same for the configuration, which may take longer after an outage of the platform.
 const CONFIG_WATCH_TIMEOUT: Duration = Duration::from_millis(3_400);
-/// The same for orders to empty a machine, which give more time than that.
+/// The same for orders to empty a machine, which aren't urgent.
 const RETIREMENTS_WATCH_TIMEOUT: Duration = Duration::from_secs(10);
-/// The same for requests that are held, of which instances tell each other at once.
+/// The same for quarantined requests, which instances also report to each other.
 const QUARANTINE_WATCH_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause after a change, so that a series of changes costs few calls.
+/// Delay after a change, so that a series of changes costs few calls.
 const CHANGE_BATCH_WINDOW: Duration = Duration::from_millis(200);
-/// Time between looks whether this instance should watch.
+/// Interval between checks whether this instance should watch.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time after a start in which others are met before anybody watches; who has met
-/// nobody by then must ask the platform itself, since it serves nothing until it knows a
-/// configuration and targets. Without it all 250 instances of a fleet that starts take
-/// themselves for watchers: 1,570 lists and watches, 3,000 signs of life and 250 entries
-/// of addresses.
+/// Time after the start for meeting other members before anybody watches. Without it, all
+/// instances of a starting fleet would consider themselves watchers. An instance that has
+/// met nobody by then must ask the platform itself.
 const JOIN_DELAY: Duration = Duration::from_millis(150);
-/// The same for what one instance watches for all: nothing waits for it.
+/// The same for global topics, which nothing waits for.
 const GLOBAL_JOIN_DELAY: Duration = Duration::from_secs(2);
-/// A role counts as lost after this long: members come and go in a cut, and to watch
-/// anew costs a list and a watch.
+/// How long others must be ranked first before a watch is abandoned. Members come and go in
+/// a network partition, and a new watcher costs a list and a watch.
 const ROLE_LOSS_DELAY: Duration = Duration::from_millis(500);
-/// Pauses between tries of a watcher that can't reach the platform.
+/// Minimum and maximum delay between attempts while the platform is unreachable.
 const RETRY_DELAY_BOUNDS: [Duration; 2] =
     [Duration::from_millis(250), Duration::from_millis(1_500)];
 
-/// What is watched.
+/// Kind of object that is watched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Topic {
     Config,
@@ -90,7 +86,7 @@
     }
 }
 
-/// Watches until `stop`.
+/// Starts watching all topics, until `stop`.
 pub fn start(node: &Rc<Node>, stop: &CancellationToken) {
     let topics = [Topic::Config, Topic::Targets, Topic::Retirements, Topic::Quarantine];
     for topic in topics {
@@ -98,7 +94,7 @@
     }
 }
 
-/// Time after a start in which others are met before anybody watches.
+/// Delay after the start before the topic is watched.
 fn join_delay(topic: Topic) -> Duration {
     if topic.is_global() { GLOBAL_JOIN_DELAY } else { JOIN_DELAY }
 }
@@ -106,15 +102,15 @@
 fn is_watcher(node: &Node, topic: Topic) -> bool {
     let now = clock::now();
     let members = node.members.borrow();
-    let here = members.workers().filter(|member| {
-        let is_near = topic.is_global() || member.data_centre == *node.data_centre();
-        is_near && member.state != State::Suspect
+    let candidates = members.workers().filter(|member| {
+        let is_candidate = topic.is_global() || member.data_centre == *node.data_centre();
+        is_candidate && member.state != State::Suspect
     });
     let candidate = |member: &Member| {
         let has_lost_contact = is_disconnected(node, member.id, now);
         Candidate { id: member.id, is_disconnected: has_lost_contact }
     };
-    watch::is_watcher(RANK_KEY, members.me().id, here.map(candidate), WATCHER_COUNT)
+    watch::is_watcher(RANK_KEY, members.me().id, candidates.map(candidate), WATCHER_COUNT)
 }
 
 async fn watch_topic(node: Rc<Node>, topic: Topic, stop: CancellationToken) {
@@ -127,16 +123,16 @@
         () = stop.cancelled() => return,
     }
     while !stop.is_cancelled() {
-        // Without a sign of life the platform is left alone until there is one.
+        // While probes fail, nothing else is sent to the platform.
         if !role.refresh() || node.store.is_disconnected() {
             revision = None;
             tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         }
-        let opened = clock::now();
+        let started_at = clock::now();
         let result = tokio::select! {
             result = list_or_watch(&node, topic, revision) => result,
-            () = node.store.disconnected() => Err(Fault::Lost(String::from("no sign of life"))),
+            () = node.store.disconnected() => Err(Fault::Lost(String::from("probe failed"))),
             () = role.lost() => continue,
             () = node.resumed.notified() => {
                 revision = None;
@@ -159,23 +155,24 @@
             }
             Err(fault) => {
                 failures += 1;
-                let open = clock::since(opened);
+                let open_for = clock::since(started_at);
                 slog::info!(node.log, "watch broken"; "kind" => topic.kind(),
                     "fault" => %fault, "failures" => failures,
-                    "since" => revision, "open_ms" => open.as_millis() as u64,
+                    "since" => revision, "open_ms" => open_for.as_millis() as u64,
                     "silence_ms" => ms_since_response(&node));
-                on_watch_error(&node, revision.take(), &fault, open, failures).await;
+                on_watch_error(&node, revision.take(), &fault, open_for, failures).await;
             }
         }
     }
 }
 
-/// A watch that was `open` for so long, or the list before it, has failed.
+/// Handles the failure of a watch that was open for the given time, or of the list before
+/// it.
 async fn on_watch_error(
     node: &Node,
     revision: Option<Revision>,
     fault: &Fault,
-    open: Duration,
+    open_for: Duration,
     failures: u32,
 ) {
     node.store.on_watch_failed();
@@ -183,8 +180,8 @@
         let now = clock::now();
         node.store.on_failure(fault, now);
         node.store.on_probe_failed(now);
-    } else if open >= RETRY_DELAY_BOUNDS[0] {
-        // One watch that is cut says nothing; the list that follows at once does.
+    } else if open_for >= RETRY_DELAY_BOUNDS[0] {
+        // A single interrupted watch proves nothing; the list that follows does.
         return;
     }
     let pause = coordination::retry::backoff(
@@ -196,7 +193,7 @@
     tokio::time::sleep(pause).await;
 }
 
-/// The right to watch a topic for others, as this instance has it or not.
+/// Whether this instance watches a topic on behalf of others.
 struct WatcherRole {
     node: Rc<Node>,
     topic: Topic,
@@ -204,8 +201,8 @@
 }
 
 impl WatcherRole {
-    /// Returns once it is clear that others hold it. A watch that goes on to its end
-    /// costs signs of life all the while.
+    /// Returns once other instances have been ranked first for a while. Continuing the
+    /// watch would cost probes.
     async fn lost(&self) {
         let mut held = clock::now();
         while clock::since(held) < ROLE_LOSS_DELAY {
@@ -216,7 +213,7 @@
         }
     }
 
-    /// Looks whether it is held now.
+    /// Updates and returns whether the role is held.
     fn refresh(&mut self) -> bool {
         let node = &self.node;
         let is_held = !node.is_stopping() && is_watcher(node, self.topic);
@@ -231,19 +228,19 @@
     }
 }
 
-/// Members that lately lost contact with the platform.
+/// Ids of members that are currently disconnected from the platform.
 fn disconnected_members(node: &Node, now: Instant) -> Vec<String> {
     let lost = node.disconnected.borrow();
-    let lately = lost.iter().filter(|(_, until)| now < **until);
-    lately.map(|(id, _)| format!("{id:x}")).collect()
+    let recent = lost.iter().filter(|(_, until)| now < **until);
+    recent.map(|(id, _)| format!("{id:x}")).collect()
 }
 
-/// Milliseconds since the platform last answered this instance.
+/// Milliseconds since the platform last responded to this instance.
 fn ms_since_response(node: &Node) -> Option<u64> {
     node.store.silence(clock::now()).map(|time| time.as_millis() as u64)
 }
 
-/// One list or one watch; gives the revision to go on from.
+/// Lists or watches once and returns the revision to continue from.
 async fn list_or_watch(
     node: &Rc<Node>,
     topic: Topic,
@@ -267,7 +264,7 @@
         .unwrap_or_else(|_| Err(Fault::Lost(String::from("the watch is overdue"))))?;
     node.store.on_response(clock::now());
     node.store.log_undecodable(topic.kind(), &changes.unreadable);
-    let is_quiet = changes.changes.is_empty() && changes.unreadable.is_empty();
+    let is_unchanged = changes.changes.is_empty() && changes.unreadable.is_empty();
     let revision = changes.revision;
     match topic {
         Topic::Retirements => {
@@ -286,7 +283,7 @@
             quarantine::on_objects(node, &objects);
         }
     }
-    if !is_quiet && topic == Topic::Targets {
+    if !is_unchanged && topic == Topic::Targets {
         tokio::time::sleep(CHANGE_BATCH_WINDOW).await;
     }
     Ok(revision)
@@ -312,7 +309,7 @@
     Ok(())
 }
 
-/// Nothing is kept on any machine, so each is empty at once.
+/// Reports a machine as empty: gateways keep nothing on it.
 async fn retire(node: &Rc<Node>, object: &Object) -> Result<(), Fault> {
     if retirement::Status::is_empty(object.status.get()) {
         return Ok(());
@@ -322,7 +319,7 @@
         .store
         .set_status(CallReason::Retirement, retirement::KIND, &object.name, object.revision, status)
         .await;
-    slog::info!(node.log, "machine emptied"; "machine" => &object.name,
+    slog::info!(node.log, "machine reported as empty"; "machine" => &object.name,
         "revision" => object.revision, "written" => result.is_ok());
     match result {
         // Another instance was faster, or the order was withdrawn.
@@ -331,8 +328,8 @@
     }
 }
 
-/// Leaves this instance's address on the platform, for those that find no seed;
-/// `true` when it is there.
+/// Registers this instance's address on the platform for instances that reach no seed.
+/// `true` if it is registered.
 async fn register(node: &Rc<Node>) -> bool {
     let name = &node.settings.name;
     let peer = node.as_holder().address;
@@ -340,18 +337,18 @@
     match node.store.create(CallReason::Address, instance::KIND, name, &entry).await {
         Ok(_) | Err(Fault::Conflict(_)) => true,
         Err(fault) => {
-            slog::info!(node.log, "not registered"; "fault" => %fault);
+            slog::info!(node.log, "instance registration failed"; "fault" => %fault);
             false
         }
     }
 }
 
-/// Addresses that instances have left on the platform.
+/// Addresses of instances registered on the platform.
 pub async fn registered_addresses(node: &Rc<Node>) -> Vec<SocketAddr> {
     let objects = match node.store.list_all(CallReason::Address, instance::KIND).await {
         Ok(objects) => objects,
         Err(fault) => {
-            slog::info!(node.log, "no instances from the platform"; "fault" => %fault);
+            slog::info!(node.log, "instance list failed"; "fault" => %fault);
             return Vec::new();
         }
     };
