--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -48,7 +48,7 @@
         && let Ok(document) = serde_json::from_slice::<Document>(&found.bytes)
     {
         let generation = document.generation;
-        if lock(&shared.chain).adopt(document) {
+        if lock(&shared.chain).install(document) {
             shared.on_generation(generation);
         }
     }
@@ -79,7 +79,7 @@
             entries.push(entry);
         }
     }
-    lock(&shared.chain).offer_unguarded(&entries);
+    lock(&shared.chain).apply_unchecked(&entries);
     shared.refresh();
     Ok(())
 }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -104,7 +104,7 @@
         && let Ok(document) = serde_json::from_slice::<Document>(&found.document)
     {
         let generation = document.generation;
-        if lock(&shared.chain).adopt(document) {
+        if lock(&shared.chain).install(document) {
             shared.on_generation(generation);
         }
     }
--- a/crates/daemon/src/shards.rs
+++ b/crates/daemon/src/shards.rs
@@ -62,7 +62,7 @@
     ///
     /// What the owner answered, or `Undetermined` when its answer was lost.
     pub async fn submit(&self, shared: &Shared, command: Command) -> Answer {
-        let shard = command.subject().map_or(0, |subject| self.shard_of(subject));
+        let shard = command.routing_key().map_or(0, |subject| self.shard_of(subject));
         self.submit_to(shared, shard, command).await
     }
 
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -71,8 +71,8 @@
         let policy = Policy {
             retention: settings.retention,
             claim: settings.claim_timeout,
-            unfenced: settings.is_guard_disabled("fence"),
-            unclaimed: settings.is_guard_disabled("claim"),
+            without_fencing: settings.is_guard_disabled("fence"),
+            without_claims: settings.is_guard_disabled("claim"),
         };
         let now = Instant::now();
         Committer {
@@ -189,7 +189,7 @@
         {
             // Holders couldn't report while the platform was away.
             let now = clock::millis();
-            loaded.shard.on_restored(now);
+            loaded.shard.renew_leases(now);
         }
         self.failures = 0;
         self.verified = Some(Instant::now());
@@ -230,7 +230,7 @@
             match loaded.shard.decide(&mut batch, &item.command, now) {
                 Decision::Answer(answer) => {
                     if matches!(answer, Ok(Reply::Proceed)) {
-                        loaded.shard.note_running(&item.command, now);
+                        loaded.shard.track_running(&item.command, now);
                     }
                     drop(item.answer.send(answer));
                 }
@@ -329,7 +329,7 @@
 /// A progress report shows that its holder lives, even when it brings no news.
 fn note_life(shard: &mut Shard, command: &Command, now: Millis) {
     if let Command::Progress { job, chunk, .. } = command {
-        shard.on_heard(job, *chunk, now);
+        shard.on_heartbeat(job, *chunk, now);
     }
 }
 
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -17,7 +17,7 @@
 use protocol::settings::Settings;
 use protocol::{Generation, InstanceId, TargetId};
 use slog::Logger;
-use state::config::Chain;
+use state::config::Log;
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicUsize};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -52,7 +52,7 @@
     /// Members.
     pub table: Mutex<MemberTable>,
     /// Configuration.
-    pub chain: Mutex<Chain>,
+    pub chain: Mutex<Log>,
     /// Leaving targets.
     pub board: Mutex<Targets>,
     /// Targets.
@@ -186,7 +186,7 @@
     /// Takes in a configuration entry from anywhere.
     pub fn offer(&self, entry: ConfigEntry) -> EntryOrder {
         let generation = entry.generation;
-        let offer = lock(&self.chain).offer(entry);
+        let offer = lock(&self.chain).apply(entry);
         if offer == EntryOrder::Next {
             slog::info!(self.log, "configuration in force"; "generation" => generation);
             self.on_generation(generation);
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -177,7 +177,7 @@
 
 impl Command {
     /// The key or job that the command is about; its hash gives the shard.
-    pub fn subject(&self) -> Option<&str> {
+    pub fn routing_key(&self) -> Option<&str> {
         match self {
             Command::Begin { key, .. }
             | Command::Finish { key, .. }
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 
 /// Entries kept for peers that are behind.
-const KEPT: usize = 1024;
+const HISTORY_LIMIT: usize = 1024;
 
 /// The configuration in force and the changes that led to it.
 #[derive(Clone, Debug, Default)]
-pub struct Chain {
+pub struct Log {
     document: Document,
     entries: BTreeMap<Generation, ConfigEntry>,
 }
 
-impl Chain {
+impl Log {
     /// The configuration in force.
     pub fn document(&self) -> &Document {
         &self.document
@@ -31,7 +31,7 @@
     /// Only the very next generation is applied. An entry that doesn't validate
     /// can't be in the chain (it was validated before it was written), so one
     /// that fails here is reported as a gap and not applied.
-    pub fn offer(&mut self, entry: ConfigEntry) -> EntryOrder {
+    pub fn apply(&mut self, entry: ConfigEntry) -> EntryOrder {
         let offer = append_log::classify(self.generation(), entry.generation);
         if offer != EntryOrder::Next {
             return offer;
@@ -41,7 +41,7 @@
         };
         self.document = document;
         self.entries.insert(entry.generation, entry);
-        if self.entries.len() > KEPT {
+        if self.entries.len() > HISTORY_LIMIT {
             self.entries.pop_first();
         }
         EntryOrder::Next
@@ -49,7 +49,7 @@
 
     /// Takes a whole document from a peer or a snapshot, for an instance that is
     /// further behind than the entries reach; `false` when it isn't further.
-    pub fn adopt(&mut self, document: Document) -> bool {
+    pub fn install(&mut self, document: Document) -> bool {
         let is_further = document.generation > self.generation();
         if is_further {
             self.document = document;
@@ -59,7 +59,7 @@
     }
 
     /// Test only: the rule without its guard, which takes whatever it is shown.
-    pub fn offer_unguarded(&mut self, entries: &[ConfigEntry]) {
+    pub fn apply_unchecked(&mut self, entries: &[ConfigEntry]) {
         let mut document = Document::default();
         for entry in entries {
             document = document.with_change(&entry.change).unwrap_or(document);
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -106,9 +106,9 @@
     /// Running jobs by due time (none is last), then by acceptance.
     order: BTreeSet<(Millis, Millis, JobId)>,
     /// Chunks of running jobs that nobody runs.
-    open: BTreeMap<JobId, BTreeSet<u32>>,
+    unassigned: BTreeMap<JobId, BTreeSet<u32>>,
     /// Chunks that somebody runs, with the time of the last sign of life.
-    held: BTreeMap<ChunkId, Millis>,
+    assigned: BTreeMap<ChunkId, Millis>,
 }
 
 impl Jobs {
@@ -128,8 +128,8 @@
     }
 
     /// Whether any chunk waits to be run.
-    pub fn has_open(&self) -> bool {
-        !self.open.is_empty()
+    pub fn has_unassigned(&self) -> bool {
+        !self.unassigned.is_empty()
     }
 
     /// Jobs as a snapshot gives them; holders get a whole claim time from `now`.
@@ -149,8 +149,10 @@
                 let index = index as u32;
                 match (chunk.done, chunk.holder) {
                     (true, _) => {}
-                    (false, Some(_)) => drop(self.held.insert((id.clone(), index), now)),
-                    (false, None) => drop(self.open.entry(id.clone()).or_default().insert(index)),
+                    (false, Some(_)) => drop(self.assigned.insert((id.clone(), index), now)),
+                    (false, None) => {
+                        drop(self.unassigned.entry(id.clone()).or_default().insert(index))
+                    }
                 }
             }
         }
@@ -180,9 +182,9 @@
     ) -> Option<ChunkAssignment> {
         let id = &job.spec.job;
         let is_free = |chunk: &u32| !taken.contains(&(id.clone(), *chunk));
-        let open = self.open.get(id).and_then(|set| set.iter().copied().find(is_free));
+        let open = self.unassigned.get(id).and_then(|set| set.iter().copied().find(is_free));
         let lapsed = || {
-            let range = self.held.range((id.clone(), 0)..=(id.clone(), u32::MAX));
+            let range = self.assigned.range((id.clone(), 0)..=(id.clone(), u32::MAX));
             let silent = range.filter(|(_, heard)| **heard < silent).map(|((_, c), _)| *c);
             silent.into_iter().find(is_free)
         };
@@ -190,28 +192,28 @@
     }
 
     /// A holder gave a sign of life.
-    pub fn on_heard(&mut self, job: &str, chunk: u32, now: Millis) {
-        if let Some(heard) = self.held.get_mut(&(job.to_owned(), chunk)) {
+    pub fn on_heartbeat(&mut self, job: &str, chunk: u32, now: Millis) {
+        if let Some(heard) = self.assigned.get_mut(&(job.to_owned(), chunk)) {
             *heard = now;
         }
     }
 
     /// Chunks of holders that are known to be gone may go out at once.
     /// Returns whether there were any that hadn't been found before.
-    pub fn reclaim(&mut self, is_gone: impl Fn(InstanceId) -> bool) -> bool {
+    pub fn reclaim_expired(&mut self, is_gone: impl Fn(InstanceId) -> bool) -> bool {
         let jobs = &self.jobs;
         let holder = |(job, chunk): &ChunkId| {
             let chunk = jobs.get(job).and_then(|j| j.chunks.get(*chunk as usize));
             chunk.and_then(|c| c.holder)
         };
         let gone = |id: &ChunkId| holder(id).is_some_and(&is_gone);
-        let found = self.held.iter_mut().filter(|(id, heard)| **heard > 0 && gone(id));
+        let found = self.assigned.iter_mut().filter(|(id, heard)| **heard > 0 && gone(id));
         found.map(|(_, heard)| *heard = 0).count() > 0
     }
 
     /// Holders couldn't report until now: each gets a whole claim time again.
-    pub fn on_restored(&mut self, now: Millis) {
-        self.held.values_mut().for_each(|heard| *heard = now);
+    pub fn renew_leases(&mut self, now: Millis) {
+        self.assigned.values_mut().for_each(|heard| *heard = now);
     }
 
     /// Folds an acceptance; the first one counts.
@@ -240,7 +242,7 @@
         entry.holder = Some(holder);
         found.claims += 1;
         self.take_open(job, chunk);
-        self.held.insert((job.to_owned(), chunk), now);
+        self.assigned.insert((job.to_owned(), chunk), now);
     }
 
     /// Folds a progress report.
@@ -263,16 +265,16 @@
         found.done += u64::from(counts.0);
         found.failed += u64::from(counts.1);
         match after {
-            Disposition::Continue => drop(self.held.insert(id.clone(), now)),
+            Disposition::Continue => drop(self.assigned.insert(id.clone(), now)),
             Disposition::Release => {
                 entry.holder = None;
-                self.held.remove(id);
-                self.open.entry(job.clone()).or_default().insert(*chunk);
+                self.assigned.remove(id);
+                self.unassigned.entry(job.clone()).or_default().insert(*chunk);
             }
             Disposition::Done => {
                 entry.holder = None;
                 entry.done = true;
-                self.held.remove(id);
+                self.assigned.remove(id);
                 self.end_if_done(job);
             }
         }
@@ -319,15 +321,15 @@
         if let Some(found) = self.jobs.get(job) {
             self.order.remove(&order_of(&found.spec));
         }
-        self.open.remove(job);
-        self.held.retain(|(id, _), _| id != job);
+        self.unassigned.remove(job);
+        self.assigned.retain(|(id, _), _| id != job);
     }
 
     fn take_open(&mut self, job: &str, chunk: u32) {
-        if let Some(set) = self.open.get_mut(job) {
+        if let Some(set) = self.unassigned.get_mut(job) {
             set.remove(&chunk);
             if set.is_empty() {
-                self.open.remove(job);
+                self.unassigned.remove(job);
             }
         }
     }
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -47,7 +47,7 @@
     jobs: Jobs,
     /// Repeatable requests that run now: not durable, spares double work only.
     running: HashMap<String, (u64, u64, Millis)>,
-    dropped: u64,
+    duplicate_outcomes: u64,
 }
 
 impl Shard {
@@ -58,7 +58,7 @@
 
     /// A shard as a snapshot gives it, with `next` the first entry not folded.
     pub fn restore(id: ShardId, policy: Policy, next: u64, keys: Keys, jobs: Jobs) -> Shard {
-        Shard { id, policy, next, keys, jobs, running: HashMap::new(), dropped: 0 }
+        Shard { id, policy, next, keys, jobs, running: HashMap::new(), duplicate_outcomes: 0 }
     }
 
     /// Its number.
@@ -82,8 +82,8 @@
     }
 
     /// Outcomes that came after the first one and were dropped.
-    pub fn dropped(&self) -> u64 {
-        self.dropped
+    pub fn duplicate_outcomes(&self) -> u64 {
+        self.duplicate_outcomes
     }
 
     /// Decides `command` against what is durable.
@@ -157,7 +157,7 @@
             return Some(if same { Ok(kept) } else { conflict() });
         }
         if let Some(claim) = self.keys.claim(key)
-            && !self.policy.unclaimed
+            && !self.policy.without_claims
         {
             return Some(refuse_claimed(claim, digest, attempt, now));
         }
@@ -169,7 +169,7 @@
     }
 
     /// Notes that a repeatable request runs, so that a resend waits for it.
-    pub fn note_running(&mut self, command: &Command, now: Millis) {
+    pub fn track_running(&mut self, command: &Command, now: Millis) {
         if let Command::Begin { key, digest, repeatable: true, attempt, deadline, .. } = command {
             if self.running.len() > RUNNING_SWEEP {
                 self.running.retain(|_, (_, _, until)| *until > now);
@@ -276,7 +276,7 @@
             return false;
         };
         let is_current = chunk.attempt == attempt && chunk.holder.is_some();
-        job.phase == Phase::Running && !chunk.done && (is_current || self.policy.unfenced)
+        job.phase == Phase::Running && !chunk.done && (is_current || self.policy.without_fencing)
     }
 
     fn cancel(&self, batch: &mut Batch, job: &str) -> Decision {
@@ -339,7 +339,7 @@
             Record::Finished { key, digest, issued, .. } => {
                 self.running.remove(&key);
                 let is_first = self.keys.on_finished(&key, Finished { digest, position, issued });
-                self.dropped += u64::from(!is_first);
+                self.duplicate_outcomes += u64::from(!is_first);
             }
             Record::Accepted(spec) => self.jobs.on_accepted(spec, now),
             Record::Assigned { job, chunk, attempt, holder } => {
@@ -354,23 +354,23 @@
     }
 
     /// A chunk's holder gave a sign of life.
-    pub fn on_heard(&mut self, job: &str, chunk: u32, now: Millis) {
-        self.jobs.on_heard(job, chunk, now);
+    pub fn on_heartbeat(&mut self, job: &str, chunk: u32, now: Millis) {
+        self.jobs.on_heartbeat(job, chunk, now);
     }
 
     /// Chunks of holders that are known to be gone may go out at once.
     /// Returns whether there were any that hadn't been found before.
-    pub fn reclaim(&mut self, is_gone: impl Fn(u64) -> bool) -> bool {
-        self.jobs.reclaim(is_gone)
+    pub fn reclaim_expired(&mut self, is_gone: impl Fn(u64) -> bool) -> bool {
+        self.jobs.reclaim_expired(is_gone)
     }
 
     /// The platform is reached again after a time in which no holder could report.
-    pub fn on_restored(&mut self, now: Millis) {
-        self.jobs.on_restored(now);
+    pub fn renew_leases(&mut self, now: Millis) {
+        self.jobs.renew_leases(now);
     }
 
     /// A request that was begun is over without an outcome to keep.
-    pub fn on_over(&mut self, key: &str, attempt: u64) {
+    pub fn on_abandoned(&mut self, key: &str, attempt: u64) {
         if self.running.get(key).is_some_and(|(running, ..)| *running == attempt) {
             self.running.remove(key);
         }
--- a/crates/state/src/shard/policy.rs
+++ b/crates/state/src/shard/policy.rs
@@ -10,9 +10,9 @@
     /// Silence of a chunk's holder after which the chunk goes out again.
     pub claim: Duration,
     /// Test only: hand-outs don't fence the earlier ones.
-    pub unfenced: bool,
+    pub without_fencing: bool,
     /// Test only: claims of requests that may run once are not looked at.
-    pub unclaimed: bool,
+    pub without_claims: bool,
 }
 
 impl Default for Policy {
@@ -20,8 +20,8 @@
         Policy {
             retention: Duration::from_secs(86_400),
             claim: Duration::from_secs(15),
-            unfenced: false,
-            unclaimed: false,
+            without_fencing: false,
+            without_claims: false,
         }
     }
 }
--- a/crates/state/tests/model/main.rs
+++ b/crates/state/tests/model/main.rs
@@ -80,12 +80,13 @@
 
 #[test]
 fn without_the_fence_the_model_finds_a_second_outcome() {
-    let error = run(Policy { unfenced: true, ..policy() }, 3000).expect_err("a second outcome");
+    let error =
+        run(Policy { without_fencing: true, ..policy() }, 3000).expect_err("a second outcome");
     assert!(error.contains("outcome"), "{error}");
 }
 
 #[test]
 fn without_the_claim_the_model_finds_a_second_send() {
-    let error = run(Policy { unclaimed: true, ..policy() }, 3000).expect_err("a second send");
+    let error = run(Policy { without_claims: true, ..policy() }, 3000).expect_err("a second send");
     assert!(error.contains("sent twice"), "{error}");
 }
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -78,7 +78,7 @@
         loop {
             let shard = &mut self.owners[owner];
             if let Command::Progress { job, chunk, .. } = command {
-                shard.on_heard(job, *chunk, self.now);
+                shard.on_heartbeat(job, *chunk, self.now);
             }
             let decision = shard.decide(&mut Batch::default(), command, self.now);
             let (records, reply) = match decision {
