--- a/crates/daemon/src/append.rs
+++ b/crates/daemon/src/append.rs
@@ -6,7 +6,7 @@
 use crate::store::Handle;
 use bytes::Bytes;
 use coordination::append_log::{Append, Step};
-use platform::keyed::Condition;
+use platform::key_value::Condition;
 use platform::store::Fault;
 
 /// How an append ended.
--- a/crates/daemon/src/batch/report.rs
+++ b/crates/daemon/src/batch/report.rs
@@ -3,7 +3,7 @@
 use super::chunk::{Chunk, Report};
 use crate::shared::Shared;
 use bytes::Bytes;
-use platform::keyed::Condition;
+use platform::key_value::Condition;
 use protocol::{Error, Kind, ShardId};
 use state::command::{ChunkAssignment, Command, Reply};
 use state::object_key;
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -9,7 +9,7 @@
 use coordination::leaving::{Notice, Source};
 use coordination::membership::State;
 use coordination::retry::Failure;
-use platform::keyed::Condition;
+use platform::key_value::Condition;
 use platform::store::Fault;
 use protocol::config::{Change, ConfigEntry, Document};
 use protocol::{Error, Generation, Kind};
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -6,7 +6,7 @@
 use crate::shared::Shared;
 use bytes::Bytes;
 use coordination::membership::Update;
-use platform::keyed::Condition;
+use platform::key_value::Condition;
 use protocol::config::Protocol;
 use protocol::job::{Item, JobHeader, Outcome, Phase, ResultLine, ResultPage, Status};
 use protocol::{Error, JobId, Kind, header};
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -13,7 +13,7 @@
 use coordination::membership::{Member, State};
 use coordination::watch::{self, Candidate};
 use platform::store::{Fault, Listing, Object, Revision};
-use platform::{config, instance, retirement, target};
+use platform::{config, decommission, instance, target};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -66,7 +66,7 @@
         match self {
             Topic::Config => config::KIND,
             Topic::Targets => target::KIND,
-            Topic::Retirements => retirement::KIND,
+            Topic::Retirements => decommission::KIND,
             Topic::Quarantine => platform::quarantine::KIND,
         }
     }
@@ -311,13 +311,13 @@
 
 /// Reports a machine as empty: gateways keep nothing on it.
 async fn retire(node: &Rc<Node>, object: &Object) -> Result<(), Fault> {
-    if retirement::Status::is_empty(object.status.get()) {
+    if decommission::Status::is_empty(object.status.get()) {
         return Ok(());
     }
-    let status = &retirement::Status::EMPTY;
+    let status = &decommission::Status::EMPTY;
     let result = node
         .store
-        .set_status(CallReason::Retirement, retirement::KIND, &object.name, object.revision, status)
+        .set_status(CallReason::Retirement, decommission::KIND, &object.name, object.revision, status)
         .await;
     slog::info!(node.log, "machine reported as empty"; "machine" => &object.name,
         "revision" => object.revision, "written" => result.is_ok());
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -10,7 +10,7 @@
 use coordination::lease::{self, Action, Held, Observation, Record};
 use coordination::leaving::{Notice, Source};
 use coordination::rollout::{self, Actual, Desired, Step};
-use platform::keyed::Condition;
+use platform::key_value::Condition;
 use platform::store::Revision;
 use protocol::InstanceId;
 use protocol::config::Protocol;
--- a/crates/daemon/src/shards/commit/housekeeping.rs
+++ b/crates/daemon/src/shards/commit/housekeeping.rs
@@ -6,7 +6,7 @@
 use crate::shards::load::Loaded;
 use crate::shards::{Item, is_gone, sweep};
 use bytes::Bytes;
-use platform::keyed::Condition;
+use platform::key_value::Condition;
 use platform::store::Fault;
 use protocol::Millis;
 use state::command::Command;
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use coordination::limit::TokenBucket;
 use platform::instance;
-use platform::keyed::{Changes, Condition, Keyed, Value};
+use platform::key_value::{Changes, Condition, KeyValueStore, Value};
 use platform::store::{Fault, Revision, Store};
 use platform::target;
 use protocol::TargetId;
@@ -210,7 +210,7 @@
     /// Makes calls until `stop`.
     pub async fn run(mut self, log: Logger, stop: CancellationToken) {
         let client = Rc::new(Client {
-            keyed: Keyed::new(Store::new(self.config.address, self.config.timeout)),
+            keyed: KeyValueStore::new(Store::new(self.config.address, self.config.timeout)),
             config: self.config.clone(),
             log,
             failures: Cell::new(0),
@@ -234,7 +234,7 @@
 }
 
 struct Client {
-    keyed: Keyed,
+    keyed: KeyValueStore,
     config: Config,
     log: Logger,
     /// Calls in a row that the platform didn't answer.
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -4,7 +4,7 @@
 use crate::objects::{Counts, Objects};
 use bytes::Bytes;
 use hyper::Method;
-use platform::keyed;
+use platform::key_value;
 use protocol::{Error, Kind};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -67,7 +67,7 @@
             faults.slow = control.slow_ms.map_or(faults.slow, Duration::from_millis);
             faults.deaf = control.deaf.unwrap_or(faults.deaf);
             faults.lost = control.lose.unwrap_or(faults.lost);
-            let lost_kind = control.lose_prefix.map(|prefix| keyed::place(&prefix).0);
+            let lost_kind = control.lose_prefix.map(|prefix| key_value::object_of_key(&prefix).0);
             faults.lost_kind = lost_kind.or(faults.lost_kind.take());
         });
         if let Some(rate) = control.writes_per_second {
@@ -91,16 +91,18 @@
 
     /// Keys below `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
-        let (kind, _) = keyed::place(prefix);
+        let (kind, _) = key_value::object_of_key(prefix);
         let names = self.objects.all(&kind).into_iter();
-        let keys = names.map(|o| keyed::key(&kind, o["meta"]["name"].as_str().unwrap_or_default()));
+        let keys = names.map(|o| {
+            key_value::key_of_object(&kind, o["meta"]["name"].as_str().unwrap_or_default())
+        });
         keys.filter(|key| key.starts_with(prefix)).collect()
     }
 
     /// Value of a key.
     pub fn value(&self, key: &str) -> Option<Bytes> {
-        let (kind, name) = keyed::place(key);
-        keyed::decode(&self.objects.get(&kind, &name)?["spec"].to_string()).ok()
+        let (kind, name) = key_value::object_of_key(key);
+        key_value::decode(&self.objects.get(&kind, &name)?["spec"].to_string()).ok()
     }
 
     /// A target's own entry, as it writes it.
