--- a/crates/daemon/src/batch/report.rs
+++ b/crates/daemon/src/batch/report.rs
@@ -25,7 +25,7 @@
 pub async fn send(shared: &Shared, work: &ChunkAssignment, report: Report) -> Sent {
     let mut place = None;
     if let Some((part, contents)) = report.part {
-        let key = object_key::part(&work.job, work.chunk, part.attempt, part.part);
+        let key = object_key::result_part(&work.job, work.chunk, part.attempt, part.part);
         let bytes = Bytes::from(serde_json::to_vec(&contents).unwrap_or_default());
         // Only this hand-out writes this object, and always the same.
         if shared.store.put(&key, bytes, Condition::Any).await.is_err() {
@@ -67,7 +67,7 @@
     let items: Items = read(shared, &key).await?;
     let mut progress = ChunkProgress::default();
     for part in &work.parts {
-        let key = object_key::part(&work.job, work.chunk, part.attempt, part.part);
+        let key = object_key::result_part(&work.job, work.chunk, part.attempt, part.part);
         progress.apply(read::<ResultPart>(shared, &key).await?);
     }
     let most = shared.settings.max_attempts;
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -70,7 +70,7 @@
 
 /// Test only: what a reader without the generation rule would do.
 async fn read_unguarded(shared: &Shared) -> Result<(), Fault> {
-    let keys = shared.store.keys(object_key::CONFIG).await?;
+    let keys = shared.store.keys(object_key::CONFIG_PREFIX).await?;
     let mut entries = Vec::new();
     for key in keys {
         if let Some(found) = shared.store.get(&key).await?
@@ -183,11 +183,12 @@
 /// has run. Whoever comes first writes the number down.
 async fn check_shards(shared: &Shared) -> Result<bool, Fault> {
     let own = shared.settings.shards.to_string();
-    let known = match shared.store.get(object_key::SHARDS).await? {
+    let known = match shared.store.get(object_key::SHARD_COUNT).await? {
         Some(found) => found.bytes,
         None => {
             let value = bytes::Bytes::from(own.clone());
-            match shared.store.put(object_key::SHARDS, value.clone(), Condition::Absent).await {
+            match shared.store.put(object_key::SHARD_COUNT, value.clone(), Condition::Absent).await
+            {
                 Ok(_) => value,
                 Err(fault) => return Err(fault),
             }
@@ -269,7 +270,7 @@
         }
         let wait = WATCH.min(poll);
         tokio::select! {
-            changes = shared.store.watch(object_key::CONFIG, revision, wait) => match changes {
+            changes = shared.store.watch(object_key::CONFIG_PREFIX, revision, wait) => match changes {
                 Ok(changes) => {
                     revision = Some(changes.revision);
                     if !changes.keys.is_empty() {
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -257,7 +257,7 @@
     let shared = &front.shared;
     let from = number(head, "from")?.unwrap_or(0);
     let most = number(head, "limit")?.unwrap_or(PAGE).clamp(1, PAGE);
-    let command = Command::Results { job: job.into(), from, most };
+    let command = Command::Results { job: job.into(), from, limit: most };
     let reply = shared.shards.submit(shared, command).await?;
     let Reply::Results { status, mut chunks, archived } = reply else {
         return Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit"));
@@ -283,7 +283,7 @@
 ) -> Result<Vec<ResultLine>, Error> {
     let mut progress = ChunkProgress::default();
     for part in &place.parts {
-        let key = object_key::part(&status.job, place.chunk, part.attempt, part.part);
+        let key = object_key::result_part(&status.job, place.chunk, part.attempt, part.part);
         progress.apply(read::<ResultPart>(shared, &key).await?);
     }
     let items = place.start..place.end;
--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -103,7 +103,7 @@
     let id = header::text(&parts.headers, header::REQUEST_ID).to_owned();
     let Some(route) = config.table.route_for(&host, path) else {
         let query = parts.uri.query().unwrap_or_default();
-        let call = job::Call::read(parts.method.as_str(), path, query);
+        let call = job::Call::parse(parts.method.as_str(), path, query);
         return match call {
             Some(call) if config.table.routes.iter().any(|route| route.host == host) => {
                 Ok(jobs::call(node, call, &parts.headers).await)
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -247,7 +247,7 @@
     builder = builder.header(header::REQUEST_ID, &item.id);
     builder = builder.header(header::TARGET, &lease.grant.target);
     if let Some(last) = partial.last_event_id {
-        builder = builder.header(header::LAST_EVENT, last.to_string());
+        builder = builder.header(header::LAST_EVENT_ID, last.to_string());
     }
     builder.body(Full::new(body)).map_err(|error| error.to_string())
 }
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -63,7 +63,7 @@
             verify(&node, &held).await;
         }
         last_poll = clock::now();
-        held.state.borrow_mut().on_time(unix_millis());
+        held.state.borrow_mut().expire(unix_millis());
         if node.is_isolated() {
             last_isolated = Some(last_poll);
         }
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -37,7 +37,7 @@
 pub async fn call(node: &Rc<Node>, call: job::Call, headers: &HeaderMap) -> Response<Body> {
     match call {
         job::Call::Results { job, from } => {
-            let wait = header::millis(headers, header::WAIT).unwrap_or_default();
+            let wait = header::millis(headers, header::WAIT_MS).unwrap_or_default();
             results(node, &job, from, wait.min(MAX_RESULTS_WAIT)).await
         }
         job::Call::Body { job, item } => body(node, &job, &item).await,
@@ -95,7 +95,7 @@
 }
 
 fn results_response(total: usize, from: usize, outcomes: &[Outcome]) -> Response<Body> {
-    let mut response = Response::new(Body::Whole(job::results(total, from, outcomes)));
+    let mut response = Response::new(Body::Whole(job::encode_results(total, from, outcomes)));
     set_header(&mut response, CONTENT_TYPE, "application/json");
     response
 }
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -157,10 +157,12 @@
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Result<Response<Body>, Broken> {
         let node = &self.node;
         let (status, text) = match request.uri().path() {
-            platform::READY if node.config().is_some() && !node.is_stopping() => {
+            platform::READINESS_PATH if node.config().is_some() && !node.is_stopping() => {
                 (StatusCode::OK, String::from("ready\n"))
             }
-            platform::READY => (StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n")),
+            platform::READINESS_PATH => {
+                (StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n"))
+            }
             "/metrics" => (StatusCode::OK, metrics(node)),
             _ => (StatusCode::NOT_FOUND, String::new()),
         };
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -88,13 +88,13 @@
             headers.remove(header::TARGET);
             headers.remove("content-length");
             if after.is_some() {
-                headers.remove(header::LAST_EVENT);
+                headers.remove(header::LAST_EVENT_ID);
             }
         }
         builder = builder.header(header::TIME_LEFT, left);
         builder = builder.header(header::TARGET, &lease.grant.target);
         if let Some(after) = after {
-            builder = builder.header(header::LAST_EVENT, after.to_string());
+            builder = builder.header(header::LAST_EVENT_ID, after.to_string());
         }
         builder.body(Full::new(call.body.clone())).map_err(|error| error.to_string())
     }
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -311,7 +311,7 @@
 
 /// Reports a machine as empty: gateways keep nothing on it.
 async fn retire(node: &Rc<Node>, object: &Object) -> Result<(), Fault> {
-    if decommission::Status::is_empty(object.status.get()) {
+    if decommission::Status::is_complete(object.status.get()) {
         return Ok(());
     }
     let status = &decommission::Status::EMPTY;
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -70,7 +70,7 @@
         let settings = &shared.settings;
         let policy = Policy {
             retention: settings.retention,
-            claim: settings.claim_timeout,
+            claim_timeout: settings.claim_timeout,
             without_fencing: settings.is_guard_disabled("fence"),
             without_claims: settings.is_guard_disabled("claim"),
         };
@@ -252,7 +252,7 @@
         let token = format!("{:016x}-{}-{}", self.shared.id, self.id, self.sequence);
         let records = waiting.iter().flat_map(|w| w.records.iter().cloned()).collect();
         let entry = Entry { token: token.clone(), at: clock::millis(), records };
-        let append = Append::new(loaded.shard.next(), token);
+        let append = Append::new(loaded.shard.next_position(), token);
         self.committed = Instant::now();
         match self.drive(&append, &entry).await {
             End::Committed => {
--- a/crates/daemon/src/shards/commit/housekeeping.rs
+++ b/crates/daemon/src/shards/commit/housekeeping.rs
@@ -67,7 +67,7 @@
         let Some(loaded) = &self.loaded else {
             return;
         };
-        if loaded.shard.next() < loaded.head.next + self.shared.settings.snapshot_entries {
+        if loaded.shard.next_position() < loaded.head.next + self.shared.settings.snapshot_entries {
             return;
         }
         match self.write_snapshot(loaded).await {
@@ -87,7 +87,7 @@
 
     async fn write_snapshot(&self, loaded: &Loaded) -> Result<(Head, u64), Fault> {
         let shard = &loaded.shard;
-        let name = format!("{:012}-{:016x}", shard.next(), self.shared.id);
+        let name = format!("{:012}-{:016x}", shard.next_position(), self.shared.id);
         let mut segments = retained_segments(&loaded.head.segments, self.oldest());
         let fresh = shard.keys().finished_since(loaded.head.next);
         if !fresh.is_empty() {
@@ -103,8 +103,13 @@
             self.store.put(&key, Bytes::copy_from_slice(part), Condition::Any).await?;
         }
         let swept = loaded.head.deleted_before;
-        let head =
-            Head { next: shard.next(), name, parts: parts.len(), segments, deleted_before: swept };
+        let head = Head {
+            next: shard.next_position(),
+            name,
+            parts: parts.len(),
+            segments,
+            deleted_before: swept,
+        };
         let bytes = Bytes::from(serde_json::to_vec(&head).unwrap_or_default());
         let condition = loaded.version.map_or(Condition::Absent, Condition::Revision);
         let version = self.store.put(&object_key::snapshot_head(self.id), bytes, condition).await?;
--- a/crates/daemon/src/shards/load.rs
+++ b/crates/daemon/src/shards/load.rs
@@ -74,9 +74,9 @@
 ///
 /// How the platform failed; entries before that are applied.
 pub async fn catch_up(store: &Handle, shard: &mut Shard, now: Millis) -> Result<u64, Fault> {
-    let start = shard.next();
+    let start = shard.next_position();
     loop {
-        let first = shard.next();
+        let first = shard.next_position();
         let window = if first == start { 1 } else { WINDOW };
         let keys: Vec<String> =
             (first..first + window).map(|n| object_key::entry(shard.id(), n)).collect();
@@ -84,7 +84,7 @@
         let found = futures_util::future::join_all(reads).await;
         for object in found {
             let Some(object) = object? else {
-                return Ok(shard.next() - start);
+                return Ok(shard.next_position() - start);
             };
             shard.apply(read(&object.bytes)?, now);
         }
--- a/crates/daemon/src/shards/sweep.rs
+++ b/crates/daemon/src/shards/sweep.rs
@@ -43,7 +43,7 @@
         found.and_then(|found| serde_json::from_slice(&found.bytes).ok()).unwrap_or_default();
     for place in &places {
         for part in &place.parts {
-            let key = object_key::part(id, place.chunk, part.attempt, part.part);
+            let key = object_key::result_part(id, place.chunk, part.attempt, part.part);
             drop(store.delete(&key).await);
         }
     }
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -88,7 +88,8 @@
         /// First item wanted.
         from: u64,
         /// Most items wanted.
-        most: u64,
+        #[serde(rename = "most")]
+        limit: u64,
     },
     /// A job's index is written.
     Archive {
--- a/crates/state/src/object_key.rs
+++ b/crates/state/src/object_key.rs
@@ -7,7 +7,7 @@
 pub const MAX_VALUE_BYTES: usize = 750_000;
 
 /// Prefix of a shard's entries.
-pub fn entries(shard: ShardId) -> String {
+pub fn entries_prefix(shard: ShardId) -> String {
     format!("log/{shard:04}/e/")
 }
 
@@ -37,7 +37,7 @@
 }
 
 /// Outcomes of one progress report.
-pub fn part(job: &JobId, chunk: u32, attempt: u32, part: u32) -> String {
+pub fn result_part(job: &JobId, chunk: u32, attempt: u32, part: u32) -> String {
     format!("result/{job}/{chunk:06}/{attempt:04}-{part:05}")
 }
 
@@ -52,10 +52,10 @@
 }
 
 /// Number of shards that the log was begun with.
-pub const SHARDS: &str = "log/shards";
+pub const SHARD_COUNT: &str = "log/shards";
 
 /// Prefix of the accepted changes.
-pub const CONFIG: &str = "config/e/";
+pub const CONFIG_PREFIX: &str = "config/e/";
 
 /// Lease of a target's controller.
 pub fn lease(target: &str) -> String {
--- a/crates/state/src/progress.rs
+++ b/crates/state/src/progress.rs
@@ -240,7 +240,7 @@
     }
 
     /// Gives up what isn't done when its time has passed.
-    pub fn on_time(&mut self, now: Millis) {
+    pub fn expire(&mut self, now: Millis) {
         if now < self.job.expires || self.ended {
             return;
         }
@@ -249,7 +249,7 @@
     }
 
     /// The job's route is gone: what isn't done can't be.
-    pub fn on_route_gone(&mut self) {
+    pub fn on_route_removed(&mut self) {
         let left: Vec<ItemId> = self.idle_items().map(|item| item.id.clone()).collect();
         left.iter().for_each(|item| self.give_up(item));
     }
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -67,7 +67,7 @@
     }
 
     /// Position of the next entry.
-    pub fn next(&self) -> u64 {
+    pub fn next_position(&self) -> u64 {
         self.next
     }
 
@@ -101,8 +101,8 @@
             Command::Progress { .. } => self.progress(batch, command),
             Command::Cancel { job } => self.cancel(batch, job),
             Command::Status { job } => Decision::Answer(self.status(job)),
-            Command::Results { job, from, most } => {
-                Decision::Answer(self.results(job, *from, *most))
+            Command::Results { job, from, limit } => {
+                Decision::Answer(self.results(job, *from, *limit))
             }
             Command::Archive { job } => self.archive(job),
         }
@@ -229,7 +229,7 @@
     }
 
     fn claim(&self, batch: &mut Batch, holder: u64, services: &[String], now: Millis) -> Decision {
-        let silent = now.saturating_sub(self.policy.claim.as_millis() as Millis);
+        let silent = now.saturating_sub(self.policy.claim_timeout.as_millis() as Millis);
         let Some(work) = self.jobs.next(services, &batch.chunks, silent) else {
             return Decision::Answer(Ok(Reply::NoWork));
         };
--- a/crates/state/src/shard/policy.rs
+++ b/crates/state/src/shard/policy.rs
@@ -8,7 +8,7 @@
     /// How long outcomes stay readable.
     pub retention: Duration,
     /// Silence of a chunk's holder after which the chunk goes out again.
-    pub claim: Duration,
+    pub claim_timeout: Duration,
     /// Test only: hand-outs don't fence the earlier ones.
     pub without_fencing: bool,
     /// Test only: claims of requests that may run once are not looked at.
@@ -19,7 +19,7 @@
     fn default() -> Policy {
         Policy {
             retention: Duration::from_secs(86_400),
-            claim: Duration::from_secs(15),
+            claim_timeout: Duration::from_secs(15),
             without_fencing: false,
             without_claims: false,
         }
--- a/crates/state/tests/model/main.rs
+++ b/crates/state/tests/model/main.rs
@@ -70,7 +70,7 @@
 }
 
 fn policy() -> Policy {
-    Policy { claim: Duration::from_secs(15), ..Policy::default() }
+    Policy { claim_timeout: Duration::from_secs(15), ..Policy::default() }
 }
 
 #[test]
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -67,7 +67,7 @@
 
     fn catch_up(&mut self, owner: usize) {
         let shard = &mut self.owners[owner];
-        while let Some(entry) = self.log.get(shard.next() as usize) {
+        while let Some(entry) = self.log.get(shard.next_position() as usize) {
             shard.apply(entry.clone(), self.now);
         }
     }
@@ -88,7 +88,7 @@
             };
             self.tokens += 1;
             let token = format!("{owner}-{}", self.tokens);
-            let append = Append::new(shard.next(), token.clone());
+            let append = Append::new(shard.next_position(), token.clone());
             let entry = Entry { token, at: self.now, records };
             match self.drive(&append, &entry, fate) {
                 Some(true) => {
@@ -199,7 +199,7 @@
             Command::Finish { key: format!("k{key}"), digest: 7, issued: 1_000_000, outcome };
         let answer = self.submit(owner, fate, &command);
         let position = match answer {
-            Some(Ok(Reply::Recorded)) => self.owners[owner].next() - 1,
+            Some(Ok(Reply::Recorded)) => self.owners[owner].next_position() - 1,
             Some(Ok(Reply::Duplicate { position })) => position,
             _ => return Ok(()),
         };
--- a/crates/state/tests/progress.rs
+++ b/crates/state/tests/progress.rs
@@ -69,9 +69,9 @@
     assert!(state.start_next().is_none());
     assert_eq!(state.waiting_tokens(), 0);
     let mut late = JobState::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
-    late.on_time(59_999);
+    late.expire(59_999);
     assert!(!late.is_done());
-    late.on_time(60_000);
+    late.expire(60_000);
     assert!(late.is_done());
     assert!(late.next_write().expect("results").outcomes.iter().all(|o| !o.is_complete));
 }
