--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -163,7 +163,7 @@
     ///
     /// The earliest due job goes first; within it, chunks in order. A chunk
     /// whose holder has been silent since before `silent` goes out again.
-    pub fn next(
+    pub fn next_chunk(
         &self,
         services: &[String],
         taken: &BTreeSet<ChunkId>,
@@ -171,10 +171,10 @@
     ) -> Option<ChunkAssignment> {
         let jobs = self.order.iter().filter_map(|(_, _, id)| self.jobs.get(id));
         let fitting = jobs.filter(|job| services.contains(&job.spec.service));
-        fitting.into_iter().find_map(|job| self.next_of(job, taken, silent))
+        fitting.into_iter().find_map(|job| self.next_chunk_of(job, taken, silent))
     }
 
-    fn next_of(
+    fn next_chunk_of(
         &self,
         job: &Job,
         taken: &BTreeSet<ChunkId>,
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -230,7 +230,7 @@
 
     fn claim(&self, batch: &mut Batch, holder: u64, services: &[String], now: Millis) -> Decision {
         let silent = now.saturating_sub(self.policy.claim_timeout.as_millis() as Millis);
-        let Some(work) = self.jobs.next(services, &batch.chunks, silent) else {
+        let Some(work) = self.jobs.next_chunk(services, &batch.chunks, silent) else {
             return Decision::Answer(Ok(Reply::NoWork));
         };
         if batch.cancelled.contains(&work.job) {
