--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -212,7 +212,7 @@
 ///
 /// # Errors
 ///
-/// [`Fault::Conflict`] if the job exists, else the error of the failed call.
+/// [`StoreError::Conflict`] if the job exists, else the error of the failed call.
 pub async fn create(node: &Node, job: &Job) -> Result<(Object, Overflow), Fault> {
     let most = share(node, SPEC_BYTES_RATIO);
     let runs = runs(&job.items, most);
@@ -241,7 +241,7 @@
 ///
 /// # Errors
 ///
-/// [`Fault::Conflict`] if the revision differs, else the error of the failed call.
+/// [`StoreError::Conflict`] if the revision differs, else the error of the failed call.
 pub async fn write(
     node: &Node,
     reason: CallReason,
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -218,7 +218,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::get`], and [`Fault::Away`] during a back-off.
+    /// As [`Store::get`], and [`StoreError::Unavailable`] during a back-off.
     pub async fn get(
         &self,
         reason: CallReason,
@@ -233,7 +233,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::list_all`], and [`Fault::Away`] during a back-off.
+    /// As [`Store::list_all`], and [`StoreError::Unavailable`] during a back-off.
     pub async fn list_all(&self, reason: CallReason, kind: &str) -> Result<Vec<Object>, Fault> {
         self.check_breaker(reason)?;
         let listing = self.record_result(self.store.list_all(kind).await)?;
@@ -245,7 +245,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::list`], and [`Fault::Away`] during a back-off.
+    /// As [`Store::list`], and [`StoreError::Unavailable`] during a back-off.
     pub async fn list(
         &self,
         reason: CallReason,
@@ -262,7 +262,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::create`], and [`Fault::Away`] during a back-off.
+    /// As [`Store::create`], and [`StoreError::Unavailable`] during a back-off.
     pub async fn create<T: Serialize>(
         &self,
         reason: CallReason,
@@ -278,7 +278,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::replace`], and [`Fault::Away`] during a back-off.
+    /// As [`Store::replace`], and [`StoreError::Unavailable`] during a back-off.
     pub async fn replace<T: Serialize>(
         &self,
         reason: CallReason,
@@ -294,7 +294,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::set_status`], and [`Fault::Away`] during a back-off.
+    /// As [`Store::set_status`], and [`StoreError::Unavailable`] during a back-off.
     pub async fn set_status<T: Serialize>(
         &self,
         reason: CallReason,
@@ -311,7 +311,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::delete`], and [`Fault::Away`] during a back-off.
+    /// As [`Store::delete`], and [`StoreError::Unavailable`] during a back-off.
     pub async fn delete(
         &self,
         reason: CallReason,
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -105,21 +105,21 @@
         &self.counts
     }
 
-    /// As [`Keyed::get`].
+    /// As [`KeyValueStore::get`].
     ///
     /// # Errors
     ///
-    /// As [`Keyed::get`]; here and below also [`Fault::Away`] when the duty is
+    /// As [`KeyValueStore::get`]; here and below also [`StoreError::Unavailable`] when the duty is
     /// overloaded or has ended.
     pub async fn get(&self, key: &str) -> Result<Option<Value>, Fault> {
         self.ask(self.limit, |answer| Call::Get(key.into(), answer)).await
     }
 
-    /// As [`Keyed::put`].
+    /// As [`KeyValueStore::put`].
     ///
     /// # Errors
     ///
-    /// As [`Keyed::put`].
+    /// As [`KeyValueStore::put`].
     pub async fn put(
         &self,
         key: &str,
@@ -129,30 +129,30 @@
         self.ask(self.limit, |answer| Call::Put(key.into(), value, condition, answer)).await
     }
 
-    /// As [`Keyed::delete`].
+    /// As [`KeyValueStore::delete`].
     ///
     /// # Errors
     ///
-    /// As [`Keyed::delete`].
+    /// As [`KeyValueStore::delete`].
     pub async fn delete(&self, key: &str) -> Result<(), Fault> {
         self.ask(self.limit, |answer| Call::Delete(key.into(), answer)).await
     }
 
-    /// As [`Keyed::keys`].
+    /// As [`KeyValueStore::keys`].
     ///
     /// # Errors
     ///
-    /// As [`Keyed::keys`].
+    /// As [`KeyValueStore::keys`].
     pub async fn keys(&self, prefix: &str) -> Result<Vec<String>, Fault> {
         let found = self.ask(self.limit, |answer| Call::Keys(prefix.into(), answer)).await?;
         Ok(found.keys)
     }
 
-    /// As [`Keyed::watch`].
+    /// As [`KeyValueStore::watch`].
     ///
     /// # Errors
     ///
-    /// As [`Keyed::watch`].
+    /// As [`KeyValueStore::watch`].
     pub async fn watch(
         &self,
         prefix: &str,
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -151,7 +151,7 @@
                     (true, _) => {}
                     (false, Some(_)) => drop(self.assigned.insert((id.clone(), index), now)),
                     (false, None) => {
-                        drop(self.unassigned.entry(id.clone()).or_default().insert(index))
+                        self.unassigned.entry(id.clone()).or_default().insert(index);
                     }
                 }
             }
