--- a/crates/daemon/src/append.rs
+++ b/crates/daemon/src/append.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use coordination::append_log::{Append, Step};
 use platform::key_value::Condition;
-use platform::store::Fault;
+use platform::store::StoreError;
 
 /// How an append ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,9 +38,9 @@
         if step == Step::RetryCreate {
             step = match store.put(key, value.clone(), Condition::Absent).await {
                 Ok(_) => append.on_created(),
-                Err(Fault::Conflict(_)) => append.on_exists(),
+                Err(StoreError::Conflict(_)) => append.on_exists(),
                 // Only a first create that was refused has surely had no effect.
-                Err(Fault::Away(text)) if !uncertain => return End::Refused(text),
+                Err(StoreError::Unavailable(text)) if !uncertain => return End::Refused(text),
                 Err(_) => append.on_unknown(),
             };
             uncertain = true;
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -10,7 +10,7 @@
 use coordination::membership::State;
 use coordination::retry::Failure;
 use platform::key_value::Condition;
-use platform::store::Fault;
+use platform::store::StoreError;
 use protocol::config::{Change, ConfigEntry, Document};
 use protocol::{Error, Generation, Kind};
 use state::object_key;
@@ -42,7 +42,7 @@
 /// # Errors
 ///
 /// How the platform failed.
-pub async fn read_platform(shared: &Shared) -> Result<(), Fault> {
+pub async fn read_platform(shared: &Shared) -> Result<(), StoreError> {
     if lock(&shared.chain).generation() == 0
         && let Some(found) = shared.store.get(SNAPSHOT).await?
         && let Ok(document) = serde_json::from_slice::<Document>(&found.bytes)
@@ -57,8 +57,8 @@
         let Some(found) = shared.store.get(&object_key::config(next)).await? else {
             return Ok(());
         };
-        let entry: ConfigEntry =
-            serde_json::from_slice(&found.bytes).map_err(|e| Fault::Lost(e.to_string()))?;
+        let entry: ConfigEntry = serde_json::from_slice(&found.bytes)
+            .map_err(|e| StoreError::OutcomeUnknown(e.to_string()))?;
         if shared.offer(entry) == EntryOrder::Gap {
             return Ok(());
         }
@@ -69,7 +69,7 @@
 const SNAPSHOT: &str = "config/snapshot";
 
 /// Test only: what a reader without the generation rule would do.
-async fn read_unguarded(shared: &Shared) -> Result<(), Fault> {
+async fn read_unguarded(shared: &Shared) -> Result<(), StoreError> {
     let keys = shared.store.keys(object_key::CONFIG_PREFIX).await?;
     let mut entries = Vec::new();
     for key in keys {
@@ -86,7 +86,7 @@
 
 /// Puts back entries that the platform has lost, as a restored replica would:
 /// whoever has a generation in force knows the entry that brought it.
-async fn heal(shared: &Shared) -> Result<(), Fault> {
+async fn heal(shared: &Shared) -> Result<(), StoreError> {
     let generation = lock(&shared.chain).generation();
     if generation == 0 || shared.store.get(&object_key::config(generation)).await?.is_some() {
         return Ok(());
@@ -101,7 +101,7 @@
         {
             Ok(_) => slog::warn!(shared.log, "configuration entry put back";
                 "generation" => entry.generation),
-            Err(Fault::Conflict(_)) => {}
+            Err(StoreError::Conflict(_)) => {}
             Err(fault) => return Err(fault),
         }
     }
@@ -164,7 +164,7 @@
     Error::new(Kind::StaleRevision, text)
 }
 
-fn away(fault: Fault) -> Error {
+fn away(fault: StoreError) -> Error {
     Error::new(Kind::PlatformUnavailable, fault.to_string())
 }
 
@@ -181,7 +181,7 @@
 /// Whether this instance has the same number of shards as the log was begun with.
 /// With another number it would look for keys where they are not, and run what
 /// has run. Whoever comes first writes the number down.
-async fn check_shards(shared: &Shared) -> Result<bool, Fault> {
+async fn check_shards(shared: &Shared) -> Result<bool, StoreError> {
     let own = shared.settings.shards.to_string();
     let known = match shared.store.get(object_key::SHARD_COUNT).await? {
         Some(found) => found.bytes,
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -10,7 +10,7 @@
 use super::node::Node;
 use coordination::hash;
 use platform::job;
-use platform::store::{Fault, Object};
+use platform::store::{Object, StoreError};
 use serde::{Deserialize, Serialize};
 use state::progress::{Holder, Item, Job, Outcome, Progress};
 
@@ -78,7 +78,7 @@
     /// An object can't be decoded, or an overflow object is missing.
     Malformed(String),
     /// A call of the platform failed.
-    Fault(Fault),
+    Fault(StoreError),
 }
 
 impl std::fmt::Display for LoadError {
@@ -213,7 +213,7 @@
 /// # Errors
 ///
 /// [`StoreError::Conflict`] if the job exists, else the error of the failed call.
-pub async fn create(node: &Node, job: &Job) -> Result<(Object, Overflow), Fault> {
+pub async fn create(node: &Node, job: &Job) -> Result<(Object, Overflow), StoreError> {
     let most = share(node, SPEC_BYTES_RATIO);
     let runs = runs(&job.items, most);
     let Some((first, rest)) = runs.split_first().filter(|(_, rest)| !rest.is_empty()) else {
@@ -249,7 +249,7 @@
     revision: u64,
     progress: &Progress,
     overflow: &Overflow,
-) -> Result<(Object, Overflow), Fault> {
+) -> Result<(Object, Overflow), StoreError> {
     let mut overflow = overflow.clone();
     let moved = count(&overflow.results).min(progress.outcomes.len());
     let mut left = &progress.outcomes[moved..];
@@ -318,11 +318,12 @@
     reason: CallReason,
     id: &str,
     run: &[T],
-) -> Result<OverflowObject, Fault> {
-    let text = serde_json::to_vec(run).map_err(|error| Fault::Away(error.to_string()))?;
+) -> Result<OverflowObject, StoreError> {
+    let text =
+        serde_json::to_vec(run).map_err(|error| StoreError::Unavailable(error.to_string()))?;
     let name = format!("{id}.{:016x}", hash::bytes(&text));
     match node.store.create(reason, job::PIECE_KIND, &name, &run).await {
-        Ok(_) | Err(Fault::Conflict(_)) => Ok(OverflowObject { name, count: run.len() }),
+        Ok(_) | Err(StoreError::Conflict(_)) => Ok(OverflowObject { name, count: run.len() }),
         Err(fault) => Err(fault),
     }
 }
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -9,7 +9,7 @@
 use crate::clock;
 use coordination::flush;
 use platform::job;
-use platform::store::{Fault, Object};
+use platform::store::{Object, StoreError};
 use state::progress::{Holder, Progress};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -135,7 +135,7 @@
             on_durable(node, held, &draft, object.revision);
             true
         }
-        Err(Fault::Conflict(found)) => {
+        Err(StoreError::Conflict(found)) => {
             let found = match found {
                 Some(object) => Ok(Some(*object)),
                 None => node.store.get(CallReason::Progress, job::KIND, &id).await,
@@ -150,7 +150,7 @@
             }
             true
         }
-        Err(Fault::Missing) => {
+        Err(StoreError::NotFound) => {
             slog::warn!(node.log, "job object missing"; "job" => &id, "revision" => revision);
             job_table::release(node, held);
             true
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -9,7 +9,7 @@
 use super::{broadcast, submit, takeover};
 use crate::clock;
 use hyper::{HeaderMap, Response};
-use platform::store::Fault;
+use platform::store::StoreError;
 use platform::{header, job};
 use protocol::{Error, Kind};
 use state::progress::{Handoff, Job, Outcome, Progress};
@@ -201,7 +201,7 @@
                 broadcast::send(node, update);
                 return true;
             }
-            Err(Fault::Conflict(_) | Fault::Lost(_)) => {}
+            Err(StoreError::Conflict(_) | StoreError::OutcomeUnknown(_)) => {}
             Err(_) => return false,
         }
     }
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -14,7 +14,7 @@
 use coordination::membership::Member;
 use coordination::quarantine::{CrashReport, Decision, TargetStart};
 use platform::quarantine::KIND;
-use platform::store::{Fault, Object};
+use platform::store::{Object, StoreError};
 use protocol::{Millis, RequestFingerprint};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -204,13 +204,13 @@
     let name = hex(content);
     let created = node.store.create(CallReason::Quarantine, KIND, &name, &entry).await;
     let result = match created {
-        Err(Fault::Conflict(_)) => {
+        Err(StoreError::Conflict(_)) => {
             node.store.replace(CallReason::Quarantine, KIND, &name, &entry).await
         }
         result => result,
     };
     slog::info!(node.log, "held request written down"; "content" => &name,
-        "strikes" => entry.strikes.len(), "fault" => result.as_ref().err().map(Fault::to_string));
+        "strikes" => entry.strikes.len(), "fault" => result.as_ref().err().map(StoreError::to_string));
     result.is_ok()
 }
 
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -7,7 +7,7 @@
 use crate::clock;
 use coordination::connectivity::{Policy, Tracker, Uptime};
 use coordination::retry;
-use platform::store::{Fault, Object, Page, Store, Unreadable};
+use platform::store::{Object, Page, Store, StoreError, Unreadable};
 use protocol::settings::Settings;
 use serde::Serialize;
 use slog::Logger;
@@ -155,7 +155,7 @@
     }
 
     /// Records a failed call and opens the breaker.
-    pub fn on_failure(&self, fault: &Fault, now: Instant) {
+    pub fn on_failure(&self, fault: &StoreError, now: Instant) {
         self.contact.borrow_mut().on_failure();
         let mut breaker = self.breaker.borrow_mut();
         breaker.failures += 1;
@@ -167,10 +167,12 @@
         }
     }
 
-    fn record_result<T>(&self, result: Result<T, Fault>) -> Result<T, Fault> {
+    fn record_result<T>(&self, result: Result<T, StoreError>) -> Result<T, StoreError> {
         let now = clock::now();
         match &result {
-            Err(fault @ (Fault::Away(_) | Fault::Lost(_))) => self.on_failure(fault, now),
+            Err(fault @ (StoreError::Unavailable(_) | StoreError::OutcomeUnknown(_))) => {
+                self.on_failure(fault, now)
+            }
             _ => self.on_response(now),
         }
         result
@@ -195,9 +197,9 @@
         }
     }
 
-    fn check_breaker(&self, reason: CallReason) -> Result<(), Fault> {
+    fn check_breaker(&self, reason: CallReason) -> Result<(), StoreError> {
         if self.is_backing_off(clock::now()) {
-            return Err(Fault::Away(String::from("backing off")));
+            return Err(StoreError::Unavailable(String::from("backing off")));
         }
         self.count_call(reason);
         Ok(())
@@ -209,7 +211,7 @@
     /// # Errors
     ///
     /// As [`Store::touch`].
-    pub async fn probe(&self, kind: &str, name: &str) -> Result<(), Fault> {
+    pub async fn probe(&self, kind: &str, name: &str) -> Result<(), StoreError> {
         self.count_call(CallReason::Probe);
         self.record_result(self.store.touch(kind, name).await)
     }
@@ -224,7 +226,7 @@
         reason: CallReason,
         kind: &str,
         name: &str,
-    ) -> Result<Option<Object>, Fault> {
+    ) -> Result<Option<Object>, StoreError> {
         self.check_breaker(reason)?;
         self.record_result(self.store.get(kind, name).await)
     }
@@ -234,7 +236,11 @@
     /// # Errors
     ///
     /// As [`Store::list_all`], and [`StoreError::Unavailable`] during a back-off.
-    pub async fn list_all(&self, reason: CallReason, kind: &str) -> Result<Vec<Object>, Fault> {
+    pub async fn list_all(
+        &self,
+        reason: CallReason,
+        kind: &str,
+    ) -> Result<Vec<Object>, StoreError> {
         self.check_breaker(reason)?;
         let listing = self.record_result(self.store.list_all(kind).await)?;
         self.log_undecodable(kind, &listing.unreadable);
@@ -251,7 +257,7 @@
         reason: CallReason,
         kind: &str,
         after: Option<&str>,
-    ) -> Result<Page, Fault> {
+    ) -> Result<Page, StoreError> {
         self.check_breaker(reason)?;
         let page = self.record_result(self.store.list(kind, after).await)?;
         self.log_undecodable(kind, &page.unreadable);
@@ -269,7 +275,7 @@
         kind: &str,
         name: &str,
         spec: &T,
-    ) -> Result<Object, Fault> {
+    ) -> Result<Object, StoreError> {
         self.check_breaker(reason)?;
         self.record_result(self.store.create(kind, name, spec).await)
     }
@@ -285,7 +291,7 @@
         kind: &str,
         name: &str,
         spec: &T,
-    ) -> Result<Object, Fault> {
+    ) -> Result<Object, StoreError> {
         self.check_breaker(reason)?;
         self.record_result(self.store.replace(kind, name, None, spec).await)
     }
@@ -302,7 +308,7 @@
         name: &str,
         revision: u64,
         status: &T,
-    ) -> Result<Object, Fault> {
+    ) -> Result<Object, StoreError> {
         self.check_breaker(reason)?;
         self.record_result(self.store.set_status(kind, name, revision, status).await)
     }
@@ -318,7 +324,7 @@
         kind: &str,
         name: &str,
         revision: Option<u64>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StoreError> {
         self.check_breaker(reason)?;
         self.record_result(self.store.delete(kind, name, revision).await)
     }
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -13,7 +13,7 @@
 use coordination::membership::Member;
 use hyper::{HeaderMap, Response};
 use platform::job;
-use platform::store::Fault;
+use platform::store::StoreError;
 use protocol::routing::Route;
 use protocol::{Error, Kind};
 use state::progress::{Handoff, Job, JobId, Progress};
@@ -203,17 +203,17 @@
                 job_table::notify_witnesses(node, &held).await;
                 return SubmitOutcome::Accepted;
             }
-            Err(Fault::Conflict(_)) => {
+            Err(StoreError::Conflict(_)) => {
                 spawn_local(notify_holder(node.clone(), job.id));
                 return SubmitOutcome::Accepted;
             }
-            Err(Fault::Lost(fault)) => {
+            Err(StoreError::OutcomeUnknown(fault)) => {
                 slog::info!(node.log, "submission outcome unknown";
                     "job" => &job.id, "fault" => fault);
                 is_outcome_unknown = true;
             }
-            Err(Fault::Away(_)) if !is_outcome_unknown => return SubmitOutcome::Refused,
-            Err(Fault::Rejected(fault)) => {
+            Err(StoreError::Unavailable(_)) if !is_outcome_unknown => return SubmitOutcome::Refused,
+            Err(StoreError::Rejected(fault)) => {
                 slog::warn!(node.log, "submission rejected by the platform";
                     "job" => &job.id, "fault" => fault);
                 return SubmitOutcome::TooLong;
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -14,7 +14,7 @@
 use coordination::hash;
 use coordination::membership::{Member, MemberTable, State};
 use platform::job;
-use platform::store::{Fault, Object};
+use platform::store::{Object, StoreError};
 use state::progress::{Handoff, Holder, JobId};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -257,7 +257,7 @@
     node: &Rc<Node>,
     id: &str,
     handoff: &Handoff,
-) -> Result<Option<Rc<HeldJob>>, Fault> {
+) -> Result<Option<Rc<HeldJob>>, StoreError> {
     let mut conflict = None;
     for _ in 0..MAX_ATTEMPTS {
         if let Some(held) = node.jobs.held_job(id) {
@@ -273,7 +273,7 @@
                 return Ok(Some(held));
             }
             Ok(None) => return Ok(None),
-            Err(fault @ Fault::Conflict(_)) => conflict = Some(fault),
+            Err(fault @ StoreError::Conflict(_)) => conflict = Some(fault),
             Err(fault) => return Err(fault),
         }
     }
@@ -282,7 +282,7 @@
 
 /// Writes this instance to the platform as the holder. `None` if another instance is, or if
 /// the job can't be decoded.
-async fn claim(node: &Rc<Node>, object: &Object) -> Result<Option<Rc<HeldJob>>, Fault> {
+async fn claim(node: &Rc<Node>, object: &Object) -> Result<Option<Rc<HeldJob>>, StoreError> {
     let mut stored_job = match job_store::read(node, CallReason::Takeover, object).await {
         Ok(stored_job) => stored_job,
         Err(LoadError::Fault(fault)) => return Err(fault),
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 use coordination::membership::{Member, State};
 use coordination::watch::{self, Candidate};
-use platform::store::{Fault, Listing, Object, Revision};
+use platform::store::{Listing, Object, Revision, StoreError};
 use platform::{config, decommission, instance, target};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -132,7 +132,7 @@
         let started_at = clock::now();
         let result = tokio::select! {
             result = list_or_watch(&node, topic, revision) => result,
-            () = node.store.disconnected() => Err(Fault::Lost(String::from("probe failed"))),
+            () = node.store.disconnected() => Err(StoreError::OutcomeUnknown(String::from("probe failed"))),
             () = role.lost() => continue,
             () = node.resumed.notified() => {
                 revision = None;
@@ -148,7 +148,7 @@
                     is_registered = register(&node).await;
                 }
             }
-            Err(Fault::HistoryGone) => {
+            Err(StoreError::HistoryCompacted) => {
                 slog::info!(node.log, "watch history expired"; "kind" => topic.kind(),
                     "revision" => revision);
                 revision = None;
@@ -171,7 +171,7 @@
 async fn on_watch_error(
     node: &Node,
     revision: Option<Revision>,
-    fault: &Fault,
+    fault: &StoreError,
     open_for: Duration,
     failures: u32,
 ) {
@@ -245,7 +245,7 @@
     node: &Rc<Node>,
     topic: Topic,
     revision: Option<Revision>,
-) -> Result<Revision, Fault> {
+) -> Result<Revision, StoreError> {
     let store = node.store.without_breaker();
     let Some(revision) = revision else {
         node.store.count_call(CallReason::Watch);
@@ -259,9 +259,9 @@
     let wait = topic.longest_wait();
     node.store.count_call(CallReason::Watch);
     let watch = store.watch(topic.kind(), revision, wait);
-    let changes = tokio::time::timeout(wait + PROBE_TIMEOUT, watch)
-        .await
-        .unwrap_or_else(|_| Err(Fault::Lost(String::from("the watch is overdue"))))?;
+    let changes = tokio::time::timeout(wait + PROBE_TIMEOUT, watch).await.unwrap_or_else(|_| {
+        Err(StoreError::OutcomeUnknown(String::from("the watch is overdue")))
+    })?;
     node.store.on_response(clock::now());
     node.store.log_undecodable(topic.kind(), &changes.unreadable);
     let is_unchanged = changes.changes.is_empty() && changes.unreadable.is_empty();
@@ -289,7 +289,7 @@
     Ok(revision)
 }
 
-async fn on_list(node: &Rc<Node>, topic: Topic, listing: Listing) -> Result<(), Fault> {
+async fn on_list(node: &Rc<Node>, topic: Topic, listing: Listing) -> Result<(), StoreError> {
     let objects = &listing.objects;
     match topic {
         Topic::Retirements => {
@@ -310,20 +310,26 @@
 }
 
 /// Reports a machine as empty: gateways keep nothing on it.
-async fn retire(node: &Rc<Node>, object: &Object) -> Result<(), Fault> {
+async fn retire(node: &Rc<Node>, object: &Object) -> Result<(), StoreError> {
     if decommission::Status::is_complete(object.status.get()) {
         return Ok(());
     }
     let status = &decommission::Status::EMPTY;
     let result = node
         .store
-        .set_status(CallReason::Retirement, decommission::KIND, &object.name, object.revision, status)
+        .set_status(
+            CallReason::Retirement,
+            decommission::KIND,
+            &object.name,
+            object.revision,
+            status,
+        )
         .await;
     slog::info!(node.log, "machine reported as empty"; "machine" => &object.name,
         "revision" => object.revision, "written" => result.is_ok());
     match result {
         // Another instance was faster, or the order was withdrawn.
-        Ok(_) | Err(Fault::Conflict(_) | Fault::Missing) => Ok(()),
+        Ok(_) | Err(StoreError::Conflict(_) | StoreError::NotFound) => Ok(()),
         Err(fault) => Err(fault),
     }
 }
@@ -335,7 +341,7 @@
     let peer = node.as_holder().address;
     let entry = instance::Entry { peer, data_centre: node.data_centre().clone() };
     match node.store.create(CallReason::Address, instance::KIND, name, &entry).await {
-        Ok(_) | Err(Fault::Conflict(_)) => true,
+        Ok(_) | Err(StoreError::Conflict(_)) => true,
         Err(fault) => {
             slog::info!(node.log, "instance registration failed"; "fault" => %fault);
             false
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use coordination::append_log::Append;
 use coordination::retry;
-use platform::store::Fault;
+use platform::store::StoreError;
 use protocol::{Error, Kind, Millis, ShardId};
 use state::command::{Answer, Command, Reply};
 use state::object_key;
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    fn on_fault(&mut self, fault: &Fault) -> Error {
+    fn on_fault(&mut self, fault: &StoreError) -> Error {
         self.failures += 1;
         let wait = self.backoff();
         away(&fault.to_string(), wait)
--- a/crates/daemon/src/shards/commit/housekeeping.rs
+++ b/crates/daemon/src/shards/commit/housekeeping.rs
@@ -7,7 +7,7 @@
 use crate::shards::{Item, is_gone, sweep};
 use bytes::Bytes;
 use platform::key_value::Condition;
-use platform::store::Fault;
+use platform::store::StoreError;
 use protocol::Millis;
 use state::command::Command;
 use state::object_key;
@@ -80,12 +80,12 @@
                 }
             }
             // Another owner's snapshot is as good as ours; read it next time.
-            Err(Fault::Conflict(_)) => self.loaded = None,
+            Err(StoreError::Conflict(_)) => self.loaded = None,
             Err(_) => {}
         }
     }
 
-    async fn write_snapshot(&self, loaded: &Loaded) -> Result<(Head, u64), Fault> {
+    async fn write_snapshot(&self, loaded: &Loaded) -> Result<(Head, u64), StoreError> {
         let shard = &loaded.shard;
         let name = format!("{:012}-{:016x}", shard.next_position(), self.shared.id);
         let mut segments = retained_segments(&loaded.head.segments, self.oldest());
--- a/crates/daemon/src/shards/load.rs
+++ b/crates/daemon/src/shards/load.rs
@@ -1,7 +1,7 @@
 //! Reads a shard from the platform: snapshot, segments, then the entries after.
 
 use crate::store::Handle;
-use platform::store::{Fault, Revision};
+use platform::store::{Revision, StoreError};
 use protocol::{Millis, ShardId};
 use state::object_key;
 use state::record::Entry;
@@ -31,7 +31,7 @@
     id: ShardId,
     policy: Policy,
     now: Millis,
-) -> Result<Loaded, Fault> {
+) -> Result<Loaded, StoreError> {
     let mut loaded = match store.get(&object_key::snapshot_head(id)).await? {
         None => Loaded { shard: Shard::new(id, policy), head: Head::default(), version: None },
         Some(found) => {
@@ -50,7 +50,7 @@
     head: Head,
     version: Revision,
     now: Millis,
-) -> Result<Loaded, Fault> {
+) -> Result<Loaded, StoreError> {
     let mut bytes = Vec::new();
     for part in 0..head.parts {
         bytes.extend_from_slice(
@@ -73,7 +73,7 @@
 /// # Errors
 ///
 /// How the platform failed; entries before that are applied.
-pub async fn catch_up(store: &Handle, shard: &mut Shard, now: Millis) -> Result<u64, Fault> {
+pub async fn catch_up(store: &Handle, shard: &mut Shard, now: Millis) -> Result<u64, StoreError> {
     let start = shard.next_position();
     loop {
         let first = shard.next_position();
@@ -91,17 +91,17 @@
     }
 }
 
-fn read(bytes: &[u8]) -> Result<Entry, Fault> {
-    Entry::decode(bytes).map_err(|error| Fault::Lost(error.to_string()))
+fn read(bytes: &[u8]) -> Result<Entry, StoreError> {
+    Entry::decode(bytes).map_err(|error| StoreError::OutcomeUnknown(error.to_string()))
 }
 
-async fn need(store: &Handle, key: &str) -> Result<bytes::Bytes, Fault> {
+async fn need(store: &Handle, key: &str) -> Result<bytes::Bytes, StoreError> {
     match store.get(key).await? {
         Some(object) => Ok(object.bytes),
-        None => Err(Fault::Lost(format!("`{key}` is missing"))),
+        None => Err(StoreError::OutcomeUnknown(format!("`{key}` is missing"))),
     }
 }
 
-fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Fault> {
-    serde_json::from_slice(bytes).map_err(|error| Fault::Lost(error.to_string()))
+fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, StoreError> {
+    serde_json::from_slice(bytes).map_err(|error| StoreError::OutcomeUnknown(error.to_string()))
 }
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -10,7 +10,7 @@
 use coordination::limit::TokenBucket;
 use platform::instance;
 use platform::key_value::{Changes, Condition, KeyValueStore, Value};
-use platform::store::{Fault, Revision, Store};
+use platform::store::{Revision, Store, StoreError};
 use platform::target;
 use protocol::TargetId;
 use slog::Logger;
@@ -62,14 +62,14 @@
 }
 
 enum Call {
-    Get(String, ReplySender<Result<Option<Value>, Fault>>),
-    Put(String, Bytes, Condition, ReplySender<Result<Revision, Fault>>),
-    Delete(String, ReplySender<Result<(), Fault>>),
-    Keys(String, ReplySender<Result<Changes, Fault>>),
-    Watch(String, Option<Revision>, Duration, ReplySender<Result<Changes, Fault>>),
-    Targets(ReplySender<Result<Vec<Listed>, Fault>>),
-    Instances(ReplySender<Result<Vec<SocketAddr>, Fault>>),
-    Register(String, instance::Entry, ReplySender<Result<(), Fault>>),
+    Get(String, ReplySender<Result<Option<Value>, StoreError>>),
+    Put(String, Bytes, Condition, ReplySender<Result<Revision, StoreError>>),
+    Delete(String, ReplySender<Result<(), StoreError>>),
+    Keys(String, ReplySender<Result<Changes, StoreError>>),
+    Watch(String, Option<Revision>, Duration, ReplySender<Result<Changes, StoreError>>),
+    Targets(ReplySender<Result<Vec<Listed>, StoreError>>),
+    Instances(ReplySender<Result<Vec<SocketAddr>, StoreError>>),
+    Register(String, instance::Entry, ReplySender<Result<(), StoreError>>),
 }
 
 /// The store, for the other duties.
@@ -84,17 +84,17 @@
     async fn ask<T>(
         &self,
         limit: Duration,
-        call: impl FnOnce(ReplySender<Result<T, Fault>>) -> Call,
-    ) -> Result<T, Fault> {
+        call: impl FnOnce(ReplySender<Result<T, StoreError>>) -> Call,
+    ) -> Result<T, StoreError> {
         self.counts.calls.fetch_add(1, Ordering::Relaxed);
         let result = match self.sender.call(limit, call).await {
             Ok(result) => result,
             Err(error) if error.kind == protocol::Kind::Undetermined => {
-                Err(Fault::Lost(error.message))
+                Err(StoreError::OutcomeUnknown(error.message))
             }
-            Err(error) => Err(Fault::Away(error.message)),
+            Err(error) => Err(StoreError::Unavailable(error.message)),
         };
-        if matches!(result, Err(Fault::Away(_) | Fault::Lost(_))) {
+        if matches!(result, Err(StoreError::Unavailable(_) | StoreError::OutcomeUnknown(_))) {
             self.counts.failed.fetch_add(1, Ordering::Relaxed);
         }
         result
@@ -111,7 +111,7 @@
     ///
     /// As [`KeyValueStore::get`]; here and below also [`StoreError::Unavailable`] when the duty is
     /// overloaded or has ended.
-    pub async fn get(&self, key: &str) -> Result<Option<Value>, Fault> {
+    pub async fn get(&self, key: &str) -> Result<Option<Value>, StoreError> {
         self.ask(self.limit, |answer| Call::Get(key.into(), answer)).await
     }
 
@@ -125,7 +125,7 @@
         key: &str,
         value: Bytes,
         condition: Condition,
-    ) -> Result<Revision, Fault> {
+    ) -> Result<Revision, StoreError> {
         self.ask(self.limit, |answer| Call::Put(key.into(), value, condition, answer)).await
     }
 
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// As [`KeyValueStore::delete`].
-    pub async fn delete(&self, key: &str) -> Result<(), Fault> {
+    pub async fn delete(&self, key: &str) -> Result<(), StoreError> {
         self.ask(self.limit, |answer| Call::Delete(key.into(), answer)).await
     }
 
@@ -143,7 +143,7 @@
     /// # Errors
     ///
     /// As [`KeyValueStore::keys`].
-    pub async fn keys(&self, prefix: &str) -> Result<Vec<String>, Fault> {
+    pub async fn keys(&self, prefix: &str) -> Result<Vec<String>, StoreError> {
         let found = self.ask(self.limit, |answer| Call::Keys(prefix.into(), answer)).await?;
         Ok(found.keys)
     }
@@ -158,7 +158,7 @@
         prefix: &str,
         revision: Option<Revision>,
         wait: Duration,
-    ) -> Result<Changes, Fault> {
+    ) -> Result<Changes, StoreError> {
         let limit = wait + self.limit;
         self.ask(limit, |answer| Call::Watch(prefix.into(), revision, wait, answer)).await
     }
@@ -168,7 +168,7 @@
     /// # Errors
     ///
     /// How the call failed.
-    pub async fn targets(&self) -> Result<Vec<Listed>, Fault> {
+    pub async fn targets(&self) -> Result<Vec<Listed>, StoreError> {
         self.ask(self.limit, Call::Targets).await
     }
 
@@ -177,7 +177,7 @@
     /// # Errors
     ///
     /// How the call failed.
-    pub async fn instances(&self) -> Result<Vec<SocketAddr>, Fault> {
+    pub async fn instances(&self) -> Result<Vec<SocketAddr>, StoreError> {
         self.ask(self.limit, Call::Instances).await
     }
 
@@ -186,7 +186,7 @@
     /// # Errors
     ///
     /// How the call failed.
-    pub async fn register(&self, name: &str, entry: instance::Entry) -> Result<(), Fault> {
+    pub async fn register(&self, name: &str, entry: instance::Entry) -> Result<(), StoreError> {
         self.ask(self.limit, |answer| Call::Register(name.into(), entry, answer)).await
     }
 }
@@ -270,15 +270,18 @@
 
     /// Makes a call, unless a test has cut the platform off, and notes whether the
     /// platform answers.
-    async fn note<T>(&self, call: impl Future<Output = Result<T, Fault>>) -> Result<T, Fault> {
+    async fn note<T>(
+        &self,
+        call: impl Future<Output = Result<T, StoreError>>,
+    ) -> Result<T, StoreError> {
         let result = if self.config.partition.is_unreachable(self.config.address, Instant::now()) {
-            Err(Fault::Away("cut off".into()))
+            Err(StoreError::Unavailable("cut off".into()))
         } else {
             call.await
         };
         let failures = self.failures.get();
         match &result {
-            Err(fault @ (Fault::Away(_) | Fault::Lost(_))) => {
+            Err(fault @ (StoreError::Unavailable(_) | StoreError::OutcomeUnknown(_))) => {
                 self.failures.set(failures + 1);
                 if failures == 0 {
                     slog::warn!(self.log, "platform lost"; "fault" => %fault);
@@ -293,7 +296,7 @@
         result
     }
 
-    async fn targets(&self) -> Result<Vec<Listed>, Fault> {
+    async fn targets(&self) -> Result<Vec<Listed>, StoreError> {
         let objects = self.keyed.store().list_all(target::KIND).await?.objects;
         let read = |object: &platform::store::Object| match target::decode(
             &object.name,
@@ -312,7 +315,7 @@
         Ok(objects.iter().filter_map(read).collect())
     }
 
-    async fn instances(&self) -> Result<Vec<SocketAddr>, Fault> {
+    async fn instances(&self) -> Result<Vec<SocketAddr>, StoreError> {
         let objects = self.keyed.store().list_all(instance::KIND).await?.objects;
         let read = |object: &platform::store::Object| match instance::decode(object.spec.get()) {
             Ok(entry) => Some(entry.peer),
@@ -325,11 +328,11 @@
         Ok(objects.iter().filter_map(read).collect())
     }
 
-    async fn register(&self, name: &str, entry: &instance::Entry) -> Result<(), Fault> {
+    async fn register(&self, name: &str, entry: &instance::Entry) -> Result<(), StoreError> {
         let store = self.keyed.store();
         match store.create(instance::KIND, name, entry).await {
             // An earlier start of this instance, perhaps at another address.
-            Err(Fault::Conflict(_)) => {
+            Err(StoreError::Conflict(_)) => {
                 store.replace(instance::KIND, name, None, entry).await.map(|_| ())
             }
             other => other.map(|_| ()),
