--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -130,7 +130,7 @@
             Err(revision) => mark_invalid(node, &object.name, revision, &mut learnt),
         }
     }
-    for name in listing.unreadable.iter().filter_map(|found| found.name.as_ref()) {
+    for name in listing.undecodable.iter().filter_map(|found| found.name.as_ref()) {
         mark_invalid(node, name, listing.revision, &mut learnt);
     }
     let listed = node.registry.borrow_mut().on_list(targets, listing.revision, regained, now);
@@ -168,7 +168,7 @@
             Err(revision) => mark_invalid(node, name, revision, &mut learnt),
         }
     }
-    let unreadable = changes.unreadable.iter().filter_map(|found| found.name.as_ref());
+    let unreadable = changes.undecodable.iter().filter_map(|found| found.name.as_ref());
     for name in unreadable.filter(|name| !latest.contains_key(*name)) {
         mark_invalid(node, name, changes.revision, &mut learnt);
     }
--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -103,7 +103,7 @@
     let id = header::text(&parts.headers, header::REQUEST_ID).to_owned();
     let Some(route) = config.table.route_for(&host, path) else {
         let query = parts.uri.query().unwrap_or_default();
-        let call = job::Call::parse(parts.method.as_str(), path, query);
+        let call = job::Request::parse(parts.method.as_str(), path, query);
         return match call {
             Some(call) if config.table.routes.iter().any(|route| route.host == host) => {
                 Ok(jobs::call(node, call, &parts.headers).await)
@@ -116,7 +116,7 @@
         };
     };
     let route = route.clone();
-    let wait = header::millis(&parts.headers, header::TIME_LEFT);
+    let wait = header::millis(&parts.headers, header::DEADLINE_MS);
     let until = started + wait.unwrap_or(route.timeout).min(route.timeout);
     let limit = config.table.limits.body_bytes;
     let body_timeout = wait.unwrap_or(MAX_BODY_TIMEOUT).min(MAX_BODY_TIMEOUT);
@@ -135,7 +135,7 @@
         return Ok(error_response(node, &id, &error));
     };
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
-    let headers = header::passed_on(&parts.headers);
+    let headers = header::end_to_end(&parts.headers);
     let is_retry = wait.is_some_and(|wait| node.is_retry(&route.name, wait));
     let method = parts.method;
     let call = CallerRequest { id, method, target, host, headers, body, is_retry, started, until };
@@ -175,7 +175,7 @@
     let mut response = text_response(status, &error.message);
     if let Some(after) = error.retry_after {
         let seconds = format!("{:.3}", after.as_secs_f64());
-        set_header(&mut response, header::COME_BACK, &seconds);
+        set_header(&mut response, header::RETRY_AFTER, &seconds);
     }
     if !id.is_empty() {
         set_header(&mut response, header::REQUEST_ID, id);
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -137,7 +137,7 @@
 /// Fingerprint of the equivalent online request.
 fn fingerprint_of(held: &HeldJob, item: &Item) -> RequestFingerprint {
     let state = held.state.borrow();
-    let body = job::body_of(&item.body).unwrap_or_default();
+    let body = job::decode_body(&item.body).unwrap_or_default();
     hash::request_fingerprint("POST", &state.job().host, &item.path, &body)
 }
 
@@ -238,14 +238,14 @@
     lease: &Lease,
     partial: &PartialOutput,
 ) -> Result<Request<Full<Bytes>>, String> {
-    let body = job::body_of(&item.body)?;
+    let body = job::decode_body(&item.body)?;
     let mut builder = Request::post(&item.path);
     for (name, value) in &item.headers {
         builder = builder.header(name, value);
     }
     builder = builder.header("host", host);
     builder = builder.header(header::REQUEST_ID, &item.id);
-    builder = builder.header(header::TARGET, &lease.grant.target);
+    builder = builder.header(header::EXPECTED_TARGET, &lease.grant.target);
     if let Some(last) = partial.last_event_id {
         builder = builder.header(header::LAST_EVENT_ID, last.to_string());
     }
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -120,9 +120,9 @@
                 return false;
             }
         };
-        let is_last =
-            !page.is_cut || !page.last.as_ref().is_some_and(|last| range.is_before_end(last));
-        after.clone_from(&page.last);
+        let is_last = !page.has_more
+            || !page.last_name.as_ref().is_some_and(|last| range.is_before_end(last));
+        after.clone_from(&page.last_name);
         let mut page_orphans: Vec<JobStatus> = Vec::new();
         for object in page.objects.iter().filter(|object| range.is_before_end(&object.name)) {
             jobs += 1;
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -193,7 +193,7 @@
     for object in overflow {
         let found = node
             .store
-            .get(reason, job::PIECE_KIND, &object.name)
+            .get(reason, job::OVERFLOW_KIND, &object.name)
             .await
             .map_err(LoadError::Fault)?;
         let Some(object) = found else {
@@ -278,7 +278,7 @@
     }
     for object in overflow.items.iter().chain(&overflow.results) {
         if let Err(fault) =
-            node.store.delete(CallReason::Expiry, job::PIECE_KIND, &object.name, None).await
+            node.store.delete(CallReason::Expiry, job::OVERFLOW_KIND, &object.name, None).await
         {
             slog::info!(node.log, "overflow object not deleted";
                 "piece" => &object.name, "fault" => %fault);
@@ -322,7 +322,7 @@
     let text =
         serde_json::to_vec(run).map_err(|error| StoreError::Unavailable(error.to_string()))?;
     let name = format!("{id}.{:016x}", hash::bytes(&text));
-    match node.store.create(reason, job::PIECE_KIND, &name, &run).await {
+    match node.store.create(reason, job::OVERFLOW_KIND, &name, &run).await {
         Ok(_) | Err(StoreError::Conflict(_)) => Ok(OverflowObject { name, count: run.len() }),
         Err(fault) => Err(fault),
     }
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -34,14 +34,14 @@
 const CONTENT_TYPE: &str = "content-type";
 
 /// Serves a call about a job.
-pub async fn call(node: &Rc<Node>, call: job::Call, headers: &HeaderMap) -> Response<Body> {
+pub async fn call(node: &Rc<Node>, call: job::Request, headers: &HeaderMap) -> Response<Body> {
     match call {
-        job::Call::Results { job, from } => {
+        job::Request::Results { job, from } => {
             let wait = header::millis(headers, header::WAIT_MS).unwrap_or_default();
             results(node, &job, from, wait.min(MAX_RESULTS_WAIT)).await
         }
-        job::Call::Body { job, item } => body(node, &job, &item).await,
-        job::Call::End { job } => end(node, &job).await,
+        job::Request::ItemBody { job, item } => body(node, &job, &item).await,
+        job::Request::End { job } => end(node, &job).await,
     }
 }
 
@@ -139,7 +139,7 @@
         Location::NotFound => None,
         Location::Reply(_) | Location::Unknown => return unavailable(node, id),
     };
-    match found.and_then(|text| job::body_of(&text).ok()) {
+    match found.and_then(|text| job::decode_body(&text).ok()) {
         Some(bytes) => {
             let mut response = Response::new(Body::Whole(bytes));
             set_header(&mut response, CONTENT_TYPE, "application/octet-stream");
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -178,7 +178,7 @@
 fn copy(head: &Parts) -> Response<()> {
     let mut response = Response::new(());
     *response.status_mut() = head.status;
-    *response.headers_mut() = header::passed_on(&head.headers);
+    *response.headers_mut() = header::end_to_end(&head.headers);
     response
 }
 
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -84,15 +84,15 @@
         let mut builder = Request::builder().method(call.method.clone()).uri(&call.target);
         if let Some(headers) = builder.headers_mut() {
             *headers = call.headers.clone();
-            headers.remove(header::TIME_LEFT);
-            headers.remove(header::TARGET);
+            headers.remove(header::DEADLINE_MS);
+            headers.remove(header::EXPECTED_TARGET);
             headers.remove("content-length");
             if after.is_some() {
                 headers.remove(header::LAST_EVENT_ID);
             }
         }
-        builder = builder.header(header::TIME_LEFT, left);
-        builder = builder.header(header::TARGET, &lease.grant.target);
+        builder = builder.header(header::DEADLINE_MS, left);
+        builder = builder.header(header::EXPECTED_TARGET, &lease.grant.target);
         if let Some(after) = after {
             builder = builder.header(header::LAST_EVENT_ID, after.to_string());
         }
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -7,7 +7,7 @@
 use crate::clock;
 use coordination::connectivity::{Policy, Tracker, Uptime};
 use coordination::retry;
-use platform::store::{Object, Page, Store, StoreError, Unreadable};
+use platform::store::{Object, Page, Store, StoreError, Undecodable};
 use protocol::settings::Settings;
 use serde::Serialize;
 use slog::Logger;
@@ -189,10 +189,10 @@
     }
 
     /// Logs objects that can't be decoded.
-    pub fn log_undecodable(&self, kind: &str, unreadable: &[Unreadable]) {
+    pub fn log_undecodable(&self, kind: &str, unreadable: &[Undecodable]) {
         for found in unreadable.iter().take(MAX_LOGGED_UNDECODABLE) {
             slog::warn!(self.log, "undecodable object"; "kind" => kind,
-                "name" => found.name.as_deref(), "fault" => &found.fault,
+                "name" => found.name.as_deref(), "fault" => &found.error,
                 "count" => unreadable.len());
         }
     }
@@ -213,7 +213,7 @@
     /// As [`Store::touch`].
     pub async fn probe(&self, kind: &str, name: &str) -> Result<(), StoreError> {
         self.count_call(CallReason::Probe);
-        self.record_result(self.store.touch(kind, name).await)
+        self.record_result(self.store.probe(kind, name).await)
     }
 
     /// As [`Store::get`].
@@ -243,7 +243,7 @@
     ) -> Result<Vec<Object>, StoreError> {
         self.check_breaker(reason)?;
         let listing = self.record_result(self.store.list_all(kind).await)?;
-        self.log_undecodable(kind, &listing.unreadable);
+        self.log_undecodable(kind, &listing.undecodable);
         Ok(listing.objects)
     }
 
@@ -260,7 +260,7 @@
     ) -> Result<Page, StoreError> {
         self.check_breaker(reason)?;
         let page = self.record_result(self.store.list(kind, after).await)?;
-        self.log_undecodable(kind, &page.unreadable);
+        self.log_undecodable(kind, &page.undecodable);
         Ok(page)
     }
 
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -251,7 +251,7 @@
         node.store.count_call(CallReason::Watch);
         let listing = store.list_all(topic.kind()).await?;
         node.store.on_response(clock::now());
-        node.store.log_undecodable(topic.kind(), &listing.unreadable);
+        node.store.log_undecodable(topic.kind(), &listing.undecodable);
         let revision = listing.revision;
         on_list(node, topic, listing).await?;
         return Ok(revision);
@@ -263,8 +263,8 @@
         Err(StoreError::OutcomeUnknown(String::from("the watch is overdue")))
     })?;
     node.store.on_response(clock::now());
-    node.store.log_undecodable(topic.kind(), &changes.unreadable);
-    let is_unchanged = changes.changes.is_empty() && changes.unreadable.is_empty();
+    node.store.log_undecodable(topic.kind(), &changes.undecodable);
+    let is_unchanged = changes.changes.is_empty() && changes.undecodable.is_empty();
     let revision = changes.revision;
     match topic {
         Topic::Retirements => {
@@ -314,7 +314,7 @@
     if decommission::Status::is_complete(object.status.get()) {
         return Ok(());
     }
-    let status = &decommission::Status::EMPTY;
+    let status = &decommission::Status::COMPLETE;
     let result = node
         .store
         .set_status(
