--- a/crates/daemon/src/shards/commit/housekeeping.rs
+++ b/crates/daemon/src/shards/commit/housekeeping.rs
@@ -31,7 +31,7 @@
             return;
         };
         let shared = self.shared.clone();
-        let reclaimed = loaded.shard.reclaim_expired(|holder| is_gone(&shared, holder));
+        let reclaimed = loaded.shard.reclaim_lost(|holder| is_gone(&shared, holder));
         if reclaimed {
             shared.tell_work(self.id, clock::millis());
         }
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -1,183 +1,184 @@
-//! What is asked of a shard, and its answers.
+//! Commands to a shard and their replies.
 
 use crate::part::ResultPartRef;
 use crate::record::{Disposition, JobSpec, StoredOutcome};
 use protocol::{Error, InstanceId, JobId, Millis, job};
 use serde::{Deserialize, Serialize};
 
-/// A command to the owner of a shard.
+/// A command to the instance that owns a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// A keyed request arrives.
+    /// A request with an idempotency key arrives.
     Begin {
-        /// Key, with the caller's scope.
+        /// Idempotency key, prefixed with the caller's scope.
         key: String,
-        /// Digest of the request.
+        /// Digest of the request; another digest under the same key is a conflict.
         digest: u64,
-        /// Whether it may run more than once.
+        /// Whether the request may run more than once.
         repeatable: bool,
         /// Id of this attempt.
         attempt: u64,
-        /// Time after which its answer isn't awaited.
+        /// Time after which the caller no longer waits for the response.
         deadline: Millis,
         /// When the key was issued.
         issued: Millis,
     },
-    /// A keyed request has an outcome.
+    /// A request with an idempotency key has an outcome.
     Finish {
-        /// Key, with the caller's scope.
+        /// Idempotency key, prefixed with the caller's scope.
         key: String,
-        /// Digest of the request.
+        /// Digest of the request; another digest under the same key is a conflict.
         digest: u64,
         /// When the key was issued.
         issued: Millis,
-        /// The outcome.
+        /// The outcome to store.
         outcome: StoredOutcome,
     },
-    /// A begun request was never sent.
+    /// A request that was begun was never sent to a target.
     Release {
-        /// Key, with the caller's scope.
+        /// Idempotency key, prefixed with the caller's scope.
         key: String,
-        /// Its attempt.
+        /// Attempt that is released.
         attempt: u64,
         /// When the key was issued.
         issued: Millis,
     },
-    /// A job whose chunks are written.
+    /// A job is accepted; its chunk objects are written already.
     Accept(JobSpec),
-    /// An instance has room for a chunk of one of these services.
+    /// An instance can run a chunk of one of these services.
     Claim {
-        /// Who asks.
+        /// The instance.
         holder: InstanceId,
-        /// Services it has room for.
+        /// Services that it has capacity for.
         services: Vec<String>,
     },
-    /// A holder reports on a chunk.
+    /// A holder reports progress on a chunk; also its heartbeat.
     Progress {
-        /// Job.
+        /// Job that the chunk belongs to.
         job: JobId,
-        /// Chunk.
+        /// Index of the chunk within the job.
         chunk: u32,
-        /// Its hand-out.
+        /// Assignment that the report belongs to.
         attempt: u32,
-        /// The object written, if there is news.
+        /// Result object that was written; `None` if there was nothing to write.
         part: Option<ResultPartRef>,
-        /// Items with an outcome in it.
+        /// Items with an outcome in the result object.
         done: u32,
-        /// Of those, failed.
+        /// Items among `done` that failed.
         failed: u32,
-        /// What becomes of the chunk.
+        /// What happens to the chunk next.
         #[serde(rename = "after")]
         disposition: Disposition,
     },
-    /// Stop a job.
+    /// Cancels a job.
     Cancel {
-        /// Job.
+        /// Job to cancel.
         job: JobId,
     },
-    /// Where a job stands.
+    /// Reads a job's status.
     Status {
-        /// Job.
+        /// Job to read.
         job: JobId,
     },
-    /// Where a job's results are.
+    /// Reads the locations of a job's results.
     Results {
-        /// Job.
+        /// Job to read.
         job: JobId,
-        /// First item wanted.
+        /// Index of the first item.
         from: u64,
-        /// Most items wanted.
+        /// Maximum number of items.
         #[serde(rename = "most")]
         limit: u64,
     },
-    /// A job's index is written.
+    /// The index object of a completed job is written.
     Archive {
-        /// Job.
+        /// Job that was indexed.
         job: JobId,
     },
 }
 
-/// Where the results of some items are.
+/// Locations of a chunk's results.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkResults {
-    /// Chunk.
+    /// Index of the chunk within the job.
     pub chunk: u32,
-    /// Its first item.
+    /// Index of the first item.
     pub start: u64,
-    /// Item after its last.
+    /// Index after the last item.
     pub end: u64,
-    /// Its result objects, in the order that counts.
+    /// Result objects in the order in which they were recorded.
     pub parts: Vec<ResultPartRef>,
 }
 
-/// A chunk that is handed out.
+/// A chunk that is assigned to a holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkAssignment {
-    /// Job.
+    /// Job that the chunk belongs to.
     pub job: JobId,
     /// Upload whose objects hold the items.
     pub upload: String,
     /// Service that runs the items.
     pub service: String,
-    /// Due time of the job.
+    /// Due time of the job; 0 when it has none.
     pub due: Millis,
-    /// Chunk.
+    /// Index of the chunk within the job.
     pub chunk: u32,
-    /// Number of this hand-out.
+    /// Number of this assignment, from 1.
     pub attempt: u32,
-    /// Result objects of earlier hand-outs.
+    /// Result objects of earlier assignments.
     pub parts: Vec<ResultPartRef>,
 }
 
-/// The owner's answer.
+/// Reply of a shard's owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
     /// The request may run.
     #[serde(rename = "go")]
     Proceed,
-    /// The request has an outcome, kept in this entry.
+    /// The request already has an outcome.
     #[serde(rename = "kept")]
     AlreadyFinished {
-        /// Position of the entry.
+        /// Position of the log entry that holds the outcome.
         position: u64,
     },
-    /// What was asked for is recorded.
+    /// The command is durably recorded.
     Recorded,
-    /// The outcome is recorded, but an earlier one counts, kept in this entry.
+    /// An earlier outcome of the request takes precedence over this one.
     #[serde(rename = "earlier")]
     Duplicate {
-        /// Position of the entry.
+        /// Position of the log entry that holds the earlier outcome.
         position: u64,
     },
     /// A chunk to run.
     Work(ChunkAssignment),
     /// No chunk to run now.
     NoWork,
-    /// The holder goes on.
+    /// The holder keeps the chunk.
     Continue,
-    /// The holder stops: the chunk is no longer its own, or the job is cancelled.
+    /// The holder must stop: the chunk was reassigned or the job cancelled.
     Stop,
-    /// Where a job stands.
+    /// Status of a job.
     Status(job::Status),
-    /// Where results are.
+    /// Locations of a job's results.
     Results {
-        /// Where the job stands.
+        /// Status of the job.
         status: job::Status,
-        /// Chunks of the items asked for; empty when `archived`.
+        /// Chunks that hold the requested items; empty when `archived`.
         #[serde(rename = "places")]
         chunks: Vec<ChunkResults>,
-        /// Whether the index object has the places.
+        /// Whether the locations are in the job's index object instead.
         archived: bool,
     },
 }
 
-/// An answer or an error of the closed list.
+/// Result of a command; the error kinds are those of the public API.
 pub type Answer = Result<Reply, Error>;
 
 impl Command {
-    /// The key or job that the command is about; its hash gives the shard.
+    /// Idempotency key or job id whose hash selects the shard; `None` for
+    /// commands that any shard can serve.
     pub fn routing_key(&self) -> Option<&str> {
         match self {
             Command::Begin { key, .. }
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -1,4 +1,5 @@
-//! Jobs of one shard and the chunks they are handed out in.
+//! Jobs of one shard, and the chunks in which their items are assigned to
+//! instances.
 
 use crate::command::{ChunkAssignment, ChunkResults};
 use crate::part::ResultPartRef;
@@ -8,35 +9,35 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A chunk of a job.
+/// State of one chunk of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Hand-outs so far.
+    /// Number of assignments so far; fences reports of earlier ones.
     pub attempt: u32,
-    /// Who runs it now.
+    /// Instance that runs it; `None` while it is unassigned or done.
     pub holder: Option<InstanceId>,
     /// Whether all its items have outcomes.
     pub done: bool,
-    /// Its result objects, in the order that counts.
+    /// Result objects in the order in which they were recorded.
     pub parts: Vec<ResultPartRef>,
 }
 
-/// A job.
+/// State of one job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What was accepted.
+    /// The job as it was accepted.
     pub spec: JobSpec,
-    /// Where it stands.
+    /// Running, finished or cancelled.
     pub phase: Phase,
-    /// Items with an outcome.
+    /// Number of items with an outcome.
     pub done: u64,
-    /// Of those, failed.
+    /// Number of items among `done` that failed.
     pub failed: u64,
-    /// Hand-outs in all.
+    /// Number of chunk assignments, repeated ones included.
     pub claims: u64,
     /// Its chunks; empty once the job is archived.
     pub chunks: Vec<Chunk>,
-    /// Whether the index object holds the chunks' parts.
+    /// Whether the index object holds the locations of the results.
     pub archived: bool,
 }
 
@@ -46,7 +47,7 @@
         Job { spec, phase: Phase::Running, done: 0, failed: 0, claims: 0, chunks, archived: false }
     }
 
-    /// Status as callers see it.
+    /// Status as the public API reports it.
     pub fn status(&self) -> Status {
         Status {
             job: self.spec.job.clone(),
@@ -60,18 +61,18 @@
         }
     }
 
-    /// First item of chunk `index`, and the item after its last.
-    pub fn span(&self, index: usize) -> (u64, u64) {
+    /// Index of the first item of chunk `index`, and the index after its last.
+    pub fn item_range(&self, index: usize) -> (u64, u64) {
         let starts = &self.spec.starts;
         let end = starts.get(index + 1).copied().unwrap_or(self.spec.items);
         (starts[index], end)
     }
 
-    /// Places of the chunks that hold items `from..from + most`.
-    pub fn chunk_results(&self, from: u64, most: u64) -> Vec<ChunkResults> {
-        let until = from.saturating_add(most);
-        let spans = (0..self.chunks.len()).map(|i| (i, self.span(i)));
-        let wanted = spans.filter(|(_, (start, end))| *start < until && *end > from);
+    /// Result locations of the chunks that overlap items `from..from + limit`.
+    pub fn chunk_results(&self, from: u64, limit: u64) -> Vec<ChunkResults> {
+        let until = from.saturating_add(limit);
+        let ranges = (0..self.chunks.len()).map(|i| (i, self.item_range(i)));
+        let wanted = ranges.filter(|(_, (start, end))| *start < until && *end > from);
         wanted
             .map(|(i, (start, end))| ChunkResults {
                 chunk: i as u32,
@@ -82,7 +83,7 @@
             .collect()
     }
 
-    fn work(&self, index: u32) -> ChunkAssignment {
+    fn assignment(&self, index: u32) -> ChunkAssignment {
         let chunk = &self.chunks[index as usize];
         ChunkAssignment {
             job: self.spec.job.clone(),
@@ -96,23 +97,23 @@
     }
 }
 
-/// A chunk, named.
+/// Job id and index of a chunk within the job.
 pub type ChunkId = (JobId, u32);
 
 /// All jobs of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Jobs {
     jobs: BTreeMap<JobId, Job>,
-    /// Running jobs by due time (none is last), then by acceptance.
-    order: BTreeSet<(Millis, Millis, JobId)>,
-    /// Chunks of running jobs that nobody runs.
+    /// Running jobs by due time (those without one last), then by acceptance.
+    by_due: BTreeSet<(Millis, Millis, JobId)>,
+    /// Chunks of running jobs without a holder.
     unassigned: BTreeMap<JobId, BTreeSet<u32>>,
-    /// Chunks that somebody runs, with the time of the last sign of life.
+    /// Chunks with a holder, and the time of its last heartbeat.
     assigned: BTreeMap<ChunkId, Millis>,
 }
 
 impl Jobs {
-    /// A job.
+    /// The job with this id, if the shard knows it.
     pub fn get(&self, job: &str) -> Option<&Job> {
         self.jobs.get(job)
     }
@@ -122,17 +123,17 @@
         self.jobs.values()
     }
 
-    /// Jobs that have ended but whose index isn't written.
+    /// Finished or cancelled jobs whose index isn't written yet.
     pub fn to_archive(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values().filter(|j| j.phase != Phase::Running && !j.archived)
     }
 
-    /// Whether any chunk waits to be run.
+    /// Whether any chunk of a running job has no holder.
     pub fn has_unassigned(&self) -> bool {
         !self.unassigned.is_empty()
     }
 
-    /// Jobs as a snapshot gives them; holders get a whole claim time from `now`.
+    /// Restores jobs from a snapshot; the claims of holders are renewed at `now`.
     pub fn restore(list: Vec<Job>, now: Millis) -> Jobs {
         let mut jobs = Jobs::default();
         for job in list {
@@ -144,7 +145,7 @@
     fn insert(&mut self, job: Job, now: Millis) {
         let id = job.spec.job.clone();
         if job.phase == Phase::Running {
-            self.order.insert(order_of(&job.spec));
+            self.by_due.insert(due_order(&job.spec));
             for (index, chunk) in job.chunks.iter().enumerate() {
                 let index = index as u32;
                 match (chunk.done, chunk.holder) {
@@ -159,71 +160,71 @@
         self.jobs.insert(id, job);
     }
 
-    /// The next chunk to hand out for one of `services`, leaving out `taken`.
+    /// The next chunk to assign for one of `services`, except `excluded` ones.
     ///
-    /// The earliest due job goes first; within it, chunks in order. A chunk
-    /// whose holder has been silent since before `silent` goes out again.
+    /// Jobs are served by due time, and chunks within a job in order. A chunk
+    /// whose last heartbeat is older than `stale_before` is assigned again.
     pub fn next_chunk(
         &self,
         services: &[String],
-        taken: &BTreeSet<ChunkId>,
-        silent: Millis,
+        excluded: &BTreeSet<ChunkId>,
+        stale_before: Millis,
     ) -> Option<ChunkAssignment> {
-        let jobs = self.order.iter().filter_map(|(_, _, id)| self.jobs.get(id));
-        let fitting = jobs.filter(|job| services.contains(&job.spec.service));
-        fitting.into_iter().find_map(|job| self.next_chunk_of(job, taken, silent))
+        let jobs = self.by_due.iter().filter_map(|(_, _, id)| self.jobs.get(id));
+        let matching = jobs.filter(|job| services.contains(&job.spec.service));
+        matching.into_iter().find_map(|job| self.next_chunk_of(job, excluded, stale_before))
     }
 
     fn next_chunk_of(
         &self,
         job: &Job,
-        taken: &BTreeSet<ChunkId>,
-        silent: Millis,
+        excluded: &BTreeSet<ChunkId>,
+        stale_before: Millis,
     ) -> Option<ChunkAssignment> {
         let id = &job.spec.job;
-        let is_free = |chunk: &u32| !taken.contains(&(id.clone(), *chunk));
-        let open = self.unassigned.get(id).and_then(|set| set.iter().copied().find(is_free));
-        let lapsed = || {
+        let is_free = |chunk: &u32| !excluded.contains(&(id.clone(), *chunk));
+        let unassigned = self.unassigned.get(id).and_then(|set| set.iter().copied().find(is_free));
+        let expired = || {
             let range = self.assigned.range((id.clone(), 0)..=(id.clone(), u32::MAX));
-            let silent = range.filter(|(_, heard)| **heard < silent).map(|((_, c), _)| *c);
-            silent.into_iter().find(is_free)
+            let stale = range.filter(|(_, at)| **at < stale_before).map(|((_, c), _)| *c);
+            stale.into_iter().find(is_free)
         };
-        open.or_else(lapsed).map(|chunk| job.work(chunk))
+        unassigned.or_else(expired).map(|chunk| job.assignment(chunk))
     }
 
-    /// A holder gave a sign of life.
+    /// Records a heartbeat of a chunk's holder.
     pub fn on_heartbeat(&mut self, job: &str, chunk: u32, now: Millis) {
-        if let Some(heard) = self.assigned.get_mut(&(job.to_owned(), chunk)) {
-            *heard = now;
+        if let Some(last_heartbeat) = self.assigned.get_mut(&(job.to_owned(), chunk)) {
+            *last_heartbeat = now;
         }
     }
 
-    /// Chunks of holders that are known to be gone may go out at once.
-    /// Returns whether there were any that hadn't been found before.
-    pub fn reclaim_expired(&mut self, is_gone: impl Fn(InstanceId) -> bool) -> bool {
+    /// Lets chunks of lost holders be assigned again at once, without waiting
+    /// for the claim timeout. Returns whether any chunk was newly reclaimed.
+    pub fn reclaim_lost(&mut self, is_lost: impl Fn(InstanceId) -> bool) -> bool {
         let jobs = &self.jobs;
         let holder = |(job, chunk): &ChunkId| {
             let chunk = jobs.get(job).and_then(|j| j.chunks.get(*chunk as usize));
             chunk.and_then(|c| c.holder)
         };
-        let gone = |id: &ChunkId| holder(id).is_some_and(&is_gone);
-        let found = self.assigned.iter_mut().filter(|(id, heard)| **heard > 0 && gone(id));
-        found.map(|(_, heard)| *heard = 0).count() > 0
+        let lost = |id: &ChunkId| holder(id).is_some_and(&is_lost);
+        let found = self.assigned.iter_mut().filter(|(id, at)| **at > 0 && lost(id));
+        found.map(|(_, at)| *at = 0).count() > 0
     }
 
-    /// Holders couldn't report until now: each gets a whole claim time again.
+    /// Renews the claims of all holders, after a time in which none could report.
     pub fn renew_leases(&mut self, now: Millis) {
-        self.assigned.values_mut().for_each(|heard| *heard = now);
+        self.assigned.values_mut().for_each(|last_heartbeat| *last_heartbeat = now);
     }
 
-    /// Folds an acceptance; the first one counts.
+    /// Applies an acceptance; a repeated one has no effect.
     pub fn on_accepted(&mut self, spec: JobSpec, now: Millis) {
         if !self.jobs.contains_key(&spec.job) {
             self.insert(Job::new(spec), now);
         }
     }
 
-    /// Folds a hand-out.
+    /// Applies an assignment.
     pub fn on_assigned(
         &mut self,
         job: &str,
@@ -241,17 +242,18 @@
         entry.attempt = attempt;
         entry.holder = Some(holder);
         found.claims += 1;
-        self.take_open(job, chunk);
+        self.remove_unassigned(job, chunk);
         self.assigned.insert((job.to_owned(), chunk), now);
     }
 
-    /// Folds a progress report.
+    /// Applies a progress report; `counts` are items with an outcome and failed
+    /// ones among them.
     pub fn on_progressed(
         &mut self,
         id: &ChunkId,
         part: Option<ResultPartRef>,
         counts: (u32, u32),
-        after: Disposition,
+        disposition: Disposition,
         now: Millis,
     ) {
         let (job, chunk) = id;
@@ -264,7 +266,7 @@
         entry.parts.extend(part);
         found.done += u64::from(counts.0);
         found.failed += u64::from(counts.1);
-        match after {
+        match disposition {
             Disposition::Continue => drop(self.assigned.insert(id.clone(), now)),
             Disposition::Release => {
                 entry.holder = None;
@@ -275,22 +277,22 @@
                 entry.holder = None;
                 entry.done = true;
                 self.assigned.remove(id);
-                self.end_if_done(job);
+                self.finish_if_complete(job);
             }
         }
     }
 
-    /// Folds a cancel; one that comes after the end changes nothing.
+    /// Applies a cancellation; it has no effect once the job has ended.
     pub fn on_cancelled(&mut self, job: &str) {
         if let Some(found) = self.jobs.get_mut(job)
             && found.phase == Phase::Running
         {
             found.phase = Phase::Cancelled;
-            self.close(job);
+            self.dequeue(job);
         }
     }
 
-    /// Folds the note that the index is written.
+    /// Records that the index is written, and drops the chunks it replaces.
     pub fn on_archived(&mut self, job: &str) {
         if let Some(found) = self.jobs.get_mut(job) {
             found.archived = true;
@@ -298,8 +300,8 @@
         }
     }
 
-    /// Forgets jobs accepted before `before` that have ended, and gives them back
-    /// so that their objects can be deleted.
+    /// Removes archived jobs that were accepted before `before`, and returns them
+    /// so that the caller can delete their objects.
     pub fn expire(&mut self, before: Millis) -> Vec<Job> {
         let is_old = |job: &Job| job.archived && job.spec.at < before;
         let old: Vec<JobId> =
@@ -307,25 +309,25 @@
         old.iter().filter_map(|id| self.jobs.remove(id)).collect()
     }
 
-    fn end_if_done(&mut self, job: &str) {
+    fn finish_if_complete(&mut self, job: &str) {
         let Some(found) = self.jobs.get_mut(job) else {
             return;
         };
         if found.phase == Phase::Running && found.chunks.iter().all(|c| c.done) {
             found.phase = Phase::Finished;
-            self.close(job);
+            self.dequeue(job);
         }
     }
 
-    fn close(&mut self, job: &str) {
+    fn dequeue(&mut self, job: &str) {
         if let Some(found) = self.jobs.get(job) {
-            self.order.remove(&order_of(&found.spec));
+            self.by_due.remove(&due_order(&found.spec));
         }
         self.unassigned.remove(job);
         self.assigned.retain(|(id, _), _| id != job);
     }
 
-    fn take_open(&mut self, job: &str, chunk: u32) {
+    fn remove_unassigned(&mut self, job: &str, chunk: u32) {
         if let Some(set) = self.unassigned.get_mut(job) {
             set.remove(&chunk);
             if set.is_empty() {
@@ -335,7 +337,7 @@
     }
 }
 
-fn order_of(spec: &JobSpec) -> (Millis, Millis, JobId) {
+fn due_order(spec: &JobSpec) -> (Millis, Millis, JobId) {
     let due = if spec.due == 0 { Millis::MAX } else { spec.due };
     (due, spec.at, spec.job.clone())
 }
--- a/crates/state/src/progress.rs
+++ b/crates/state/src/progress.rs
@@ -1,25 +1,24 @@
-//! The life of one batch job, from its acceptance to its last result.
+//! State machine of one batch job, from its acceptance to its last result.
 //!
-//! A [`Job`] never changes once it is accepted. What happens to it is its
-//! [`Progress`]: who holds it, which results are listed, how often items failed,
-//! whether it was ended. Both lie on the platform, in one object for each job,
-//! and each change of the progress is a write on the condition that nobody else
-//! has written since. A [`JobState`] is the holder's copy: the progress that is
-//! durable, what came after it, and what runs.
+//! A [`Job`] is immutable once it is accepted. Its [`Progress`] is its mutable
+//! part: holder, results, failure counts, whether its submitter ended it. Both
+//! are stored in one object of the platform, and the progress is written by
+//! compare-and-swap. A [`JobState`] is the holder's in-memory copy: the durable
+//! progress, changes that aren't written yet, and the running items.
 //!
-//! Nothing here reads or writes; the present time is an argument.
+//! This module does no I/O; the current time is passed in.
 //!
 //! ```
-//! use state::progress::{Job, Outcome, Progress, JobState};
+//! use state::progress::{Job, JobState, Outcome, Progress};
 //!
 //! let job = Job::example("7c41", &["a", "b"]);
 //! let mut state = JobState::new(job, Progress::default(), 3);
 //! assert_eq!(state.start_next().map(|item| item.id.clone()), Some("a".into()));
 //! state.on_done("a", Outcome { item: "a".into(), is_complete: true, text: "x".into() });
-//! assert!(state.listed().is_empty(), "listed only once it is durable");
-//! let draft = state.draft().unwrap();
-//! state.on_durable(&draft);
-//! assert_eq!(state.listed().len(), 1);
+//! assert!(state.durable_results().is_empty(), "a result is listed only once it is durable");
+//! let progress = state.next_write().unwrap();
+//! state.on_written(&progress);
+//! assert_eq!(state.durable_results().len(), 1);
 //! ```
 
 mod handoff;
@@ -32,27 +31,27 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// The holder's copy of a job.
+/// The holder's in-memory state of a job.
 #[derive(Clone, Debug)]
 pub struct JobState {
     job: Arc<Job>,
     durable: Progress,
-    /// Results that are not durable yet.
+    /// Results that are not durable yet, oldest first.
     unwritten: Vec<Outcome>,
     failures: BTreeMap<ItemId, FailureCount>,
     ended: bool,
     running: HashSet<ItemId>,
-    /// Items that may not run now, though nothing else stands against it.
+    /// Items that must not run until [`JobState::on_released`].
     withheld: HashSet<ItemId>,
     partials: HashMap<ItemId, PartialOutput>,
     done: HashSet<ItemId>,
-    attempts: u32,
+    max_attempts: u32,
 }
 
 impl JobState {
-    /// A copy of what is durable; `attempts` failed runs make an item fail for
-    /// good.
-    pub fn new(job: Job, durable: Progress, attempts: u32) -> JobState {
+    /// State after loading `durable`; an item fails permanently after
+    /// `max_attempts` failed runs (at least one).
+    pub fn new(job: Job, durable: Progress, max_attempts: u32) -> JobState {
         let done = durable.outcomes.iter().map(|outcome| outcome.item.clone()).collect();
         JobState {
             job: Arc::new(job),
@@ -63,27 +62,27 @@
             withheld: HashSet::new(),
             partials: HashMap::new(),
             done,
-            attempts: attempts.max(1),
+            max_attempts: max_attempts.max(1),
             durable,
         }
     }
 
-    /// The job.
+    /// The job as it was accepted.
     pub fn job(&self) -> &Arc<Job> {
         &self.job
     }
 
-    /// Results that are durable, in the order of their positions.
+    /// Durable results, in the order of their positions.
     pub fn durable_results(&self) -> &[Outcome] {
         &self.durable.outcomes
     }
 
-    /// Whether its submitter ended it.
+    /// Whether its submitter ended the job, durably or not.
     pub fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// Whether its end is durable.
+    /// Whether the end of the job is durable.
     pub fn is_end_durable(&self) -> bool {
         self.durable.ended
     }
@@ -93,28 +92,28 @@
         self.done.len() >= self.job.items.len()
     }
 
-    /// Whether every item has a result that is durable.
+    /// Whether every item has a durable result.
     pub fn is_all_durable(&self) -> bool {
         self.durable.outcomes.len() >= self.job.items.len()
     }
 
-    /// Whether nothing is left to run or to write.
+    /// Whether nothing remains to run or to write.
     pub fn is_finished(&self) -> bool {
-        let nothing_left = self.is_done() || self.ended;
-        nothing_left && self.running.is_empty() && self.next_write().is_none()
+        let nothing_remaining = self.is_done() || self.ended;
+        nothing_remaining && self.running.is_empty() && self.next_write().is_none()
     }
 
-    /// Results that are not durable yet.
+    /// Number of results that are not durable yet.
     pub fn unwritten(&self) -> usize {
         self.unwritten.len()
     }
 
-    /// Whether an item that failed for good is among them.
+    /// Whether an item failed permanently and that result is not durable yet.
     pub fn has_unwritten_failure(&self) -> bool {
         self.unwritten.iter().any(|outcome| !outcome.is_complete)
     }
 
-    /// Tokens of the items without a result; none once the job has ended.
+    /// Total tokens of the items without a result; 0 once the job has ended.
     pub fn waiting_tokens(&self) -> u64 {
         if self.ended {
             return 0;
@@ -123,17 +122,17 @@
         waiting.map(|item| item.tokens).sum()
     }
 
-    /// Items that could run now.
+    /// Number of items that could run now.
     pub fn runnable(&self) -> usize {
-        if self.ended { 0 } else { self.free_items().count() }
+        if self.ended { 0 } else { self.runnable_items().count() }
     }
 
-    /// Items that could run now and were stopped in an earlier run.
+    /// Number of items that could run now and have output of an earlier run.
     pub fn started(&self) -> usize {
         if self.ended {
             0
         } else {
-            self.free_items().filter(|item| self.event_count(&item.id) > 0).count()
+            self.runnable_items().filter(|item| self.event_count(&item.id) > 0).count()
         }
     }
 
@@ -142,50 +141,52 @@
         self.job.items.iter().filter(idle)
     }
 
-    fn free_items(&self) -> impl Iterator<Item = &Item> {
+    fn runnable_items(&self) -> impl Iterator<Item = &Item> {
         self.idle_items().filter(|item| !self.withheld.contains(&item.id))
     }
 
-    /// The next item to run: the one that has made most, since least of it is left.
+    /// The next item to run: the one with the most events, as it has the least
+    /// work remaining.
     fn next_item(&self) -> Option<&Item> {
-        let runnable = self.free_items().filter(|_| !self.ended);
+        let runnable = self.runnable_items().filter(|_| !self.ended);
         runnable.min_by_key(|item| Reverse(self.event_count(&item.id)))
     }
 
-    /// Events that earlier runs of an item have made.
+    /// Number of events that earlier runs of an item produced.
     fn event_count(&self, item: &str) -> usize {
         self.partials.get(item).map_or(0, |partial| partial.events.len())
     }
 
-    /// Events that the next item to run has made already; `None` if none is left.
+    /// Number of events that earlier runs of the next item produced; `None` if no
+    /// item can run.
     pub fn next_event_count(&self) -> Option<usize> {
         self.next_item().map(|item| self.event_count(&item.id))
     }
 
-    /// Takes the next item to run.
+    /// Marks the next item as running and returns it; `None` if no item can run.
     pub fn start_next(&mut self) -> Option<Item> {
         let item = self.next_item()?.clone();
         self.running.insert(item.id.clone());
         Some(item)
     }
 
-    /// What an earlier run of the item has made.
+    /// Output of earlier runs of the item; empty if there is none.
     pub fn partial(&self, item: &str) -> PartialOutput {
         self.partials.get(item).cloned().unwrap_or_default()
     }
 
-    /// An item that was taken to run must not run for a while.
+    /// Withholds an item that was started until [`JobState::on_released`].
     pub fn withhold(&mut self, item: &str) {
         self.running.remove(item);
         self.withheld.insert(item.to_owned());
     }
 
-    /// An item that was withheld may run again.
+    /// Makes a withheld item runnable again.
     pub fn on_released(&mut self, item: &str) {
         self.withheld.remove(item);
     }
 
-    /// A run was stopped or broke off before its end.
+    /// Records a run that was preempted or interrupted, with its output so far.
     pub fn on_stopped(&mut self, item: &str, partial: PartialOutput) {
         self.running.remove(item);
         if !partial.events.is_empty() && !self.done.contains(item) {
@@ -193,7 +194,7 @@
         }
     }
 
-    /// A run came to its end.
+    /// Records a run that completed.
     pub fn on_done(&mut self, item: &str, outcome: Outcome) {
         self.running.remove(item);
         self.record_outcome(outcome);
@@ -214,69 +215,69 @@
         self.failures.contains_key(item)
     }
 
-    /// A run failed; the item fails for good after its last attempt.
+    /// Records a run that failed; after its last attempt the item fails
+    /// permanently.
     pub fn on_failed(&mut self, item: &str, failure: Failure) {
         self.running.remove(item);
-        // A run that failed says nothing about what it had made.
+        // The output of a failed run can't be relied on.
         self.partials.remove(item);
         let count = self.failures.entry(item.to_owned()).or_default();
         match failure {
             Failure::Retryable => count.runs += 1,
             Failure::Permanent => count.is_permanent = true,
         }
-        self.give_up_if_spent(item);
+        self.fail_if_exhausted(item);
     }
 
-    fn give_up_if_spent(&mut self, item: &str) {
+    fn fail_if_exhausted(&mut self, item: &str) {
         let count = self.failures.get(item).copied().unwrap_or_default();
-        if count.is_permanent || count.runs >= self.attempts {
-            self.give_up(item);
+        if count.is_permanent || count.runs >= self.max_attempts {
+            self.fail_item(item);
         }
     }
 
-    fn give_up(&mut self, item: &str) {
+    fn fail_item(&mut self, item: &str) {
         let outcome = Outcome { item: item.to_owned(), is_complete: false, text: String::new() };
         self.record_outcome(outcome);
     }
 
-    /// Gives up what isn't done when its time has passed.
+    /// Fails the items that aren't running once the job has expired.
     pub fn expire(&mut self, now: Millis) {
         if now < self.job.expires || self.ended {
             return;
         }
-        let late: Vec<ItemId> = self.idle_items().map(|item| item.id.clone()).collect();
-        late.iter().for_each(|item| self.give_up(item));
+        let expired: Vec<ItemId> = self.idle_items().map(|item| item.id.clone()).collect();
+        expired.iter().for_each(|item| self.fail_item(item));
     }
 
-    /// The job's route is gone: what isn't done can't be.
+    /// Fails the items that aren't running, since the job's route was removed.
     pub fn on_route_removed(&mut self) {
-        let left: Vec<ItemId> = self.idle_items().map(|item| item.id.clone()).collect();
-        left.iter().for_each(|item| self.give_up(item));
+        let remaining: Vec<ItemId> = self.idle_items().map(|item| item.id.clone()).collect();
+        remaining.iter().for_each(|item| self.fail_item(item));
     }
 
-    /// Its submitter ends the job.
+    /// Ends the job on behalf of its submitter: no item is started any more.
     pub fn end(&mut self) {
         self.ended = true;
     }
 
-    /// The progress to write next; `None` when all is durable. Failures alone
-    /// are not worth a write: they go along with the next results, or when a
-    /// failure is the only thing that has happened, with [`JobState::failures_due`].
+    /// The progress to write next; `None` when all results are durable. Failure
+    /// counts alone cause no write, see [`JobState::has_unwritten_failures`].
     pub fn next_write(&self) -> Option<Progress> {
         if self.has_unwritten() { Some(self.to_progress()) } else { None }
     }
 
-    /// Whether there is anything to write.
+    /// Whether a result or the end of the job isn't durable yet.
     pub fn has_unwritten(&self) -> bool {
         !self.unwritten.is_empty() || self.ended != self.durable.ended
     }
 
-    /// Whether failures have been counted that no write has carried yet.
+    /// Whether the failure counts differ from the durable ones.
     pub fn has_unwritten_failures(&self) -> bool {
         self.failures != self.durable.failures
     }
 
-    /// The progress with all that is known here.
+    /// The progress with all changes that aren't written yet.
     pub fn to_progress(&self) -> Progress {
         let mut outcomes = self.durable.outcomes.clone();
         outcomes.extend(self.unwritten.iter().cloned());
@@ -288,27 +289,29 @@
         }
     }
 
-    /// A progress made from this state was written.
+    /// Records that `written`, taken from this state, is durable.
     pub fn on_written(&mut self, written: &Progress) {
-        let listed: HashSet<&str> = written.outcomes.iter().map(|o| o.item.as_str()).collect();
-        self.unwritten.retain(|outcome| !listed.contains(outcome.item.as_str()));
+        let durable_items: HashSet<&str> =
+            written.outcomes.iter().map(|o| o.item.as_str()).collect();
+        self.unwritten.retain(|outcome| !durable_items.contains(outcome.item.as_str()));
         self.durable = written.clone();
     }
 
-    /// Another instance has written: its results stand, in its order. Results
-    /// made here that it doesn't have follow behind them, unless it has ended the
-    /// job: a durable end closes the list, so that whoever has read an ended job
-    /// shows the same results ever after.
+    /// Merges `found`, which another instance has written in the meantime. Its
+    /// results keep their positions, and unwritten results of other items follow
+    /// them, unless `found` has ended the job: then the list of results is final,
+    /// so that every reader of an ended job sees the same results.
     pub fn on_conflict(&mut self, found: Progress) {
         if found.ended {
             self.unwritten.clear();
         }
-        let listed: HashSet<ItemId> = found.outcomes.iter().map(|o| o.item.clone()).collect();
-        self.unwritten.retain(|outcome| !listed.contains(&outcome.item));
-        for item in &listed {
+        let durable_items: HashSet<ItemId> =
+            found.outcomes.iter().map(|o| o.item.clone()).collect();
+        self.unwritten.retain(|outcome| !durable_items.contains(&outcome.item));
+        for item in &durable_items {
             self.partials.remove(item);
         }
-        self.done = listed;
+        self.done = durable_items;
         self.done.extend(self.unwritten.iter().map(|outcome| outcome.item.clone()));
         self.merge_failures(&found.failures);
         let done = &self.done;
@@ -317,7 +320,7 @@
         self.durable = found;
     }
 
-    /// Who holds the job by what is durable.
+    /// The job's holder according to the durable progress.
     pub fn holder(&self) -> Holder {
         self.durable.holder.unwrap_or(self.job.accepted_by)
     }
--- a/crates/state/src/progress/handoff.rs
+++ b/crates/state/src/progress/handoff.rs
@@ -1,16 +1,16 @@
-//! What a holder has learnt of its items beyond what is durable, and how another takes it in.
+//! State that isn't durable, handed off to a job's next holder.
 
 use super::{FailureCount, ItemId, JobState, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// What is known of an item that was stopped before its end.
+/// Output of an item whose run was preempted or interrupted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartialOutput {
-    /// Id of its last event; `None` before the first.
+    /// Id of the last event; `None` before the first.
     #[serde(rename = "last_event")]
     pub last_event_id: Option<u64>,
-    /// The data of its events so far, in order.
+    /// The data of the events so far, in order.
     #[serde(rename = "texts")]
     pub events: Vec<String>,
 }
@@ -18,37 +18,35 @@
 /// How a run of an item failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The target ran it and failed.
+    /// The run failed; another one may succeed.
     Retryable,
-    /// The target says that it can never be done.
+    /// The target reported that the item can never succeed.
     Permanent,
 }
 
-/// What a holder has learnt of a job's items that isn't durable, for the holder that
-/// follows it.
+/// State of a job's items that isn't durable, handed off to the next holder.
 ///
-/// Guards against items that run again at each change of hands: one that can never be
-/// done was run by three holders within 4.4 s, four times in all, since each wrote its
-/// verdict down only after it had lost the job.
+/// Without it, items would run again at each change of the holder, among them items
+/// that failed permanently.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handoff {
-    /// What stopped runs have made.
+    /// Output of preempted or interrupted runs.
     pub partials: HashMap<ItemId, PartialOutput>,
-    /// How often items failed.
+    /// Failure counts of items without a result.
     pub failures: BTreeMap<ItemId, FailureCount>,
-    /// Results that aren't listed yet.
+    /// Results that aren't durable yet.
     pub outcomes: Vec<Outcome>,
 }
 
 impl Handoff {
-    /// Whether there is nothing to pass on.
+    /// Whether there is nothing to hand off.
     pub fn is_empty(&self) -> bool {
         self.partials.is_empty() && self.failures.is_empty() && self.outcomes.is_empty()
     }
 }
 
 impl JobState {
-    /// All that is known here and isn't durable, for the next holder.
+    /// The state that isn't durable, for the next holder.
     pub fn handoff(&self) -> Handoff {
         Handoff {
             partials: self.partials.clone(),
@@ -57,13 +55,13 @@
         }
     }
 
-    /// Takes in what another holder has learnt. Both may have counted the same failed
-    /// runs, so the higher count stands: an item runs too often rather than being
-    /// given up too soon.
-    pub fn merge_handoff(&mut self, learnt: Handoff) {
-        learnt.outcomes.into_iter().for_each(|outcome| self.record_outcome(outcome));
-        self.merge_failures(&learnt.failures);
-        self.merge_partials(learnt.partials);
+    /// Merges the handoff of another holder. Both may have counted the same failed
+    /// runs, so the higher count applies: an extra run is better than failing an item
+    /// too early.
+    pub fn merge_handoff(&mut self, handoff: Handoff) {
+        handoff.outcomes.into_iter().for_each(|outcome| self.record_outcome(outcome));
+        self.merge_failures(&handoff.failures);
+        self.merge_partials(handoff.partials);
     }
 
     pub(super) fn merge_failures(&mut self, failures: &BTreeMap<ItemId, FailureCount>) {
@@ -74,11 +72,11 @@
             let known = self.failures.entry(item.clone()).or_default();
             known.runs = known.runs.max(count.runs);
             known.is_permanent |= count.is_permanent;
-            self.give_up_if_spent(item);
+            self.fail_if_exhausted(item);
         }
     }
 
-    /// Takes in what runs at another holder have made.
+    /// Merges output of runs at another holder; the longer output wins.
     pub fn merge_partials(&mut self, partials: HashMap<ItemId, PartialOutput>) {
         for (item, partial) in partials {
             if self.done.contains(&item) {
--- a/crates/state/src/progress/job.rs
+++ b/crates/state/src/progress/job.rs
@@ -1,12 +1,12 @@
-//! A job as it was accepted, and its progress, as they are kept.
+//! A job as it was accepted, and its progress, in their stored form.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Identifies a job; its submitter chose it.
+/// Id of a job, chosen by its submitter.
 pub type JobId = String;
-/// Identifies an item within all jobs; its submitter chose it.
+/// Id of an item, chosen by its submitter; unique across jobs.
 pub type ItemId = String;
 /// Milliseconds since the Unix epoch.
 pub type Millis = u64;
@@ -14,63 +14,63 @@
 /// One item of a job, as it was submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Its id.
+    /// Id, unique across jobs.
     pub id: ItemId,
-    /// Path of its request.
+    /// Path of the request.
     pub path: String,
-    /// Headers of its request.
+    /// Headers of the request.
     pub headers: Vec<(String, String)>,
-    /// Body of its request, in base64.
+    /// Body of the request, in base64.
     pub body: String,
-    /// Tokens of its prompt and most tokens out, together.
+    /// Prompt tokens plus the maximum of output tokens.
     pub tokens: u64,
 }
 
 /// The result of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The item.
+    /// Id of the item.
     pub item: ItemId,
-    /// Whether it was done; otherwise it failed for good.
+    /// Whether the item succeeded; otherwise it failed permanently.
     pub is_complete: bool,
-    /// The data of all its events, in order.
+    /// The data of all events, in order; empty for a failed item.
     pub text: String,
 }
 
-/// The instance that runs a job.
+/// The instance that holds a job: it runs the items and writes the progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// Its id, unique for each start of a process.
+    /// Instance id, unique for each start of a process.
     pub instance: u64,
-    /// Its address for other instances.
+    /// Address for other instances.
     pub address: SocketAddr,
 }
 
 /// A job as it was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// Its id.
+    /// Id, chosen by the submitter.
     pub id: JobId,
-    /// Host of its route and its items.
+    /// Host of the submission, for the route and for the items' requests.
     pub host: String,
-    /// Path it was submitted to; with the host, this leads to its route.
+    /// Path of the submission; selects the route together with the host.
     pub path: String,
     /// When it was accepted.
     pub accepted: Millis,
     /// When its results are due.
     pub due: Millis,
-    /// When what isn't done may be given up.
+    /// When items without a result fail.
     #[serde(rename = "give_up")]
     pub expires: Millis,
-    /// The instance that accepted it, and runs it until another takes it over.
+    /// The instance that accepted it, and holds it until another takes it over.
     #[serde(rename = "acceptor")]
     pub accepted_by: Holder,
-    /// Its items.
+    /// Items in the order of submission.
     pub items: Vec<Item>,
 }
 
 impl Job {
-    /// A small job for examples and tests.
+    /// A job with the given item ids, for examples and tests.
     pub fn example(id: &str, items: &[&str]) -> Job {
         let item = |id: &&str| Item {
             id: (*id).to_owned(),
@@ -91,31 +91,32 @@
         }
     }
 
-    /// Tokens of all its items.
+    /// Total tokens of all items.
     pub fn tokens(&self) -> u64 {
         self.items.iter().map(|item| item.tokens).sum()
     }
 }
 
-/// How often an item failed.
+/// Failed runs of an item.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureCount {
-    /// Runs that ended in a failure of the target.
+    /// Number of runs that failed at the target.
     pub runs: u32,
-    /// Whether a target said that the item can never be done.
+    /// Whether a target reported that the item can never succeed.
     #[serde(rename = "is_impossible")]
     pub is_permanent: bool,
 }
 
-/// What has happened to a job.
+/// Mutable part of a job's stored state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Who holds it; `None` while its acceptor does.
+    /// Current holder; `None` until another instance takes over from the one that
+    /// accepted the job.
     pub holder: Option<Holder>,
-    /// Results in the order in which they are listed; it only grows.
+    /// Results in the order of their positions; append-only.
     pub outcomes: Vec<Outcome>,
-    /// Items that failed and may be tried again.
+    /// Failure counts of items that may be retried.
     pub failures: BTreeMap<ItemId, FailureCount>,
-    /// Whether its submitter ended it.
+    /// Whether the submitter ended the job.
     pub ended: bool,
 }
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -360,8 +360,8 @@
 
     /// Chunks of holders that are known to be gone may go out at once.
     /// Returns whether there were any that hadn't been found before.
-    pub fn reclaim_expired(&mut self, is_gone: impl Fn(u64) -> bool) -> bool {
-        self.jobs.reclaim_expired(is_gone)
+    pub fn reclaim_lost(&mut self, is_gone: impl Fn(u64) -> bool) -> bool {
+        self.jobs.reclaim_lost(is_gone)
     }
 
     /// The platform is reached again after a time in which no holder could report.
