--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -212,7 +212,9 @@
                     "job" => &job.id, "fault" => fault);
                 is_outcome_unknown = true;
             }
-            Err(StoreError::Unavailable(_)) if !is_outcome_unknown => return SubmitOutcome::Refused,
+            Err(StoreError::Unavailable(_)) if !is_outcome_unknown => {
+                return SubmitOutcome::Refused;
+            }
             Err(StoreError::Rejected(fault)) => {
                 slog::warn!(node.log, "submission rejected by the platform";
                     "job" => &job.id, "fault" => fault);
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -1,14 +1,14 @@
-//! The chain of accepted configuration changes, folded.
+//! Append-only log of configuration changes, and the configuration it leads to.
 
 use coordination::append_log::{self, EntryOrder};
 use protocol::Generation;
 use protocol::config::{ConfigEntry, Document};
 use std::collections::BTreeMap;
 
-/// Entries kept for peers that are behind.
+/// Maximum number of retained entries, for peers that are out of date.
 const HISTORY_LIMIT: usize = 1024;
 
-/// The configuration in force and the changes that led to it.
+/// The current configuration and the latest changes that led to it.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     document: Document,
@@ -16,25 +16,25 @@
 }
 
 impl Log {
-    /// The configuration in force.
+    /// The current configuration.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// Its generation.
+    /// Generation of the current configuration; 0 before the first change.
     pub fn generation(&self) -> Generation {
         self.document.generation
     }
 
-    /// Takes in an entry from anywhere: the platform, a watch, a peer.
+    /// Applies an entry received from the platform or from a peer.
     ///
-    /// Only the very next generation is applied. An entry that doesn't validate
-    /// can't be in the chain (it was validated before it was written), so one
-    /// that fails here is reported as a gap and not applied.
+    /// Only the next generation is applied. Entries are validated before they are
+    /// written, so one that fails validation isn't part of the log: it is
+    /// reported as a gap and not applied.
     pub fn apply(&mut self, entry: ConfigEntry) -> EntryOrder {
-        let offer = append_log::classify(self.generation(), entry.generation);
-        if offer != EntryOrder::Next {
-            return offer;
+        let order = append_log::classify(self.generation(), entry.generation);
+        if order != EntryOrder::Next {
+            return order;
         }
         let Ok(document) = self.document.with_change(&entry.change) else {
             return EntryOrder::Gap;
@@ -47,18 +47,18 @@
         EntryOrder::Next
     }
 
-    /// Takes a whole document from a peer or a snapshot, for an instance that is
-    /// further behind than the entries reach; `false` when it isn't further.
+    /// Replaces the configuration with a later one, for an instance that is more
+    /// out of date than the retained entries; `false` if `document` isn't later.
     pub fn install(&mut self, document: Document) -> bool {
-        let is_further = document.generation > self.generation();
-        if is_further {
+        let is_later = document.generation > self.generation();
+        if is_later {
             self.document = document;
             self.entries.clear();
         }
-        is_further
+        is_later
     }
 
-    /// Test only: the rule without its guard, which takes whatever it is shown.
+    /// Test only: applies entries without the check of their generation.
     pub fn apply_unchecked(&mut self, entries: &[ConfigEntry]) {
         let mut document = Document::default();
         for entry in entries {
@@ -67,17 +67,17 @@
         self.document = document;
     }
 
-    /// Entries after `generation`, at most `most`.
-    pub fn since(&self, generation: Generation, most: usize) -> Vec<ConfigEntry> {
-        self.entries.range(generation + 1..).take(most).map(|(_, entry)| entry.clone()).collect()
+    /// Retained entries after `generation`, at limit `limit`.
+    pub fn since(&self, generation: Generation, limit: usize) -> Vec<ConfigEntry> {
+        self.entries.range(generation + 1..).take(limit).map(|(_, entry)| entry.clone()).collect()
     }
 
-    /// The entry that brought `generation` into force, if it is still kept.
+    /// The entry that led to `generation`, if it is still retained.
     pub fn entry(&self, generation: Generation) -> Option<&ConfigEntry> {
         self.entries.get(&generation)
     }
 
-    /// Entries kept, latest last.
+    /// Retained entries, latest last.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &ConfigEntry> {
         self.entries.values()
     }
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -1,46 +1,45 @@
-//! Request keys of one shard.
+//! Idempotency keys of one shard.
 //!
-//! A finished key is a few bytes here: hash of the key, digest, and the entry
-//! that holds the outcome. Outcomes stay in the entries, so memory doesn't grow
-//! with the size of answers.
+//! For a finished key, only its hash, the request's digest and the position of
+//! the log entry with the outcome are kept. Outcomes stay in the log entries, so
+//! memory use doesn't depend on the size of responses.
 
 use coordination::hash;
 use protocol::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// A claim of a request that may run once.
+/// Claim of an attempt to run a request that may run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// Digest of the request.
     pub digest: u64,
-    /// The one attempt.
+    /// The only attempt that may send the request.
     pub attempt: u64,
-    /// Time after which its answer isn't awaited.
+    /// Time after which the caller no longer waits for the response.
     pub deadline: Millis,
     /// When the key was issued.
     pub issued: Millis,
 }
 
-/// A key with an outcome.
+/// An idempotency key whose request has an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finished {
     /// Digest of the request.
     pub digest: u64,
-    /// Entry that holds the outcome.
+    /// Position of the log entry that holds the outcome.
     pub position: u64,
     /// When the key was issued.
     pub issued: Millis,
 }
 
-/// All keys of a shard.
+/// All idempotency keys of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Keys {
     claims: HashMap<String, Claim>,
     finished: HashMap<u64, Finished>,
-    /// Attempts that were given back, with the issue time of their key. A claim
-    /// whose append was still under way when it was given back may land after
-    /// that, and must not count then.
+    /// Released attempts, with the issue time of their key. The claim of a
+    /// released attempt may still be appended afterwards and must be ignored.
     released: HashMap<u64, Millis>,
 }
 
@@ -50,24 +49,24 @@
         self.claims.get(key)
     }
 
-    /// The outcome's place.
+    /// Location of the outcome of `key`, if it has one.
     pub fn finished(&self, key: &str) -> Option<Finished> {
         self.finished.get(&hash::bytes(key.as_bytes())).copied()
     }
 
-    /// Whether an attempt was given back.
+    /// Whether an attempt was released.
     pub fn is_released(&self, attempt: u64) -> bool {
         self.released.contains_key(&attempt)
     }
 
-    /// Folds a claim; the first one counts.
+    /// Applies a claim; the first one of a key wins.
     pub fn on_claimed(&mut self, key: String, claim: Claim) {
         if !self.is_released(claim.attempt) {
             self.claims.entry(key).or_insert(claim);
         }
     }
 
-    /// Folds a release of an attempt that was never sent.
+    /// Applies the release of an attempt that was never sent.
     pub fn on_released(&mut self, key: &str, attempt: u64, issued: Millis) {
         self.released.insert(attempt, issued);
         if self.claims.get(key).is_some_and(|claim| claim.attempt == attempt) {
@@ -75,7 +74,8 @@
         }
     }
 
-    /// Folds an outcome; the first one counts. Returns whether it was the first.
+    /// Applies an outcome; the first one of a key wins. Returns whether this one
+    /// was the first.
     pub fn on_finished(&mut self, key: &str, finished: Finished) -> bool {
         self.claims.remove(key);
         let hash = hash::bytes(key.as_bytes());
@@ -84,14 +84,14 @@
         is_first
     }
 
-    /// Forgets keys issued before `before`.
+    /// Removes keys issued before `before`.
     pub fn expire(&mut self, before: Millis) {
         self.finished.retain(|_, finished| finished.issued >= before);
         self.claims.retain(|_, claim| claim.issued >= before);
         self.released.retain(|_, issued| *issued >= before);
     }
 
-    /// Keys with an outcome.
+    /// Number of keys with an outcome.
     pub fn len(&self) -> usize {
         self.finished.len()
     }
@@ -101,7 +101,7 @@
         self.finished.is_empty() && self.claims.is_empty()
     }
 
-    /// Finished keys whose entries stand at or after `from`, for a segment.
+    /// Finished keys whose outcome is at position `from` or later, by position.
     pub fn finished_since(&self, from: u64) -> Vec<(u64, Finished)> {
         let since = self.finished.iter().filter(|(_, f)| f.position >= from);
         let mut list: Vec<(u64, Finished)> = since.map(|(h, f)| (*h, *f)).collect();
@@ -109,17 +109,17 @@
         list
     }
 
-    /// Claims, for a snapshot.
+    /// Claims without an outcome, by key.
     pub fn claims(&self) -> &HashMap<String, Claim> {
         &self.claims
     }
 
-    /// Attempts that were given back, for a snapshot.
+    /// Released attempts, with the issue time of their key.
     pub fn released(&self) -> &HashMap<u64, Millis> {
         &self.released
     }
 
-    /// Keys as a snapshot and its segments give them.
+    /// Restores the keys from a snapshot and its segments.
     pub fn restore(
         claims: HashMap<String, Claim>,
         released: HashMap<u64, Millis>,
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,11 +1,10 @@
-//! Durable state: request keys, batch jobs and the configuration, and how the
-//! records that the platform keeps fold into them.
+//! Replicated state machines of idempotency keys, batch jobs and configuration.
 //!
-//! A [`shard::Shard`] is the state of one chain of log entries. Commands are
-//! decided against it ([`shard::Shard::decide`]); what they decide is a list of
-//! records, which take effect only when the entry that holds them is in the
-//! chain ([`shard::Shard::apply`]). This crate reads and writes nothing itself:
-//! the caller moves entries to and from the platform.
+//! A [`shard::Shard`] is the state of one append-only log. A command is decided
+//! against it ([`shard::Shard::decide`]), which yields records; they take effect
+//! only once the log entry that holds them is appended and applied
+//! ([`shard::Shard::apply`]). This crate does no I/O: the caller reads and writes
+//! log entries.
 //!
 //! ```
 //! use state::command::Command;
--- a/crates/state/src/part.rs
+++ b/crates/state/src/part.rs
@@ -1,49 +1,49 @@
-//! Result objects of a chunk: what one progress report brings.
+//! Result objects of a chunk, one for each progress report.
 
 use protocol::job::{Item, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Which object of a chunk's results.
+/// Identifies one result object of a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultPartRef {
-    /// Hand-out that wrote it.
+    /// Assignment that wrote it.
     pub attempt: u32,
-    /// Number within that hand-out.
+    /// Number within that assignment, from 0.
     pub part: u32,
 }
 
 /// Contents of one result object. Items are numbered within their chunk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultPart {
-    /// Outcomes.
+    /// Outcomes by item.
     pub outcomes: BTreeMap<u32, Outcome>,
-    /// Items that may run once and are about to be sent.
+    /// Items that may run at max_tries once and are about to be sent.
     pub started: Vec<u32>,
-    /// Tries so far of items without an outcome.
+    /// Number of tries so far, for items without an outcome.
     pub tries: BTreeMap<u32, u32>,
 }
 
-/// Items of one chunk as the platform keeps them.
+/// Stored items of one chunk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkItems {
-    /// The items.
+    /// Items in the order of submission.
     pub items: Vec<Item>,
 }
 
-/// A chunk's items as far as their parts tell.
+/// Progress of a chunk, merged from its result objects.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChunkProgress {
-    /// Outcomes; the first of each item counts.
+    /// Outcomes by item; the first one of an item wins.
     pub outcomes: BTreeMap<u32, Outcome>,
-    /// Items that may run once and were started.
+    /// Items that may run at max_tries once and were started.
     pub started: Vec<u32>,
-    /// Most tries told of each item.
+    /// Maximum number of tries reported for each item.
     pub tries: BTreeMap<u32, u32>,
 }
 
 impl ChunkProgress {
-    /// Folds the next part.
+    /// Merges the next result object.
     pub fn apply(&mut self, part: ResultPart) {
         for (item, outcome) in part.outcomes {
             self.outcomes.entry(item).or_insert(outcome);
@@ -55,8 +55,9 @@
         }
     }
 
-    /// What is to be done about item `index` by a new holder.
-    pub fn plan(&self, index: u32, item: &Item, most: u32) -> Plan {
+    /// Decides what a new holder does with item `index`, which may be tried
+    /// `max_tries` times.
+    pub fn plan(&self, index: u32, item: &Item, max_tries: u32) -> Plan {
         if self.outcomes.contains_key(&index) {
             return Plan::Skip;
         }
@@ -64,22 +65,22 @@
             return Plan::OutcomeUnknown;
         }
         let tries = self.tries.get(&index).copied().unwrap_or(0);
-        if tries >= most { Plan::AttemptsExhausted } else { Plan::Run { tries } }
+        if tries >= max_tries { Plan::AttemptsExhausted } else { Plan::Run { tries } }
     }
 }
 
-/// What a holder does with one item.
+/// What a new holder does with one item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// It has an outcome.
+    /// The item has an outcome.
     Skip,
-    /// It may have run and may not run again.
+    /// The item may have run and must not run again.
     OutcomeUnknown,
-    /// It was tried as often as allowed.
+    /// The item was tried the maximum number of times.
     AttemptsExhausted,
-    /// Run it.
+    /// The item is to be run.
     Run {
-        /// Tries before.
+        /// Number of earlier tries.
         tries: u32,
     },
 }
--- a/crates/state/src/record.rs
+++ b/crates/state/src/record.rs
@@ -1,21 +1,21 @@
-//! Records of the log and the entry that carries a group of them.
+//! Log records, and the log entry that holds a group of them.
 
 use crate::part::ResultPartRef;
 use protocol::{Error, InstanceId, JobId, Millis, chat};
 use serde::{Deserialize, Serialize};
 
-/// Body of a plain service's answer.
+/// Response body of a plain HTTP service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Body {
-    /// Text.
+    /// Valid UTF-8.
     Text(String),
-    /// Anything else.
+    /// Bytes that aren't valid UTF-8.
     Bytes(Vec<u8>),
 }
 
 impl Body {
-    /// Keeps `bytes` as text where they are.
+    /// Holds `bytes` as text if they are valid UTF-8.
     pub fn new(bytes: Vec<u8>) -> Body {
         match String::from_utf8(bytes) {
             Ok(text) => Body::Text(text),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The bytes again.
+    /// The bytes that [`Body::new`] was given.
     pub fn into_bytes(self) -> Vec<u8> {
         match self {
             Body::Text(text) => text.into_bytes(),
@@ -32,31 +32,31 @@
     }
 }
 
-/// The outcome of a keyed request, as it is kept.
+/// Stored outcome of a request with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoredOutcome {
-    /// A whole answer of a model engine.
+    /// Complete response of a model engine.
     Chat(chat::Outcome),
-    /// A whole answer of a plain service.
+    /// Complete response of a plain HTTP service.
     Plain {
         /// HTTP status.
         status: u16,
-        /// Content type.
+        /// Value of the `content-type` header.
         content_type: String,
-        /// Body.
+        /// Response body.
         body: Body,
     },
-    /// A failure that is final, since the request may not run again.
+    /// A final failure: the request must not run again.
     Failed(Error),
 }
 
-/// What an accepted job is.
+/// Immutable description of an accepted job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Id, made from the caller's key.
+    /// Id, derived from the caller's idempotency key.
     pub job: JobId,
-    /// Digest of the whole body.
+    /// Digest of the submitted body.
     pub digest: u64,
     /// Upload whose chunk objects hold the items.
     pub upload: String,
@@ -66,128 +66,129 @@
     pub due: Millis,
     /// Number of items.
     pub items: u64,
-    /// First item of each chunk; chunk `i` ends where `i + 1` starts.
+    /// Index of the first item of each chunk; chunk `i` ends where `i + 1` starts.
     pub starts: Vec<u64>,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub at: Millis,
 }
 
-/// One fact.
+/// One state change of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
-    /// A request that may run once is about to be sent.
+    /// A request that may run at most once is about to be sent.
     Claimed {
-        /// Key.
+        /// Idempotency key.
         key: String,
         /// Digest of the request.
         digest: u64,
-        /// The one attempt.
+        /// The only attempt that may send the request.
         attempt: u64,
-        /// Time after which no answer of that attempt is awaited.
+        /// Time after which the caller no longer waits for the response.
         deadline: Millis,
         /// When the key was issued.
         issued: Millis,
     },
-    /// The attempt never left; the key is free again.
+    /// The attempt was never sent; another one may claim the key.
     Released {
-        /// Key.
+        /// Idempotency key.
         key: String,
-        /// The attempt.
+        /// Attempt that is released.
         attempt: u64,
         /// When the key was issued.
         issued: Millis,
     },
-    /// A request's outcome; the first one counts.
+    /// A request has an outcome; the first one of a key wins.
     Finished {
-        /// Key.
+        /// Idempotency key.
         key: String,
         /// Digest of the request.
         digest: u64,
         /// When the key was issued.
         issued: Millis,
-        /// The outcome.
+        /// Stored outcome.
         outcome: StoredOutcome,
     },
     /// A job is accepted.
     Accepted(JobSpec),
-    /// A chunk is handed to an instance.
+    /// A chunk is assigned to an instance.
     #[serde(rename = "handed")]
     Assigned {
-        /// Job.
+        /// Job that the chunk belongs to.
         job: JobId,
-        /// Chunk.
+        /// Index of the chunk within the job.
         chunk: u32,
-        /// Number of this hand-out, from 1; fences the earlier ones.
+        /// Number of this assignment, from 1; fences the earlier ones.
         attempt: u32,
-        /// Who runs it.
+        /// Instance that runs the chunk.
         holder: InstanceId,
     },
-    /// Some items of a chunk have outcomes, or were started.
+    /// Items of a chunk have outcomes or were started, or the chunk was released.
     Progressed {
-        /// Job.
+        /// Job that the chunk belongs to.
         job: JobId,
-        /// Chunk.
+        /// Index of the chunk within the job.
         chunk: u32,
-        /// Hand-out that ran them.
+        /// Assignment that ran the items.
         attempt: u32,
-        /// The object that holds them, if anything is new.
+        /// Result object that was written; `None` if there was nothing to write.
         part: Option<ResultPartRef>,
-        /// Items with an outcome in it.
+        /// Items with an outcome in the result object.
         done: u32,
-        /// Of those, failed.
+        /// Items among `done` that failed.
         failed: u32,
-        /// What becomes of the chunk.
+        /// What happens to the chunk next.
         #[serde(rename = "after")]
         disposition: Disposition,
     },
     /// A job is cancelled.
     Cancelled {
-        /// Job.
+        /// Job that is cancelled.
         job: JobId,
     },
-    /// The index of a finished job is written; its chunks need not be kept here.
+    /// The index of a job that has ended is written; it replaces the job's chunks.
     Archived {
-        /// Job.
+        /// Job that was indexed.
         job: JobId,
     },
 }
 
-/// What becomes of a chunk after a progress report.
+/// What happens to a chunk after a progress report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Disposition {
-    /// The holder goes on.
+    /// The holder keeps the chunk.
     Continue,
-    /// The holder gives it back.
+    /// The holder releases the chunk, which may be assigned again.
     #[serde(rename = "give_back")]
     Release,
-    /// All its items have outcomes.
+    /// All items of the chunk have outcomes.
     Done,
 }
 
-/// A group of records, appended as one object.
+/// Log entry: a group of records, appended as one object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Unique for each append, to know one's own after a lost answer.
+    /// Unique token of the append, by which the writer recognises its own entry
+    /// when the outcome of the write is unknown.
     pub token: String,
     /// When it was written, by the writer's clock.
     pub at: Millis,
-    /// The records, in order.
+    /// Records in the order in which they are applied.
     pub records: Vec<Record>,
 }
 
 impl Entry {
-    /// The bytes that the platform keeps.
+    /// Encodes the entry as JSON.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads bytes of the platform.
+    /// Decodes an entry from JSON.
     ///
     /// # Errors
     ///
-    /// What is wrong with them.
+    /// Fails if `bytes` are not a valid entry.
     pub fn decode(bytes: &[u8]) -> Result<Entry, serde_json::Error> {
         serde_json::from_slice(bytes)
     }
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -1,7 +1,7 @@
-//! One shard: decides commands, folds records.
+//! State machine of one shard: decides commands and applies log records.
 
 mod policy;
-mod refusal;
+mod rejection;
 
 pub use policy::Policy;
 
@@ -11,29 +11,29 @@
 use crate::record::{Disposition, Entry, JobSpec, Record, StoredOutcome};
 use protocol::job::Phase;
 use protocol::{Kind, Millis, ShardId};
-use refusal::{conflict, in_progress, refuse, refuse_claimed, unknown_job};
+use rejection::{conflict, in_progress, reject, reject_claimed, unknown_job};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// What one entry under construction already touches.
+/// Keys, jobs and chunks that the log entry under construction touches.
 ///
-/// Commands are decided against what is durable. Two commands on the same key
-/// or chunk can't share an entry, or the second would be decided on a state
-/// that doesn't know the first.
+/// Commands are decided against the durable state. Two commands on the same key
+/// or chunk can't share an entry, as the second would be decided without the
+/// effect of the first.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    subjects: HashSet<String>,
+    routing_keys: HashSet<String>,
     chunks: BTreeSet<ChunkId>,
     cancelled: HashSet<String>,
 }
 
-/// What becomes of a command.
+/// Decision on a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is answered from what is durable.
+    /// The result follows from the durable state.
     Answer(Answer),
-    /// These records must be durable first; then this is the answer.
+    /// The reply may be sent once the records are durable.
     Commit(Vec<Record>, Reply),
-    /// It must wait for the entry under construction.
+    /// Decide again once the entry under construction is durable.
     Defer,
 }
 
@@ -45,7 +45,8 @@
     next: u64,
     keys: Keys,
     jobs: Jobs,
-    /// Repeatable requests that run now: not durable, spares double work only.
+    /// Repeatable requests that are running, as attempt, digest and deadline.
+    /// Not durable: it only avoids duplicate work.
     running: HashMap<String, (u64, u64, Millis)>,
     duplicate_outcomes: u64,
 }
@@ -56,37 +57,39 @@
         Shard::restore(id, policy, 0, Keys::default(), Jobs::default())
     }
 
-    /// A shard as a snapshot gives it, with `next` the first entry not folded.
+    /// Restores a shard from a snapshot; `next` is the position of the first log
+    /// entry to apply.
     pub fn restore(id: ShardId, policy: Policy, next: u64, keys: Keys, jobs: Jobs) -> Shard {
         Shard { id, policy, next, keys, jobs, running: HashMap::new(), duplicate_outcomes: 0 }
     }
 
-    /// Its number.
+    /// Number of the shard, from 0.
     pub fn id(&self) -> ShardId {
         self.id
     }
 
-    /// Position of the next entry.
+    /// Position of the next log entry to apply or append.
     pub fn next_position(&self) -> u64 {
         self.next
     }
 
-    /// Its keys.
+    /// Idempotency keys of the shard.
     pub fn keys(&self) -> &Keys {
         &self.keys
     }
 
-    /// Its jobs.
+    /// Jobs of the shard.
     pub fn jobs(&self) -> &Jobs {
         &self.jobs
     }
 
-    /// Outcomes that came after the first one and were dropped.
+    /// Number of outcomes dropped because their key already had one.
     pub fn duplicate_outcomes(&self) -> u64 {
         self.duplicate_outcomes
     }
 
-    /// Decides `command` against what is durable.
+    /// Decides `command` against the durable state, and marks in `batch` what the
+    /// command touches.
     pub fn decide(&self, batch: &mut Batch, command: &Command, now: Millis) -> Decision {
         match command {
             Command::Begin { .. } => self.begin(batch, command, now),
@@ -113,18 +116,18 @@
             return Decision::Defer;
         };
         if self.keys.is_released(*attempt) {
-            return Decision::Answer(refuse(
+            return Decision::Answer(reject(
                 Kind::PlatformUnavailable,
                 "the attempt was given back",
             ));
         }
-        if let Some(refusal) = self.refuse_key(key, *digest, *attempt, *issued, now) {
-            return Decision::Answer(refusal);
+        if let Some(rejection) = self.reject_key(key, *digest, *attempt, *issued, now) {
+            return Decision::Answer(rejection);
         }
         if *repeatable {
             return Decision::Answer(Ok(Reply::Proceed));
         }
-        if !batch.subjects.insert(key.clone()) {
+        if !batch.routing_keys.insert(key.clone()) {
             return Decision::Defer;
         }
         let record = Record::Claimed {
@@ -137,7 +140,7 @@
         Decision::Commit(vec![record], Reply::Proceed)
     }
 
-    fn refuse_key(
+    fn reject_key(
         &self,
         key: &str,
         digest: u64,
@@ -146,20 +149,20 @@
         now: Millis,
     ) -> Option<Answer> {
         if issued + self.policy.retention.as_millis() as Millis <= now {
-            return Some(refuse(
+            return Some(reject(
                 Kind::KeyExpired,
                 "the key was issued before the retention window",
             ));
         }
         if let Some(finished) = self.keys.finished(key) {
-            let same = finished.digest == digest;
-            let kept = Reply::AlreadyFinished { position: finished.position };
-            return Some(if same { Ok(kept) } else { conflict() });
+            let is_same = finished.digest == digest;
+            let reply = Reply::AlreadyFinished { position: finished.position };
+            return Some(if is_same { Ok(reply) } else { conflict() });
         }
         if let Some(claim) = self.keys.claim(key)
             && !self.policy.without_claims
         {
-            return Some(refuse_claimed(claim, digest, attempt, now));
+            return Some(reject_claimed(claim, digest, attempt, now));
         }
         let (other, running, deadline) = self.running.get(key).copied()?;
         if other == attempt || deadline <= now {
@@ -168,10 +171,10 @@
         Some(if running == digest { in_progress(deadline, now) } else { conflict() })
     }
 
-    /// Notes that a repeatable request runs, so that a resend waits for it.
+    /// Tracks a running repeatable request, so that a retry waits for it.
     pub fn track_running(&mut self, command: &Command, now: Millis) {
         if let Command::Begin { key, digest, repeatable: true, attempt, deadline, .. } = command {
-            if self.running.len() > RUNNING_SWEEP {
+            if self.running.len() > RUNNING_CLEANUP_SIZE {
                 self.running.retain(|_, (_, _, until)| *until > now);
             }
             self.running.insert(key.clone(), (*attempt, *digest, *deadline));
@@ -186,14 +189,14 @@
         outcome: &StoredOutcome,
     ) -> Decision {
         if let Some(finished) = self.keys.finished(key) {
-            let earlier = Reply::Duplicate { position: finished.position };
+            let reply = Reply::Duplicate { position: finished.position };
             return Decision::Answer(if finished.digest == digest {
-                Ok(earlier)
+                Ok(reply)
             } else {
                 conflict()
             });
         }
-        if !batch.subjects.insert(key.to_owned()) {
+        if !batch.routing_keys.insert(key.to_owned()) {
             return Decision::Defer;
         }
         let key = key.to_owned();
@@ -205,32 +208,32 @@
         if self.keys.is_released(attempt) {
             return Decision::Answer(Ok(Reply::Recorded));
         }
-        if !batch.subjects.insert(key.to_owned()) {
+        if !batch.routing_keys.insert(key.to_owned()) {
             return Decision::Defer;
         }
-        // Recorded also when there is no claim: its append may still land.
+        // Recorded even without a claim, as the claim may still be appended.
         let record = Record::Released { key: key.into(), attempt, issued };
         Decision::Commit(vec![record], Reply::Recorded)
     }
 
     fn accept(&self, batch: &mut Batch, spec: &JobSpec) -> Decision {
         if let Some(job) = self.jobs.get(&spec.job) {
-            let same = job.spec.digest == spec.digest;
-            return Decision::Answer(if same {
+            let is_same = job.spec.digest == spec.digest;
+            return Decision::Answer(if is_same {
                 Ok(Reply::Status(job.status()))
             } else {
                 conflict()
             });
         }
-        if !batch.subjects.insert(spec.job.clone()) {
+        if !batch.routing_keys.insert(spec.job.clone()) {
             return Decision::Defer;
         }
         Decision::Commit(vec![Record::Accepted(spec.clone())], Reply::Recorded)
     }
 
     fn claim(&self, batch: &mut Batch, holder: u64, services: &[String], now: Millis) -> Decision {
-        let silent = now.saturating_sub(self.policy.claim_timeout.as_millis() as Millis);
-        let Some(work) = self.jobs.next_chunk(services, &batch.chunks, silent) else {
+        let stale_before = now.saturating_sub(self.policy.claim_timeout.as_millis() as Millis);
+        let Some(work) = self.jobs.next_chunk(services, &batch.chunks, stale_before) else {
             return Decision::Answer(Ok(Reply::NoWork));
         };
         if batch.cancelled.contains(&work.job) {
@@ -250,12 +253,14 @@
         if batch.cancelled.contains(job) || batch.chunks.contains(&id) {
             return Decision::Defer;
         }
-        let Some(found) = self.jobs.get(job).filter(|found| self.is_held(found, *chunk, *attempt))
+        let Some(found) =
+            self.jobs.get(job).filter(|found| self.is_current_holder(found, *chunk, *attempt))
         else {
             return Decision::Answer(Ok(Reply::Stop));
         };
-        let known = found.chunks[*chunk as usize].parts.iter().any(|known| Some(*known) == *part);
-        if known || (part.is_none() && *disposition == Disposition::Continue) {
+        let is_recorded =
+            found.chunks[*chunk as usize].parts.iter().any(|known| Some(*known) == *part);
+        if is_recorded || (part.is_none() && *disposition == Disposition::Continue) {
             return Decision::Answer(Ok(Reply::Continue));
         }
         batch.chunks.insert(id);
@@ -271,7 +276,7 @@
         Decision::Commit(vec![record], Reply::Continue)
     }
 
-    fn is_held(&self, job: &Job, chunk: u32, attempt: u32) -> bool {
+    fn is_current_holder(&self, job: &Job, chunk: u32, attempt: u32) -> bool {
         let Some(chunk) = job.chunks.get(chunk as usize) else {
             return false;
         };
@@ -286,8 +291,8 @@
         if found.phase != Phase::Running {
             return Decision::Answer(Ok(Reply::Status(found.status())));
         }
-        let touched = batch.chunks.iter().any(|(id, _)| id == job);
-        if touched || !batch.cancelled.insert(job.to_owned()) {
+        let is_touched = batch.chunks.iter().any(|(id, _)| id == job);
+        if is_touched || !batch.cancelled.insert(job.to_owned()) {
             return Decision::Defer;
         }
         let mut status = found.status();
@@ -302,12 +307,12 @@
         }
     }
 
-    fn results(&self, job: &str, from: u64, most: u64) -> Answer {
+    fn results(&self, job: &str, from: u64, limit: u64) -> Answer {
         let Some(found) = self.jobs.get(job) else {
             return unknown_job(job);
         };
         let (status, archived) = (found.status(), found.archived);
-        Ok(Reply::Results { status, chunks: found.chunk_results(from, most), archived })
+        Ok(Reply::Results { status, chunks: found.chunk_results(from, limit), archived })
     }
 
     fn archive(&self, job: &str) -> Decision {
@@ -318,17 +323,17 @@
         Decision::Commit(vec![Record::Archived { job: job.into() }], Reply::Recorded)
     }
 
-    /// Folds the entry at [`Shard::next`]. `now` is the reader's clock: holders
-    /// found in it get a whole claim time from then.
+    /// Applies the log entry at [`Shard::next_position`]. The claim timeout of
+    /// holders in the entry starts at `now`, the reader's clock.
     pub fn apply(&mut self, entry: Entry, now: Millis) {
         let position = self.next;
         for record in entry.records {
-            self.fold(record, position, now);
+            self.apply_record(record, position, now);
         }
         self.next += 1;
     }
 
-    fn fold(&mut self, record: Record, position: u64, now: Millis) {
+    fn apply_record(&mut self, record: Record, position: u64, now: Millis) {
         match record {
             Record::Claimed { key, digest, attempt, deadline, issued } => {
                 self.keys.on_claimed(key, Claim { digest, attempt, deadline, issued });
@@ -353,30 +358,32 @@
         }
     }
 
-    /// A chunk's holder gave a sign of life.
+    /// Records a heartbeat of a chunk's holder.
     pub fn on_heartbeat(&mut self, job: &str, chunk: u32, now: Millis) {
         self.jobs.on_heartbeat(job, chunk, now);
     }
 
-    /// Chunks of holders that are known to be gone may go out at once.
-    /// Returns whether there were any that hadn't been found before.
-    pub fn reclaim_lost(&mut self, is_gone: impl Fn(u64) -> bool) -> bool {
-        self.jobs.reclaim_lost(is_gone)
+    /// Lets chunks of lost holders be assigned again at once. Returns whether any
+    /// chunk was newly reclaimed.
+    pub fn reclaim_lost(&mut self, is_lost: impl Fn(u64) -> bool) -> bool {
+        self.jobs.reclaim_lost(is_lost)
     }
 
-    /// The platform is reached again after a time in which no holder could report.
+    /// Renews the claims of all holders, after the platform was unavailable and
+    /// none could report.
     pub fn renew_leases(&mut self, now: Millis) {
         self.jobs.renew_leases(now);
     }
 
-    /// A request that was begun is over without an outcome to keep.
+    /// Records that a running request ended without an outcome to store.
     pub fn on_abandoned(&mut self, key: &str, attempt: u64) {
         if self.running.get(key).is_some_and(|(running, ..)| *running == attempt) {
             self.running.remove(key);
         }
     }
 
-    /// Forgets what is older than the retention window; returns the jobs among it.
+    /// Removes keys and jobs older than the retention window; returns the removed
+    /// jobs so that the caller can delete their objects.
     pub fn expire(&mut self, now: Millis) -> Vec<Job> {
         let before = now.saturating_sub(self.policy.retention.as_millis() as Millis);
         self.keys.expire(before);
@@ -384,4 +391,5 @@
     }
 }
 
-const RUNNING_SWEEP: usize = 4096;
+/// Number of tracked requests above which those past their deadline are removed.
+const RUNNING_CLEANUP_SIZE: usize = 4096;
--- a/crates/state/src/shard/policy.rs
+++ b/crates/state/src/shard/policy.rs
@@ -1,17 +1,18 @@
-//! Times that rule a shard, and guards that tests switch off.
+//! Retention and timeouts of a shard, and guards that tests disable.
 
 use std::time::Duration;
 
-/// Times that rule a shard.
+/// Retention and timeouts of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// How long outcomes stay readable.
+    /// How long outcomes and jobs are kept. Default: 24 hours.
     pub retention: Duration,
-    /// Silence of a chunk's holder after which the chunk goes out again.
+    /// Time without a heartbeat of its holder after which a chunk is assigned
+    /// again. Default: 15 seconds.
     pub claim_timeout: Duration,
-    /// Test only: hand-outs don't fence the earlier ones.
+    /// Test only: assignments don't fence earlier ones.
     pub without_fencing: bool,
-    /// Test only: claims of requests that may run once are not looked at.
+    /// Test only: claims of requests that may run at most once are ignored.
     pub without_claims: bool,
 }
 
--- a/crates/state/src/shard/refusal.rs
+++ b/crates/state/src/shard/rejection.rs
@@ -1,16 +1,16 @@
-//! What a shard answers when it doesn't do as it is asked.
+//! Replies to commands that a shard rejects.
 
 use crate::command::{Answer, Reply};
 use crate::keys::Claim;
 use protocol::{Error, Kind, Millis};
 use std::time::Duration;
 
-pub(super) fn refuse(kind: Kind, message: &str) -> Answer {
+pub(super) fn reject(kind: Kind, message: &str) -> Answer {
     Err(Error::new(kind, message))
 }
 
 pub(super) fn conflict() -> Answer {
-    refuse(Kind::KeyConflict, "the key was used for another request")
+    reject(Kind::KeyConflict, "the key was used for another request")
 }
 
 pub(super) fn unknown_job(job: &str) -> Answer {
@@ -18,14 +18,16 @@
 }
 
 pub(super) fn in_progress(deadline: Millis, now: Millis) -> Answer {
-    let left = Duration::from_millis(deadline.saturating_sub(now));
-    let wait = left.min(Duration::from_secs(1));
-    Err(Error::new(Kind::InProgress, "a request with this key is running").with_retry_after(wait))
+    let remaining = Duration::from_millis(deadline.saturating_sub(now));
+    let retry_after = remaining.min(Duration::from_secs(1));
+    Err(Error::new(Kind::InProgress, "a request with this key is running")
+        .with_retry_after(retry_after))
 }
 
-/// A claim without an outcome: while its answer is awaited, come back; after
-/// that nobody knows whether it ran, and nobody may find out by running it.
-pub(super) fn refuse_claimed(claim: &Claim, digest: u64, attempt: u64, now: Millis) -> Answer {
+/// Rejects another attempt while a claim has no outcome: until its deadline the
+/// caller may retry later; after it, the request may have run and must not run
+/// again.
+pub(super) fn reject_claimed(claim: &Claim, digest: u64, attempt: u64, now: Millis) -> Answer {
     if claim.digest != digest {
         return conflict();
     }
@@ -35,5 +37,5 @@
     if now < claim.deadline {
         return in_progress(claim.deadline, now);
     }
-    refuse(Kind::MayHaveRun, "the request was claimed and its outcome is unknown")
+    reject(Kind::MayHaveRun, "the request was claimed and its outcome is unknown")
 }
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -1,9 +1,9 @@
-//! Snapshots: what bounds the replay when a shard changes hands.
+//! Snapshots of a shard, which bound the log replay when its owner changes.
 //!
-//! Claims and jobs are written whole. Finished keys are far more; each snapshot
-//! writes only those since the last one, as a segment that never changes, and
-//! names the segments that still hold keys inside the retention window. The
-//! head is written last, so a snapshot that was only half written is never read.
+//! Claims and jobs are written in full. Finished keys are far more numerous, so
+//! each snapshot adds only those since the previous one, as an immutable segment,
+//! and lists the segments with keys inside the retention window. The head is
+//! written last, so an incomplete snapshot is never read.
 
 use crate::jobs::{Job, Jobs};
 use crate::keys::{Claim, Finished, Keys};
@@ -12,48 +12,48 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// A segment of finished keys.
+/// Reference to an immutable segment of finished keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Name of its object.
+    /// Name within [`crate::object_key::segment`].
     pub name: String,
-    /// Latest issue time of a key in it.
+    /// Latest issue time of a key in the segment.
     pub newest: Millis,
 }
 
-/// Head of a snapshot, a small object that names the rest.
+/// Head of a snapshot, a small object that lists the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// First entry that the snapshot doesn't hold.
+    /// Position of the first log entry that the snapshot doesn't include.
     pub next: u64,
-    /// Name of the parts.
+    /// Name of the parts within [`crate::object_key::snapshot_part`].
     pub name: String,
-    /// Number of parts.
+    /// Number of parts; joined in order they hold a [`Body`].
     pub parts: usize,
-    /// Segments of finished keys.
+    /// Segments with finished keys inside the retention window.
     pub segments: Vec<Segment>,
-    /// Entries before this one are deleted.
+    /// Log entries before this position are deleted.
     #[serde(default)]
     #[serde(rename = "swept")]
     pub deleted_before: u64,
 }
 
-/// Contents of the parts, once joined.
+/// Contents of a snapshot besides finished keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Body {
-    /// Claims without an outcome.
+    /// Claims without an outcome, by idempotency key.
     pub claims: HashMap<String, Claim>,
-    /// Attempts that were given back.
+    /// Released attempts, with the issue time of their key.
     pub released: HashMap<u64, Millis>,
-    /// Jobs.
+    /// Jobs inside the retention window.
     pub jobs: Vec<Job>,
 }
 
-/// Finished keys as a segment keeps them.
+/// Contents of a segment: hashes of finished keys, with their outcomes.
 pub type FinishedKeys = Vec<(u64, Finished)>;
 
 impl Body {
-    /// What a snapshot of `shard` holds besides finished keys.
+    /// Takes a snapshot of `shard`.
     pub fn of(shard: &Shard) -> Body {
         Body {
             claims: shard.keys().claims().clone(),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The shard again.
+    /// Restores the shard, which replays the log from position `next`.
     pub fn restore(
         self,
         id: ShardId,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Segments that still hold keys issued at or after `before`.
+/// Segments that hold keys issued at or after `before`.
 pub fn retained_segments(segments: &[Segment], before: Millis) -> Vec<Segment> {
     segments.iter().filter(|segment| segment.newest >= before).cloned().collect()
 }
