--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -55,7 +55,7 @@
     }
 
     /// Time left.
-    pub fn left(&self, now: Instant) -> Duration {
+    pub fn remaining(&self, now: Instant) -> Duration {
         self.until.saturating_duration_since(now)
     }
 }
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -1,4 +1,5 @@
-//! One online request: a slot, a target, an answer.
+//! Forwards one online request: acquires a slot, sends the request to its target, and passes the
+//! response on. Failed attempts are retried on other targets where the route allows it.
 
 mod attempt;
 
@@ -26,60 +27,60 @@
 use transport::listen::{self, Body};
 use transport::upstream::Exchange;
 
-/// Targets that couldn't be reached, after which a request is refused.
-const MOST_UNREACHED: u32 = 3;
-/// Longest answer that is read whole before it is passed on.
-const MOST_WHOLE: usize = 8 << 20;
-/// When to come back after a refusal that nothing more is known of.
-const COME_BACK: Duration = Duration::from_millis(300);
+/// Number of unreachable targets after which a request is rejected.
+const MAX_UNREACHABLE_TARGETS: u32 = 3;
+/// Largest response body that is buffered before it is passed on.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
+/// Retry delay sent to the caller when none is known from an allocator.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// One request on its way.
+/// A request of a caller that is forwarded to targets.
 pub struct ProxiedRequest {
-    /// The instance.
+    /// The instance that forwards it.
     pub node: Rc<Node>,
-    /// The request.
+    /// The request as read from the caller.
     pub call: Rc<CallerRequest>,
-    /// Its route.
+    /// The route that matched.
     pub route: Rc<Route>,
-    /// Service that runs it.
+    /// Service whose targets run the request.
     pub service: String,
-    /// Version of the configuration that routed it.
+    /// Version of the configuration that matched the route.
     pub version: u64,
-    /// Targets it was sent to.
-    pub sent: u32,
-    /// Whether a target may have run it, or has.
+    /// Number of targets that it was sent to.
+    pub attempts: u32,
+    /// Whether a target may have run the request.
     pub may_have_run: bool,
-    /// From its start until the last answer about a slot.
+    /// Time from the start of the request to the last outcome of a slot query.
     pub slot_wait: Cell<Duration>,
-    /// Highest revision of the registry known here when it last got a slot.
+    /// Revision of the registry at this instance when the last slot was granted; 0 before.
     pub registry: Revision,
-    /// Targets that it shouldn't be sent to again.
+    /// Targets of failed attempts.
     pub excluded: Vec<String>,
 }
 
-/// An answer that has begun.
+/// A response of a target whose head has arrived.
 pub struct TargetResponse {
-    /// The answer.
+    /// The head, and the body to be read.
     pub exchange: Exchange,
-    /// The slot that it takes.
+    /// Lease on the slot that the response occupies.
     pub lease: Lease,
 }
 
-/// How a try without an answer ended.
+/// Why a request got no response.
 pub enum ForwardError {
-    /// No target ran the request: refuse it.
+    /// No target ran the request; the caller may safely retry.
     NotRun(AcquireError),
-    /// A target may have run it.
+    /// A target may have run the request.
     MayHaveRun(String),
-    /// The time is over, and a target may have run it.
+    /// The deadline has passed, and a target may have run the request.
     DeadlineExceeded,
 }
 
-/// Counts a request as in hand.
+/// Counts a request as in flight until dropped.
 pub struct InFlightGuard(Rc<Node>);
 
 impl InFlightGuard {
-    /// One more.
+    /// Increments the number of requests in flight.
     pub fn new(node: &Rc<Node>) -> InFlightGuard {
         node.in_flight.set(node.in_flight.get() + 1);
         InFlightGuard(node.clone())
@@ -92,11 +93,11 @@
     }
 }
 
-/// Serves a request.
+/// Serves an online request.
 ///
 /// # Errors
 ///
-/// The connection must close without an answer.
+/// Returns an error if the connection must be closed without a response.
 pub async fn serve(
     node: &Rc<Node>,
     config: &Config,
@@ -104,153 +105,164 @@
     call: Rc<CallerRequest>,
 ) -> Result<Response<Body>, listen::Broken> {
     let in_flight = InFlightGuard::new(node);
-    let draw = hash::bytes(call.id.as_bytes());
-    let Some(service) = route.service(draw).cloned() else {
+    let random = hash::bytes(call.id.as_bytes());
+    let Some(service) = route.service(random).cloned() else {
         let error = Error::new(Kind::NoTarget, "the route has no service");
         return Ok(error_response(node, &call.id, &error));
     };
     let version = config.table.version;
-    let mut forward = ProxiedRequest {
+    let mut request = ProxiedRequest {
         node: node.clone(),
         call,
         route,
         service,
         version,
-        sent: 0,
+        attempts: 0,
         may_have_run: false,
         slot_wait: Cell::default(),
         registry: 0,
         excluded: Vec::new(),
     };
-    match forward.begin(None).await {
-        Ok(begun) => answer(forward, begun, in_flight).await,
-        Err(failed) => Ok(forward.fail(&failed)),
+    match request.forward(None).await {
+        Ok(response) => respond(request, response, in_flight).await,
+        Err(error) => Ok(request.fail(&error)),
     }
 }
 
-async fn answer(
-    forward: ProxiedRequest,
-    begun: TargetResponse,
+async fn respond(
+    request: ProxiedRequest,
+    response: TargetResponse,
     in_flight: InFlightGuard,
 ) -> Result<Response<Body>, listen::Broken> {
-    if forward.route.class == Class::Stream && begun.exchange.head().status.is_success() {
-        return Ok(streaming::stream(forward, begun, in_flight));
+    if request.route.class == Class::Stream && response.exchange.head().status.is_success() {
+        return Ok(streaming::stream(request, response, in_flight));
     }
-    whole(forward, begun).await
+    respond_buffered(request, response).await
 }
 
-/// Reads an answer whole before passing it on, so that one that breaks off can
-/// be had again or be told from a whole one.
-async fn whole(
-    mut forward: ProxiedRequest,
-    begun: TargetResponse,
+/// Buffers a response before passing it on, so that an interrupted one can be retried or
+/// replaced by an error.
+async fn respond_buffered(
+    mut request: ProxiedRequest,
+    response: TargetResponse,
 ) -> Result<Response<Body>, listen::Broken> {
-    let mut begun = begun;
+    let mut response = response;
     loop {
-        let head = copy(begun.exchange.head());
-        let left = forward.call.left(clock::now());
-        let read = tokio::time::timeout(left, begun.exchange.read_to_end(MOST_WHOLE)).await;
-        let fault = match read {
+        let head = forwarded_head(response.exchange.head());
+        let remaining = request.call.remaining(clock::now());
+        let read =
+            tokio::time::timeout(remaining, response.exchange.read_to_end(MAX_BUFFERED_BYTES))
+                .await;
+        let error = match read {
             Ok(Ok(body)) => {
-                begun.lease.end(completion_outcome(head.status()));
-                forward.on_end(begun.exchange.has_body_framing());
-                let is_good = clock::since(forward.call.started) <= forward.route.objective;
-                forward.node.metrics.record_request(&forward.route.name, is_good, clock::now());
-                return Ok(respond(head, Body::Whole(body)));
+                response.lease.end(completion_outcome(head.status()));
+                request.on_end(response.exchange.has_body_framing());
+                let is_within_objective =
+                    clock::since(request.call.started) <= request.route.objective;
+                request.node.metrics.record_request(
+                    &request.route.name,
+                    is_within_objective,
+                    clock::now(),
+                );
+                return Ok(with_body(head, Body::Whole(body)));
             }
-            Ok(Err(fault)) => fault,
-            Err(_) => return Ok(forward.fail(&ForwardError::DeadlineExceeded)),
+            Ok(Err(error)) => error,
+            Err(_) => return Ok(request.fail(&ForwardError::DeadlineExceeded)),
         };
-        forward.excluded.push(begun.lease.grant.target.clone());
-        forward.may_have_run = true;
-        forward.on_interrupted(&begun.lease.grant);
-        begun.lease.end(LeaseOutcome::Interrupted);
-        if !forward.may_send_again() {
-            return Ok(forward.fail(&ForwardError::MayHaveRun(fault)));
+        request.excluded.push(response.lease.grant.target.clone());
+        request.may_have_run = true;
+        request.on_interrupted(&response.lease.grant);
+        response.lease.end(LeaseOutcome::Interrupted);
+        if !request.may_retry() {
+            return Ok(request.fail(&ForwardError::MayHaveRun(error)));
         }
-        begun = match forward.begin(None).await {
-            Ok(begun) => begun,
-            Err(failed) => return Ok(forward.fail(&failed)),
+        response = match request.forward(None).await {
+            Ok(response) => response,
+            Err(error) => return Ok(request.fail(&error)),
         };
     }
 }
 
-fn copy(head: &Parts) -> Response<()> {
+fn forwarded_head(head: &Parts) -> Response<()> {
     let mut response = Response::new(());
     *response.status_mut() = head.status;
     *response.headers_mut() = header::end_to_end(&head.headers);
     response
 }
 
-/// A target's answer with a body.
-pub fn respond(head: Response<()>, body: Body) -> Response<Body> {
+/// Attaches a body to a response head.
+pub fn with_body(head: Response<()>, body: Body) -> Response<Body> {
     head.map(|()| body)
 }
 
-/// A target's head, to be passed on.
+/// Head of a target's response, without hop-by-hop headers.
 pub fn response_head(exchange: &Exchange) -> Response<()> {
-    copy(exchange.head())
+    forwarded_head(exchange.head())
 }
 
 impl ProxiedRequest {
-    /// An answer has come to its end; one that ends with its connection may have been cut
-    /// short by a crash.
+    /// Clears the request of crash reports once its response is complete. A response that is
+    /// framed by the end of its connection may have been truncated by a crash.
     pub fn on_end(&self, is_framed: bool) {
         if is_framed {
             quarantine::on_success(&self.node, || self.call.content());
         }
     }
 
-    /// The connection broke before the target's answer was whole.
+    /// Starts a crash check after a response was interrupted.
     pub fn on_interrupted(&self, grant: &Grant) {
         let broken = BrokenRequest { id: self.call.id.clone(), content: self.call.content() };
         crash::on_interrupted(&self.node, grant, broken);
     }
 
-    /// Whether the request may be sent to another target.
-    pub fn may_send_again(&self) -> bool {
-        self.route.is_repeatable() && self.sent < self.route.max_attempts
+    /// Whether the request may be sent to another target after one may have run it.
+    pub fn may_retry(&self) -> bool {
+        self.route.is_repeatable() && self.attempts < self.route.max_attempts
     }
 
-    /// Gets the head of an answer; `after` is the last event known of a stream
-    /// that goes on.
+    /// Sends the request until a target accepts it; `last_event` is the id of the last event
+    /// received of a stream that is resumed.
     ///
     /// # Errors
     ///
-    /// How the tries ended.
-    pub async fn begin(&mut self, after: Option<u64>) -> Result<TargetResponse, ForwardError> {
-        let mut unreached = 0;
+    /// Returns why there will be no response.
+    pub async fn forward(
+        &mut self,
+        last_event: Option<u64>,
+    ) -> Result<TargetResponse, ForwardError> {
+        let mut unreachable = 0;
         loop {
-            let lease = self.admitted(after).await.map_err(|refusal| self.refused(refusal))?;
+            let lease =
+                self.acquire_admitted(last_event).await.map_err(|error| self.reject(error))?;
             let target = lease.grant.target.clone();
             self.registry = lease.registry;
-            let result = self.send(lease, after).await;
-            let again = match result {
-                Ok(begun) => return Ok(begun),
-                Err(again) => again,
+            let result = self.send(lease, last_event).await;
+            let reason = match result {
+                Ok(response) => return Ok(response),
+                Err(reason) => reason,
             };
             slog::info!(self.node.log, "try failed"; "request" => &self.call.id,
                 "content" => hex(self.call.content()),
-                "target" => &target, "how" => again.name(), "text" => again.text(),
-                "sent" => self.sent, "attempts" => self.route.max_attempts,
+                "target" => &target, "how" => reason.name(), "text" => reason.text(),
+                "sent" => self.attempts, "attempts" => self.route.max_attempts,
                 "registry" => self.registry,
                 "age_ms" => clock::since(self.call.started).as_millis() as u64);
             self.excluded.push(target);
-            match again {
+            match reason {
                 RetryReason::NotSent(_) => {
-                    unreached += 1;
-                    if unreached >= MOST_UNREACHED {
-                        return Err(self.refused(AcquireError::Full(COME_BACK)));
+                    unreachable += 1;
+                    if unreachable >= MAX_UNREACHABLE_TARGETS {
+                        return Err(self.reject(AcquireError::Full(RETRY_AFTER)));
                     }
                 }
                 RetryReason::NotRun => {
-                    if self.sent >= self.route.max_attempts {
-                        return Err(self.refused(AcquireError::Full(COME_BACK)));
+                    if self.attempts >= self.route.max_attempts {
+                        return Err(self.reject(AcquireError::Full(RETRY_AFTER)));
                     }
                 }
                 RetryReason::MayHaveRun(text) => {
                     self.may_have_run = true;
-                    if !self.may_send_again() {
+                    if !self.may_retry() {
                         return Err(ForwardError::MayHaveRun(text));
                     }
                 }
@@ -259,68 +271,72 @@
         }
     }
 
-    /// A refusal says that the request has not run, so it is one only if that is
-    /// true.
-    fn refused(&self, refusal: AcquireError) -> ForwardError {
+    /// A rejection promises that the request did not run, so it is sent only if that is certain.
+    fn reject(&self, error: AcquireError) -> ForwardError {
         if self.may_have_run {
-            return ForwardError::MayHaveRun(String::from("no slot for another try"));
+            return ForwardError::MayHaveRun(String::from("no slot for a retry"));
         }
-        ForwardError::NotRun(refusal)
+        ForwardError::NotRun(error)
     }
 
-    /// Until when a slot brings the answer in time, and until when the caller waits.
-    fn window(&self, is_resumed: bool, now: Instant) -> (Instant, Instant) {
+    /// The latest start with which the response meets its objective, and when the caller stops
+    /// waiting.
+    fn slot_deadlines(&self, is_resumed: bool, now: Instant) -> (Instant, Instant) {
         let route = &self.route;
         let start = self.call.started;
-        let last = self.call.until.min(start + route.timeout);
-        let leaves = |since: Instant| {
-            route.caller_idle_timeout.map_or(last, |silence| last.min(since + silence))
+        let deadline = self.call.until.min(start + route.timeout);
+        let expires = |since: Instant| {
+            route
+                .caller_idle_timeout
+                .map_or(deadline, |idle_timeout| deadline.min(since + idle_timeout))
         };
         if is_resumed {
-            // A reader waits in the middle of the stream.
-            return (now + route.max_event_gap, leaves(now));
+            // The caller waits for the next event of its stream.
+            return (now + route.max_event_gap, expires(now));
         }
         if self.call.is_retry {
-            // Its objective is counted from the first time it came: it is late.
-            return (start, leaves(start));
+            // The objective counts from the first attempt of the caller and is missed already.
+            return (start, expires(start));
         }
-        let own_share = self.node.settings.policy.target_share;
-        (start + route.objective.mul_f64(1.0 - own_share), leaves(start))
+        let target_share = self.node.settings.policy.target_share;
+        (start + route.objective.mul_f64(1.0 - target_share), expires(start))
     }
 
-    /// A slot, unless the request is held because it crashes its targets.
-    async fn admitted(&self, after: Option<u64>) -> Result<Lease, AcquireError> {
+    /// Acquires a lease, unless the request is quarantined.
+    async fn acquire_admitted(&self, last_event: Option<u64>) -> Result<Lease, AcquireError> {
         let content = || self.call.content();
         let admission = quarantine::admit(&self.node, content).await;
-        if let Admission::Held(left) = admission {
-            return Err(AcquireError::Quarantined(left));
+        if let Admission::Held(remaining) = admission {
+            return Err(AcquireError::Quarantined(remaining));
         }
-        let lease = self.lease(after).await?;
-        // It may have waited while its like crashed further targets.
+        let lease = self.acquire_lease(last_event).await?;
+        // Equal requests may have crashed further targets during the wait.
         match quarantine::held_for(&self.node, content) {
-            Some(left) if admission == Admission::Free => Err(AcquireError::Quarantined(left)),
+            Some(remaining) if admission == Admission::Free => {
+                Err(AcquireError::Quarantined(remaining))
+            }
             _ => Ok(lease),
         }
     }
 
-    async fn lease(&self, after: Option<u64>) -> Result<Lease, AcquireError> {
-        let (latest_start, expires) = self.window(after.is_some(), clock::now());
-        let want = SlotQuery {
+    async fn acquire_lease(&self, last_event: Option<u64>) -> Result<Lease, AcquireError> {
+        let (latest_start, expires) = self.slot_deadlines(last_event.is_some(), clock::now());
+        let query = SlotQuery {
             service: self.service.clone(),
             latest_start,
             expires,
             excluded: self.excluded.clone(),
         };
-        let result = leases::acquire(&self.node, &want).await;
+        let result = leases::acquire(&self.node, &query).await;
         self.slot_wait.set(clock::since(self.call.started));
         result
     }
 
-    /// The answer to a request that got none.
-    pub fn fail(&self, failed: &ForwardError) -> Response<Body> {
+    /// The response to a request that got none from a target.
+    pub fn fail(&self, error: &ForwardError) -> Response<Body> {
         let call = &self.call;
         let age = clock::since(call.started);
-        let (status, cause) = match failed {
+        let (status, cause) = match error {
             ForwardError::NotRun(AcquireError::Full(_)) => (503, "no slot"),
             ForwardError::NotRun(AcquireError::NoTarget) => (503, "no target"),
             ForwardError::NotRun(AcquireError::Quarantined(_)) => (503, "crashes its targets"),
@@ -332,17 +348,17 @@
         slog::info!(self.node.log, "request failed"; "request" => &call.id, "cause" => cause,
             "content" => hex(call.content()),
             "status" => status, "route" => &self.route.name, "service" => &self.service,
-            "config" => self.version, "registry" => self.registry, "sent" => self.sent,
+            "config" => self.version, "registry" => self.registry, "sent" => self.attempts,
             "avoided" => ?self.excluded,
             "slot_ms" => self.slot_wait.get().as_millis() as u64, "again" => call.is_retry,
             "age_ms" => age.as_millis() as u64, "repeatable" => is_repeatable);
-        match failed {
-            ForwardError::NotRun(refused) => {
-                let after = match refused {
+        match error {
+            ForwardError::NotRun(rejection) => {
+                let after = match rejection {
                     AcquireError::Full(after) | AcquireError::Quarantined(after) => *after,
-                    AcquireError::NoTarget => COME_BACK,
+                    AcquireError::NoTarget => RETRY_AFTER,
                 };
-                let kind = match refused {
+                let kind = match rejection {
                     AcquireError::Full(_) => Kind::Overloaded,
                     AcquireError::NoTarget => Kind::NoTarget,
                     AcquireError::Quarantined(_) => Kind::Quarantined,
--- a/crates/daemon/src/gateway/online/attempt.rs
+++ b/crates/daemon/src/gateway/online/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one target, and what its answer says.
+//! One attempt to send a request to a target, and the classification of its response.
 
 use super::{ProxiedRequest, TargetResponse};
 use crate::clock;
@@ -16,37 +16,37 @@
     pub(super) async fn send(
         &mut self,
         lease: Lease,
-        after: Option<u64>,
+        last_event: Option<u64>,
     ) -> Result<TargetResponse, RetryReason> {
         let now = clock::now();
-        let left = self.call.left(now);
-        if left.is_zero() {
+        let remaining = self.call.remaining(now);
+        if remaining.is_zero() {
             return Err(RetryReason::DeadlineExceeded);
         }
-        let request = self.request(&lease, left, after).map_err(RetryReason::NotSent)?;
+        let request = self.request(&lease, remaining, last_event).map_err(RetryReason::NotSent)?;
         let policy = &self.node.settings.policy;
-        let overdue = self.route.objective.mul_f64(policy.overdue_factor);
-        let give_up = self.route.objective.mul_f64(policy.reroute_factor);
-        let sent = self.node.targets.send(lease.grant.address, request);
-        let mut sent = std::pin::pin!(sent);
-        let mut limit = left;
-        if self.route.is_repeatable() && self.sent + 1 < self.route.max_attempts {
-            limit = limit.min(give_up);
+        let overdue_after = self.route.objective.mul_f64(policy.overdue_factor);
+        let reroute_after = self.route.objective.mul_f64(policy.reroute_factor);
+        let sending = self.node.targets.send(lease.grant.address, request);
+        let mut sending = std::pin::pin!(sending);
+        let mut timeout = remaining;
+        if self.route.is_repeatable() && self.attempts + 1 < self.route.max_attempts {
+            timeout = timeout.min(reroute_after);
         }
-        let first = tokio::time::timeout(overdue.min(limit), sent.as_mut()).await;
-        let result = match first {
+        let response = tokio::time::timeout(overdue_after.min(timeout), sending.as_mut()).await;
+        let result = match response {
             Ok(result) => result,
             Err(_) => {
                 lease.report_overdue();
-                let rest = limit.saturating_sub(clock::since(now));
-                match tokio::time::timeout(rest, sent).await {
+                let rest = timeout.saturating_sub(clock::since(now));
+                match tokio::time::timeout(rest, sending).await {
                     Ok(result) => result,
                     Err(_) => {
-                        self.sent += 1;
+                        self.attempts += 1;
                         lease.end(LeaseOutcome::Unresponsive);
-                        let is_over = self.call.left(clock::now()).is_zero();
-                        let text = String::from("no answer in time");
-                        return Err(if is_over {
+                        let is_expired = self.call.remaining(clock::now()).is_zero();
+                        let text = String::from("response timed out");
+                        return Err(if is_expired {
                             RetryReason::DeadlineExceeded
                         } else {
                             RetryReason::MayHaveRun(text)
@@ -61,14 +61,14 @@
                 Err(RetryReason::NotSent(text))
             }
             Err(SendError::OutcomeUnknown(text)) => {
-                self.sent += 1;
+                self.attempts += 1;
                 self.on_interrupted(&lease.grant);
                 lease.end(LeaseOutcome::Interrupted);
                 Err(RetryReason::MayHaveRun(text))
             }
             Ok(exchange) => {
-                self.sent += 1;
-                self.check(exchange, lease)
+                self.attempts += 1;
+                self.accept(exchange, lease)
             }
         }
     }
@@ -76,31 +76,31 @@
     fn request(
         &self,
         lease: &Lease,
-        left: Duration,
-        after: Option<u64>,
+        remaining: Duration,
+        last_event: Option<u64>,
     ) -> Result<Request<Full<Bytes>>, String> {
         let call = &self.call;
-        let left = left.as_millis().to_string();
+        let remaining = remaining.as_millis().to_string();
         let mut builder = Request::builder().method(call.method.clone()).uri(&call.target);
         if let Some(headers) = builder.headers_mut() {
             *headers = call.headers.clone();
             headers.remove(header::DEADLINE_MS);
             headers.remove(header::EXPECTED_TARGET);
             headers.remove("content-length");
-            if after.is_some() {
+            if last_event.is_some() {
                 headers.remove(header::LAST_EVENT_ID);
             }
         }
-        builder = builder.header(header::DEADLINE_MS, left);
+        builder = builder.header(header::DEADLINE_MS, remaining);
         builder = builder.header(header::EXPECTED_TARGET, &lease.grant.target);
-        if let Some(after) = after {
-            builder = builder.header(header::LAST_EVENT_ID, after.to_string());
+        if let Some(last_event) = last_event {
+            builder = builder.header(header::LAST_EVENT_ID, last_event.to_string());
         }
         builder.body(Full::new(call.body.clone())).map_err(|error| error.to_string())
     }
 
-    /// Whether an answer is the one asked for, and can be passed on.
-    fn check(&self, exchange: Exchange, lease: Lease) -> Result<TargetResponse, RetryReason> {
+    /// Checks whether a response belongs to the request and is to be passed on.
+    fn accept(&self, exchange: Exchange, lease: Lease) -> Result<TargetResponse, RetryReason> {
         let head = exchange.head();
         if is_not_run(head) {
             lease.end(rejection_outcome(head));
@@ -108,40 +108,42 @@
         }
         if !belongs_to_request(&head.headers, &self.call.id) {
             lease.end(LeaseOutcome::Interrupted);
-            return Err(RetryReason::MayHaveRun(String::from("an answer to another request")));
+            return Err(RetryReason::MayHaveRun(String::from(
+                "response belongs to another request",
+            )));
         }
-        if head.status.is_server_error() && self.may_send_again() {
+        if head.status.is_server_error() && self.may_retry() {
             let status = head.status;
             lease.end(completion_outcome(status));
-            return Err(RetryReason::MayHaveRun(format!("the target answers {status}")));
+            return Err(RetryReason::MayHaveRun(format!("target responded with {status}")));
         }
         Ok(TargetResponse { exchange, lease })
     }
 }
 
-/// Whether an answer says that the request was not run.
+/// Whether a response says that the target did not run the request.
 pub fn is_not_run(head: &Parts) -> bool {
     head.headers.contains_key(header::NOT_RUN) || head.status == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// What it says of a target that it didn't run a request.
+/// The lease outcome of a response that says that the request was not run.
 pub fn rejection_outcome(head: &Parts) -> LeaseOutcome {
-    let is_another = head.status == StatusCode::MISDIRECTED_REQUEST;
-    if is_another { LeaseOutcome::Misdirected } else { LeaseOutcome::Rejected }
+    let is_misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
+    if is_misdirected { LeaseOutcome::Misdirected } else { LeaseOutcome::Rejected }
 }
 
-/// What a whole answer says of its target.
+/// The lease outcome of a complete response.
 pub(super) fn completion_outcome(status: StatusCode) -> LeaseOutcome {
     if status.is_server_error() { LeaseOutcome::Failed } else { LeaseOutcome::Completed }
 }
 
-/// Whether an answer belongs to the request `id`.
+/// Whether a response belongs to the request `id`; one without an id is taken to.
 pub fn belongs_to_request(headers: &HeaderMap, id: &str) -> bool {
-    let echoed = header::text(headers, header::REQUEST_ID);
-    echoed.is_empty() || echoed == id
+    let response_id = header::text(headers, header::REQUEST_ID);
+    response_id.is_empty() || response_id == id
 }
 
-/// How a try ended that may be followed by another.
+/// Why an attempt failed; another one may follow.
 pub(super) enum RetryReason {
     NotSent(String),
     NotRun,
@@ -155,7 +157,7 @@
             RetryReason::NotSent(_) => "not sent",
             RetryReason::NotRun => "not run",
             RetryReason::MayHaveRun(_) => "may have run",
-            RetryReason::DeadlineExceeded => "time over",
+            RetryReason::DeadlineExceeded => "deadline exceeded",
         }
     }
 
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -6,7 +6,7 @@
 use super::leases::{AcquireError, Lease};
 use super::node::Node;
 use super::online::{
-    ForwardError, InFlightGuard, ProxiedRequest, TargetResponse, respond, response_head,
+    ForwardError, InFlightGuard, ProxiedRequest, TargetResponse, response_head, with_body,
 };
 use crate::clock;
 use bytes::{Bytes, BytesMut};
@@ -67,7 +67,7 @@
         stream.run(begun).await;
         drop(in_flight);
     });
-    respond(head, body)
+    with_body(head, body)
 }
 
 struct Stream {
@@ -102,15 +102,15 @@
                 StreamEnd::Idle => String::from("idle"),
             };
             self.forward.excluded.push(target.clone());
-            if !self.forward.may_send_again() {
+            if !self.forward.may_retry() {
                 return self.abort(&target, &fault).await;
             }
             slog::info!(self.forward.node.log, "resuming interrupted stream";
                 "request" => &self.call().id, "content" => hex(self.call().content()),
                 "target" => &target, "fault" => &fault, "after" => self.last_event,
-                "sent" => self.forward.sent);
+                "sent" => self.forward.attempts);
             let next = tokio::select! {
-                next = self.forward.begin(self.last_event) => next,
+                next = self.forward.forward(self.last_event) => next,
                 () = self.sender.closed() => return self.log("caller disconnected", &target, ""),
             };
             begun = match next {
@@ -171,7 +171,7 @@
         let mut is_overdue = false;
         loop {
             let max_gap = self.max_gap();
-            let left = self.call().left(clock::now());
+            let left = self.call().remaining(clock::now());
             if left.is_zero() {
                 return StreamEnd::DeadlineExceeded;
             }
@@ -182,7 +182,7 @@
                 () = tokio::time::sleep(max_gap), if !is_overdue => {
                     lease.report_overdue();
                     is_overdue = true;
-                    if self.forward.may_send_again() {
+                    if self.forward.may_retry() {
                         return StreamEnd::Idle;
                     }
                     continue;
@@ -271,7 +271,7 @@
             "content" => hex(call.content()),
             "route" => &self.forward.route.name, "config" => self.forward.version,
             "registry" => self.forward.registry,
-            "fault" => fault, "pieces" => self.stats.chunks, "sent" => self.forward.sent,
+            "fault" => fault, "pieces" => self.stats.chunks, "sent" => self.forward.attempts,
             "first_ms" => self.stats.first_after(call.started).map(|at| at.as_millis() as u64),
             "slowest_ms" => self.stats.slowest.as_millis() as u64,
             "slot_ms" => self.forward.slot_wait.get().as_millis() as u64,
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -41,7 +41,7 @@
 
 /// Serves a submission.
 pub async fn submit(node: &Rc<Node>, route: &Route, call: &CallerRequest) -> Response<Body> {
-    let until = call.started + call.left(call.started).mul_f64(CONFIRM_TIME_RATIO);
+    let until = call.started + call.remaining(call.started).mul_f64(CONFIRM_TIME_RATIO);
     let mut outcome = accept(node, route, call, until).await;
     if outcome == SubmitOutcome::Refused && !node.is_stopping() || node.store.last_call_failed() {
         let is_open = matches!(outcome, SubmitOutcome::Refused | SubmitOutcome::Unknown);
