--- a/crates/daemon/tests/gateway_crash.rs
+++ b/crates/daemon/tests/gateway_crash.rs
@@ -159,7 +159,7 @@
 
 fn is_word_of_hold(line: &Value) -> bool {
     let verdict = line["verdict"].as_str().unwrap_or_default();
-    line["msg"] == "request struck" && verdict.starts_with("Held")
+    line["msg"] == "request struck" && verdict.starts_with("Quarantined")
 }
 
 #[test]
