--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -55,12 +55,12 @@
     if node.is_unresponsive(others[at].peer, now) {
         return;
     }
-    let ask = PeerRequest::Sync {
+    let request = PeerRequest::Sync {
         from: node.id(),
         digest: node.state_digest(),
         connectivity: node.connectivity(),
     };
-    let reply = node.request(others[at].peer, &ask, SYNC_TIMEOUT).await;
+    let reply = node.request(others[at].peer, &request, SYNC_TIMEOUT).await;
     if let Ok(PeerReply::Sync { config, digest, connectivity }) = reply {
         platform_health::on_peer_report(&node, others[at].id, connectivity);
         let is_due =
@@ -77,8 +77,8 @@
             discovery::on_config(&node, version, &text, "compared");
         }
         if digest.targets != node.state_digest().targets {
-            let ask = PeerRequest::Targets(node.registry.borrow().digests());
-            let reply = node.request(others[at].peer, &ask, SYNC_TIMEOUT).await;
+            let request = PeerRequest::Targets(node.registry.borrow().digests());
+            let reply = node.request(others[at].peer, &request, SYNC_TIMEOUT).await;
             if let Ok(PeerReply::Targets(changes)) = reply {
                 discovery::on_targets(&node, changes, "compared");
             }
--- a/crates/daemon/src/gateway/broadcast.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -92,8 +92,8 @@
     for relay in relays.iter().chain(&relays) {
         match node.request(relay.peer, &request, RELAY_TIMEOUT).await {
             Ok(_) => return,
-            Err(fault) => slog::debug!(node.log, "relay unresponsive"; "relay" => %relay.peer,
-                "fault" => ?fault),
+            Err(error) => slog::debug!(node.log, "relay unresponsive"; "relay" => %relay.peer,
+                "fault" => ?error),
         }
     }
 }
@@ -118,8 +118,8 @@
     if node.try_request(to, &request, SEND_TIMEOUTS[0]).await.is_ok() {
         return;
     }
-    if let Err(fault) = node.request(to, &request, SEND_TIMEOUTS[1]).await {
-        slog::debug!(node.log, "update not delivered"; "to" => %to, "fault" => ?fault);
+    if let Err(error) = node.request(to, &request, SEND_TIMEOUTS[1]).await {
+        slog::debug!(node.log, "update not delivered"; "to" => %to, "fault" => ?error);
     }
 }
 
@@ -211,9 +211,9 @@
             discovery::on_config(node, version, &text, "peer")
         }
         Ok(_) => false,
-        Err(fault) => {
+        Err(error) => {
             slog::info!(node.log, "configuration fetch failed"; "version" => version,
-                "from" => %from, "fault" => ?fault);
+                "from" => %from, "fault" => ?error);
             false
         }
     }
--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -64,24 +64,24 @@
 
 /// Applies changes of the registry; returns whether any was new.
 pub fn on_targets(node: &Rc<Node>, changes: Vec<Change>, from: &str) -> bool {
-    let news: Vec<Change> = {
+    let applied: Vec<Change> = {
         let mut registry = node.registry.borrow_mut();
         changes.into_iter().filter(|change| registry.on_change(change.clone())).collect()
     };
-    on_changed(node, &news, from);
-    !news.is_empty()
+    on_changed(node, &applied, from);
+    !applied.is_empty()
 }
 
 /// Logs applied changes and wakes those that wait for slots.
-fn on_changed(node: &Rc<Node>, news: &[Change], from: &str) {
-    if news.is_empty() {
+fn on_changed(node: &Rc<Node>, applied: &[Change], from: &str) {
+    if applied.is_empty() {
         return;
     }
-    if news.len() > MAX_LOGGED_CHANGES {
-        slog::info!(node.log, "targets updated"; "changes" => news.len(), "from" => from,
+    if applied.len() > MAX_LOGGED_CHANGES {
+        slog::info!(node.log, "targets updated"; "changes" => applied.len(), "from" => from,
             "revision" => node.registry.borrow().revision());
     }
-    for change in news.iter().filter(|_| news.len() <= MAX_LOGGED_CHANGES) {
+    for change in applied.iter().filter(|_| applied.len() <= MAX_LOGGED_CHANGES) {
         match change {
             Change::Present(target) => slog::info!(node.log, "target";
                 "target" => &target.id, "service" => &target.service,
@@ -91,7 +91,7 @@
                 "target" => id, "revision" => revision, "from" => from),
         }
     }
-    record_start_times(node, news);
+    record_start_times(node, applied);
     let registry = node.registry.borrow();
     let addresses: Vec<SocketAddr> = registry.usable().map(|target| target.address).collect();
     drop(registry);
@@ -101,9 +101,9 @@
 }
 
 /// Closes connections to the previous process of a target that restarted under its id.
-fn record_start_times(node: &Node, news: &[Change]) {
+fn record_start_times(node: &Node, applied: &[Change]) {
     let mut births = node.start_times.borrow_mut();
-    for change in news {
+    for change in applied {
         match change {
             Change::Present(target) => {
                 let before = births.insert(target.id.clone(), target.started_at);
@@ -121,29 +121,30 @@
 /// Handles a full listing of the registry.
 pub fn on_entries(node: &Rc<Node>, listing: &Listing) {
     let now = clock::now();
-    let regained = node.store.reachable_since();
-    let mut learnt = Delta::default();
+    let available_since = node.store.reachable_since();
+    let mut delta = Delta::default();
     let mut targets = Vec::new();
     for object in &listing.objects {
         match read_target(node, object) {
             Ok(target) => targets.push(target),
-            Err(revision) => mark_invalid(node, &object.name, revision, &mut learnt),
+            Err(revision) => mark_invalid(node, &object.name, revision, &mut delta),
         }
     }
     for name in listing.undecodable.iter().filter_map(|found| found.name.as_ref()) {
-        mark_invalid(node, name, listing.revision, &mut learnt);
+        mark_invalid(node, name, listing.revision, &mut delta);
     }
-    let listed = node.registry.borrow_mut().on_list(targets, listing.revision, regained, now);
-    learnt.changes.extend(listed.changes);
-    learnt.missing.extend(listed.missing);
-    on_learnt(node, learnt);
+    let listed =
+        node.registry.borrow_mut().on_list(targets, listing.revision, available_since, now);
+    delta.changes.extend(listed.changes);
+    delta.missing.extend(listed.missing);
+    on_delta(node, delta);
 }
 
 /// Handles registry changes delivered by a watch.
 pub fn on_changes(node: &Rc<Node>, changes: Changes) {
-    let regained = node.store.reachable_since();
+    let available_since = node.store.reachable_since();
     let now = clock::now();
-    let mut learnt = Delta::default();
+    let mut delta = Delta::default();
     let latest: HashMap<String, usize> = changes
         .changes
         .iter()
@@ -160,51 +161,53 @@
         }
         if change.removed {
             let mut registry = node.registry.borrow_mut();
-            registry.on_removed(name, changes.revision, regained, now, &mut learnt);
+            registry.on_removed(name, changes.revision, available_since, now, &mut delta);
             continue;
         }
         match read_target(node, &change.object) {
-            Ok(target) => on_entry(node, target, &mut learnt),
-            Err(revision) => mark_invalid(node, name, revision, &mut learnt),
+            Ok(target) => on_entry(node, target, &mut delta),
+            Err(revision) => mark_invalid(node, name, revision, &mut delta),
         }
     }
     let unreadable = changes.undecodable.iter().filter_map(|found| found.name.as_ref());
     for name in unreadable.filter(|name| !latest.contains_key(*name)) {
-        mark_invalid(node, name, changes.revision, &mut learnt);
+        mark_invalid(node, name, changes.revision, &mut delta);
     }
-    on_learnt(node, learnt);
+    on_delta(node, delta);
 }
 
-fn on_entry(node: &Node, target: Target, learnt: &mut Delta) {
-    node.registry.borrow_mut().on_entry(target, learnt);
+fn on_entry(node: &Node, target: Target, delta: &mut Delta) {
+    node.registry.borrow_mut().on_entry(target, delta);
 }
 
 /// An invalid entry makes its target unusable but doesn't mean that the target leaves: the
 /// target rewrites its entry with the next heartbeat.
-fn mark_invalid(node: &Node, id: &str, revision: Revision, learnt: &mut Delta) {
-    node.registry.borrow_mut().on_invalid(id, revision, learnt);
+fn mark_invalid(node: &Node, id: &str, revision: Revision, delta: &mut Delta) {
+    node.registry.borrow_mut().on_invalid(id, revision, delta);
 }
 
 /// Logs and broadcasts what the platform reported.
-fn on_learnt(node: &Rc<Node>, learnt: Delta) {
-    let Delta { changes: news, missing } = learnt;
+fn on_delta(node: &Rc<Node>, delta: Delta) {
+    let Delta { changes: applied, missing } = delta;
     if !missing.is_empty() {
-        let regained = node.store.reachable_since().map(|at| clock::since(at).as_millis() as u64);
+        let available_since =
+            node.store.reachable_since().map(|at| clock::since(at).as_millis() as u64);
         slog::info!(node.log, "targets missing"; "count" => missing.len(),
             "targets" => ?missing.iter().take(MAX_LOGGED_TARGETS).collect::<Vec<_>>(),
-            "platform_back_ms" => regained, "bound_ms" => REREGISTRATION_GRACE.as_millis() as u64);
+            "platform_back_ms" => available_since,
+            "bound_ms" => REREGISTRATION_GRACE.as_millis() as u64);
     }
-    on_changed(node, &news, "platform");
-    if !news.is_empty() {
-        broadcast::send(node, Update::Targets(news));
+    on_changed(node, &applied, "platform");
+    if !applied.is_empty() {
+        broadcast::send(node, Update::Targets(applied));
     }
 }
 
 /// Decodes an entry. The error is the revision at which the entry became invalid.
 fn read_target(node: &Node, object: &Object) -> Result<Target, Revision> {
-    target::decode(&object.name, object.revision, object.spec.get()).map_err(|fault| {
+    target::decode(&object.name, object.revision, object.spec.get()).map_err(|error| {
         slog::warn!(node.log, "invalid target entry"; "target" => &object.name,
-            "fault" => %fault, "revision" => object.revision);
+            "fault" => %error, "revision" => object.revision);
         object.revision
     })
 }
--- a/crates/daemon/src/gateway/items.rs
+++ b/crates/daemon/src/gateway/items.rs
@@ -124,7 +124,7 @@
     data_centre: &'a str,
     service: &'a str,
     held: &HeldJob,
-    most: usize,
+    max_slots: usize,
 ) -> leases::BatchQuery<'a> {
     let now = unix_millis();
     let state = held.state.borrow();
@@ -139,7 +139,7 @@
         safe_start: until(safe_start),
         remaining: node.jobs.run_time.borrow().remaining(event_count),
         is_started: event_count > 0,
-        limit: most,
+        limit: max_slots,
         wait: SLOT_TIMEOUT,
     }
 }
@@ -156,8 +156,8 @@
         let Some(first) = waiting.first() else {
             break;
         };
-        let most = items_of_first_class(&node, &waiting).clamp(1, MAX_SLOTS_PER_REQUEST);
-        let slot_query = slot_query(&node, &data_centre, &service, first, most);
+        let max_slots = items_of_first_class(&node, &waiting).clamp(1, MAX_SLOTS_PER_REQUEST);
+        let slot_query = slot_query(&node, &data_centre, &service, first, max_slots);
         drop(waiting);
         match leases::acquire_batch(&node, slot_query).await {
             Some(leases) => leases.into_iter().for_each(|lease| run_next(&node, &service, lease)),
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -52,23 +52,26 @@
     }
     let run_end = tokio::select! {
         run_end = attempt(&node, &held, &item, &lease, &mut partial) => run_end,
-        () = lease.stop.cancelled() => RunEnd::Stopped(LeaseOutcome::Unused, String::from("revoked")),
-        () = held.released.cancelled() => RunEnd::Stopped(LeaseOutcome::Unused, String::from("released")),
-        () = held.ended.cancelled() => RunEnd::Stopped(LeaseOutcome::Unused, String::from("job ended")),
+        () = lease.stop.cancelled() =>
+            RunEnd::Stopped(LeaseOutcome::Unused, String::from("revoked")),
+        () = held.released.cancelled() =>
+            RunEnd::Stopped(LeaseOutcome::Unused, String::from("released")),
+        () = held.ended.cancelled() =>
+            RunEnd::Stopped(LeaseOutcome::Unused, String::from("job ended")),
     };
     let mut lease = lease;
     let new_events = partial.events.len() - before.min(partial.events.len());
     if new_events > 1 {
         lease.report.event_interval = Some(clock::since(started) / new_events as u32);
     }
-    let (how, fault) = match &run_end {
+    let (how, error) = match &run_end {
         RunEnd::Completed => ("complete", String::new()),
         RunEnd::Failed(failure) => ("failed", format!("{failure:?}")),
-        RunEnd::Stopped(_, fault) => ("stopped", fault.clone()),
+        RunEnd::Stopped(_, error) => ("stopped", error.clone()),
     };
     slog::info!(node.log, "item run"; "item" => &item.id, "content" => hex(content),
         "job" => &held.state.borrow().job().id, "target" => target, "how" => how,
-        "fault" => &fault, "events" => partial.events.len(), "resumed_at" => before,
+        "fault" => &error, "events" => partial.events.len(), "resumed_at" => before,
         "registry" => lease.registry,
         "ran_ms" => clock::since(started).as_millis() as u64);
     let mut pause = Duration::ZERO;
@@ -151,19 +154,19 @@
     let host = held.state.borrow().job().host.clone();
     let request = match request(&host, item, lease, partial) {
         Ok(request) => request,
-        Err(fault) => {
-            slog::warn!(node.log, "invalid item request"; "item" => &item.id, "fault" => &fault);
+        Err(error) => {
+            slog::warn!(node.log, "invalid item request"; "item" => &item.id, "fault" => &error);
             return RunEnd::Failed(Failure::Permanent);
         }
     };
     let sent = node.targets.send(lease.grant.address, request);
     let mut exchange = match tokio::time::timeout(IDLE_TIMEOUT, sent).await {
         Ok(Ok(exchange)) => exchange,
-        Ok(Err(SendError::NotSent(fault))) => {
-            return RunEnd::Stopped(LeaseOutcome::Unresponsive, fault);
+        Ok(Err(SendError::NotSent(error))) => {
+            return RunEnd::Stopped(LeaseOutcome::Unresponsive, error);
         }
-        Ok(Err(SendError::OutcomeUnknown(fault))) => {
-            return RunEnd::Stopped(LeaseOutcome::Interrupted, fault);
+        Ok(Err(SendError::OutcomeUnknown(error))) => {
+            return RunEnd::Stopped(LeaseOutcome::Interrupted, error);
         }
         Err(_) => {
             return RunEnd::Stopped(
@@ -205,12 +208,12 @@
 }
 
 async fn read_events(exchange: &mut Exchange, partial: &mut PartialOutput) -> RunEnd {
-    let interrupted = |fault: &str| RunEnd::Stopped(LeaseOutcome::Interrupted, fault.to_owned());
+    let interrupted = |error: &str| RunEnd::Stopped(LeaseOutcome::Interrupted, error.to_owned());
     let mut splitter = Splitter::default();
     loop {
         let chunk = match tokio::time::timeout(IDLE_TIMEOUT, exchange.next()).await {
             Err(_) => return RunEnd::Stopped(LeaseOutcome::Unresponsive, String::from("idle")),
-            Ok(Err(fault)) => return interrupted(&fault),
+            Ok(Err(error)) => return interrupted(&error),
             Ok(Ok(None)) if !splitter.is_empty() => return interrupted("ended inside an event"),
             Ok(Ok(None)) => return RunEnd::Completed,
             Ok(Ok(Some(chunk))) => chunk,
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -115,8 +115,8 @@
     loop {
         let page = match node.store.list(CallReason::Sweep, job::KIND, after.as_deref()).await {
             Ok(page) => page,
-            Err(fault) => {
-                slog::info!(node.log, "job list failed"; "fault" => %fault);
+            Err(error) => {
+                slog::info!(node.log, "job list failed"; "fault" => %error);
                 return false;
             }
         };
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -78,14 +78,14 @@
     /// An object can't be decoded, or an overflow object is missing.
     Malformed(String),
     /// A call of the platform failed.
-    Fault(StoreError),
+    Store(StoreError),
 }
 
 impl std::fmt::Display for LoadError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             LoadError::Malformed(text) => write!(f, "malformed: {text}"),
-            LoadError::Fault(fault) => write!(f, "read failed: {fault}"),
+            LoadError::Store(error) => write!(f, "read failed: {error}"),
         }
     }
 }
@@ -178,7 +178,7 @@
     reason: CallReason,
     id: &str,
 ) -> Result<Option<StoredJob>, LoadError> {
-    match node.store.get(reason, job::KIND, id).await.map_err(LoadError::Fault)? {
+    match node.store.get(reason, job::KIND, id).await.map_err(LoadError::Store)? {
         Some(object) => read(node, reason, &object).await.map(Some),
         None => Ok(None),
     }
@@ -195,7 +195,7 @@
             .store
             .get(reason, job::OVERFLOW_KIND, &object.name)
             .await
-            .map_err(LoadError::Fault)?;
+            .map_err(LoadError::Store)?;
         let Some(object) = found else {
             return Err(LoadError::Malformed(format!(
                 "overflow object `{}` is missing",
@@ -214,8 +214,8 @@
 ///
 /// [`StoreError::Conflict`] if the job exists, else the error of the failed call.
 pub async fn create(node: &Node, job: &Job) -> Result<(Object, Overflow), StoreError> {
-    let most = share(node, SPEC_BYTES_RATIO);
-    let runs = runs(&job.items, most);
+    let max_bytes = share(node, SPEC_BYTES_RATIO);
+    let runs = runs(&job.items, max_bytes);
     let Some((first, rest)) = runs.split_first().filter(|(_, rest)| !rest.is_empty()) else {
         let object = node.store.create(CallReason::Submission, job::KIND, &job.id, job).await?;
         return Ok((object, Overflow::default()));
@@ -252,15 +252,15 @@
 ) -> Result<(Object, Overflow), StoreError> {
     let mut overflow = overflow.clone();
     let moved = count(&overflow.results).min(progress.outcomes.len());
-    let mut left = &progress.outcomes[moved..];
-    let most = share(node, STATUS_BYTES_RATIO);
-    let runs = runs(left, most);
+    let mut remaining = &progress.outcomes[moved..];
+    let max_bytes = share(node, STATUS_BYTES_RATIO);
+    let runs = runs(remaining, max_bytes);
     for run in runs.split_last().map(|(_, early)| early).unwrap_or_default() {
         overflow.results.push(write_overflow(node, reason, id, run).await?);
-        left = &left[run.len()..];
+        remaining = &remaining[run.len()..];
     }
     let progress = Progress {
-        outcomes: left.to_vec(),
+        outcomes: remaining.to_vec(),
         holder: progress.holder,
         failures: progress.failures.clone(),
         ended: progress.ended,
@@ -272,16 +272,16 @@
 
 /// Deletes a job and its overflow objects.
 pub async fn delete(node: &Node, id: &str, revision: u64, overflow: &Overflow) {
-    if let Err(fault) = node.store.delete(CallReason::Expiry, job::KIND, id, Some(revision)).await {
-        slog::info!(node.log, "job not deleted"; "job" => id, "fault" => %fault);
+    if let Err(error) = node.store.delete(CallReason::Expiry, job::KIND, id, Some(revision)).await {
+        slog::info!(node.log, "job not deleted"; "job" => id, "fault" => %error);
         return;
     }
     for object in overflow.items.iter().chain(&overflow.results) {
-        if let Err(fault) =
+        if let Err(error) =
             node.store.delete(CallReason::Expiry, job::OVERFLOW_KIND, &object.name, None).await
         {
             slog::info!(node.log, "overflow object not deleted";
-                "piece" => &object.name, "fault" => %fault);
+                "piece" => &object.name, "fault" => %error);
         }
     }
 }
@@ -290,23 +290,23 @@
     (node.settings.value_bytes as f64 * share) as usize
 }
 
-/// Splits a list into runs whose encoded form has at most `most` bytes each. A larger
+/// Splits a list into runs whose encoded form has at most `max_bytes` bytes each. A larger
 /// element gets a run of its own.
-fn runs<T: Serialize>(all: &[T], most: usize) -> Vec<&[T]> {
+fn runs<T: Serialize>(all: &[T], max_bytes: usize) -> Vec<&[T]> {
     let mut runs = Vec::new();
-    let mut begin = 0;
+    let mut start = 0;
     let mut bytes = 0;
-    for (at, one) in all.iter().enumerate() {
+    for (index, element) in all.iter().enumerate() {
         // Strings and numbers only: encoding can't fail.
-        let size = serde_json::to_vec(one).map_or(0, |text| text.len() + 1);
-        if at > begin && bytes + size > most {
-            runs.push(&all[begin..at]);
-            (begin, bytes) = (at, 0);
+        let size = serde_json::to_vec(element).map_or(0, |text| text.len() + 1);
+        if index > start && bytes + size > max_bytes {
+            runs.push(&all[start..index]);
+            (start, bytes) = (index, 0);
         }
         bytes += size;
     }
-    if begin < all.len() {
-        runs.push(&all[begin..]);
+    if start < all.len() {
+        runs.push(&all[start..]);
     }
     runs
 }
@@ -324,6 +324,6 @@
     let name = format!("{id}.{:016x}", hash::bytes(&text));
     match node.store.create(reason, job::OVERFLOW_KIND, &name, &run).await {
         Ok(_) | Err(StoreError::Conflict(_)) => Ok(OverflowObject { name, count: run.len() }),
-        Err(fault) => Err(fault),
+        Err(error) => Err(error),
     }
 }
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -44,7 +44,7 @@
         }
         Ok(Some(_)) => held.on_confirmed(clock::now()),
         Ok(None) => job_table::release(node, held),
-        Err(fault) => slog::info!(node.log, "job load failed"; "job" => &id, "fault" => %fault),
+        Err(error) => slog::info!(node.log, "job load failed"; "job" => &id, "fault" => %error),
     }
 }
 
@@ -56,7 +56,9 @@
     loop {
         tokio::select! {
             () = held.dirty.notified() => {}
-            () = tokio::time::sleep(time_to_write(&node, &held, clock::now()).min(POLL_INTERVAL)) => {}
+            () = tokio::time::sleep(
+                time_to_write(&node, &held, clock::now()).min(POLL_INTERVAL)
+            ) => {}
             () = held.released.cancelled() => return,
         }
         if clock::since(last_poll) >= STALL_THRESHOLD {
@@ -143,8 +145,8 @@
             match found {
                 Ok(Some(object)) => return on_newer_object(node, held, &draft, &object).await,
                 Ok(None) => job_table::release(node, held),
-                Err(fault) => {
-                    slog::info!(node.log, "job load failed"; "job" => &id, "fault" => %fault);
+                Err(error) => {
+                    slog::info!(node.log, "job load failed"; "job" => &id, "fault" => %error);
                     return false;
                 }
             }
@@ -155,8 +157,8 @@
             job_table::release(node, held);
             true
         }
-        Err(fault) => {
-            slog::info!(node.log, "job write failed"; "job" => &id, "fault" => %fault,
+        Err(error) => {
+            slog::info!(node.log, "job write failed"; "job" => &id, "fault" => %error,
                 "revision" => revision);
             false
         }
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -48,11 +48,11 @@
 async fn results(node: &Rc<Node>, id: &str, from: usize, wait: Duration) -> Response<Body> {
     let until = clock::now() + wait;
     loop {
-        let left = until.saturating_duration_since(clock::now());
-        let request = |id| PeerRequest::Results(id, from, left.as_millis() as u64);
-        match find(node, id, request, left).await {
+        let remaining = until.saturating_duration_since(clock::now());
+        let request = |id| PeerRequest::Results(id, from, remaining.as_millis() as u64);
+        match find(node, id, request, remaining).await {
             Location::Local(held) => {
-                let (total, outcomes) = held_results(&held, from, left).await;
+                let (total, outcomes) = held_results(&held, from, remaining).await;
                 return results_response(total, from, &outcomes);
             }
             Location::Reply(PeerReply::Results(total, outcomes)) => {
@@ -82,11 +82,11 @@
     };
     let before = holder(node);
     loop {
-        let left = until.saturating_duration_since(clock::now());
-        if left.is_zero() {
+        let remaining = until.saturating_duration_since(clock::now());
+        if remaining.is_zero() {
             return false;
         }
-        tokio::time::sleep(left.min(HOLDER_POLL_INTERVAL)).await;
+        tokio::time::sleep(remaining.min(HOLDER_POLL_INTERVAL)).await;
         let now = holder(node);
         if node.jobs.held_job(id).is_some() || (now.is_some() && now != before) {
             return true;
@@ -336,8 +336,8 @@
     match node.request(address, &request, timeout).await {
         Ok(PeerReply::NotOwner) => None,
         Ok(reply) => Some(reply),
-        Err(fault) => {
-            slog::info!(node.log, "holder unresponsive"; "holder" => %address, "fault" => ?fault);
+        Err(error) => {
+            slog::info!(node.log, "holder unresponsive"; "holder" => %address, "fault" => ?error);
             None
         }
     }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,27 +1,29 @@
-//! The gateway: serves an operator's routes on a platform that keeps the
+//! The gateway: serves an operator's routes on a platform that stores the
 //! configuration, the registry of targets and the batch jobs.
 //!
-//! One thread runs it all on a `LocalSet`: what instances share is told by
-//! messages, what one instance knows lies in [`node::Node`] without locks. It
-//! carries out what `coordination` and `state` decide, and speaks to the
-//! platform through the `platform` package only.
+//! Runs on a single thread with a `LocalSet`. Instances exchange messages; the
+//! state of one instance is in [`node::Node`] and needs no locks. The decisions
+//! are made by `coordination` and `state`, and all calls of the platform go
+//! through the `platform` package.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`front`] | callers' requests: which route, which call |
-//! | [`online`], [`streaming`] | one request at a time; streams, resumed where they broke |
-//! | [`leases`], [`allocator`] | slots: asks for leases; keeps the account of a data centre |
-//! | [`submit`], [`jobs`] | batch jobs: submissions, and calls about accepted ones |
-//! | [`crash`], [`quarantine`] | whether a target whose answer broke off has crashed; requests that crash their targets |
-//! | [`job_table`], [`job_writer`], [`items`] | jobs known here; results made durable; runs of items |
-//! | [`takeover`], [`job_scan`] | jobs whose holder is gone; looks through all jobs |
-//! | [`watch`], [`platform_health`] | the platform, watched by a few for all; whether it answers them |
-//! | [`suspension`] | what follows a suspension of the machine |
-//! | [`discovery`] | configuration and targets as they are learnt |
-//! | [`peers`], [`message`] | membership, and what instances say to each other |
-//! | [`broadcast`], [`anti_entropy`] | news for all instances, over one relay in each data centre; what was lost is made up for |
-//! | [`store`], [`job_store`] | the platform's store with a breaker in front; how jobs lie there |
-//! | [`metrics`] | counters and histograms as text |
+//! | [`front`] | HTTP requests of callers: routes and calls |
+//! | [`online`], [`streaming`] | online requests; event streams and their resumption |
+//! | [`leases`], [`allocator`] | leases of slots; the slot allocator of a data centre |
+//! | [`submit`], [`jobs`] | submission of batch jobs; calls about accepted jobs |
+//! | [`crash`], [`quarantine`] | detection of crashed targets; requests that crash them |
+//! | [`job_table`], [`job_writer`], [`items`] | known jobs; durable progress; scheduling of items |
+//! | [`takeover`], [`job_scan`] | jobs whose holder is gone; scans of all jobs |
+//! | [`watch`], [`platform_health`] | watches of the platform; probes of it |
+//! | [`suspension`] | reaction to a suspension of the machine |
+//! | [`discovery`] | changes of the configuration and of targets |
+//! | [`peers`], [`message`] | membership; messages between instances |
+//! | [`broadcast`], [`anti_entropy`] | updates to all instances; repair of lost ones |
+//! | [`store`], [`job_store`] | the platform's store behind a circuit breaker; stored jobs |
+//! | [`call_reason`] | reasons by which calls of the platform are counted |
+//! | [`node`], [`run`] | state of an instance; start and shutdown |
+//! | [`metrics`] | counters and histograms |
 
 pub mod allocator;
 pub mod anti_entropy;
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -276,9 +276,9 @@
     let now = clock::now();
     let before = node.members.borrow().version();
     let has_replied = match result {
-        Ok((from, doubt)) => {
+        Ok((from, suspicion)) => {
             let mut members = node.members.borrow_mut();
-            merge(&mut members, &doubt, now);
+            merge(&mut members, &suspicion, now);
             if from.id == to.id {
                 members.on_delivered(to.id, mark);
             } else {
@@ -287,8 +287,8 @@
             members.on_heartbeat(from, now);
             true
         }
-        Err(fault) => {
-            slog::debug!(node.log, "heartbeat missed"; "to" => %to.peer, "fault" => ?fault);
+        Err(error) => {
+            slog::debug!(node.log, "heartbeat missed"; "to" => %to.peer, "fault" => ?error);
             if now.saturating_duration_since(sent) < HEARTBEAT_TIMEOUT + MAX_LOCAL_DELAY {
                 node.members.borrow_mut().on_heartbeat_missed(to.id, now);
             }
@@ -338,8 +338,8 @@
                 members.merge(member, now);
             }
         }
-        Err(PeerError::NotSent(fault) | PeerError::OutcomeUnknown(fault)) => {
-            slog::debug!(node.log, "seed unresponsive"; "seed" => %address, "fault" => fault);
+        Err(PeerError::NotSent(error) | PeerError::OutcomeUnknown(error)) => {
+            slog::debug!(node.log, "seed unresponsive"; "seed" => %address, "fault" => error);
         }
     }
     on_members(node, before);
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -118,14 +118,14 @@
 /// Reports to the other instances of this data centre whether this one reaches the
 /// platform.
 fn send_report(node: &Rc<Node>) {
-    let ask = PeerRequest::Sync {
+    let request = PeerRequest::Sync {
         from: node.id(),
         digest: node.state_digest(),
         connectivity: node.connectivity(),
     };
     let is_near = |member: &Member| member.data_centre == *node.data_centre();
     for member in node.others().into_iter().filter(is_near) {
-        node.notify(member.peer, ask.clone());
+        node.notify(member.peer, request.clone());
     }
 }
 
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -155,14 +155,14 @@
     }
 
     /// Records a failed call and opens the breaker.
-    pub fn on_failure(&self, fault: &StoreError, now: Instant) {
+    pub fn on_failure(&self, error: &StoreError, now: Instant) {
         self.contact.borrow_mut().on_failure();
         let mut breaker = self.breaker.borrow_mut();
         breaker.failures += 1;
         let backoff = retry::backoff(breaker.failures, MIN_BACKOFF, MAX_BACKOFF, rand::random());
         breaker.until = Some(now + backoff);
         if breaker.failures == 1 {
-            slog::warn!(self.log, "platform lost"; "fault" => %fault,
+            slog::warn!(self.log, "platform lost"; "fault" => %error,
                 "back_off_ms" => backoff.as_millis() as u64);
         }
     }
@@ -170,8 +170,8 @@
     fn record_result<T>(&self, result: Result<T, StoreError>) -> Result<T, StoreError> {
         let now = clock::now();
         match &result {
-            Err(fault @ (StoreError::Unavailable(_) | StoreError::OutcomeUnknown(_))) => {
-                self.on_failure(fault, now)
+            Err(error @ (StoreError::Unavailable(_) | StoreError::OutcomeUnknown(_))) => {
+                self.on_failure(error, now)
             }
             _ => self.on_response(now),
         }
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -94,20 +94,20 @@
         loop {
             let target = begun.lease.grant.target.clone();
             let end = self.forward_response(begun).await;
-            let fault = match end {
+            let error = match end {
                 StreamEnd::Completed => return self.log("stream ended", &target, ""),
                 StreamEnd::CallerGone => return self.log("caller disconnected", &target, ""),
                 StreamEnd::DeadlineExceeded => return self.abort(&target, "timed out").await,
-                StreamEnd::Interrupted(fault) => fault,
+                StreamEnd::Interrupted(error) => error,
                 StreamEnd::Idle => String::from("idle"),
             };
             self.forward.excluded.push(target.clone());
             if !self.forward.may_retry() {
-                return self.abort(&target, &fault).await;
+                return self.abort(&target, &error).await;
             }
             slog::info!(self.forward.node.log, "resuming interrupted stream";
                 "request" => &self.call().id, "content" => hex(self.call().content()),
-                "target" => &target, "fault" => &fault, "after" => self.last_event,
+                "target" => &target, "fault" => &error, "after" => self.last_event,
                 "sent" => self.forward.attempts);
             let next = tokio::select! {
                 next = self.forward.forward(self.last_event) => next,
@@ -128,7 +128,7 @@
                 Err(ForwardError::NotRun(_)) => {
                     return self.abort(&target, "no slot to resume on").await;
                 }
-                Err(ForwardError::MayHaveRun(fault)) => return self.abort(&target, &fault).await,
+                Err(ForwardError::MayHaveRun(error)) => return self.abort(&target, &error).await,
                 Err(ForwardError::DeadlineExceeded) => {
                     return self.abort(&target, "timed out").await;
                 }
@@ -171,14 +171,14 @@
         let mut is_overdue = false;
         loop {
             let max_gap = self.max_gap();
-            let left = self.call().remaining(clock::now());
-            if left.is_zero() {
+            let remaining = self.call().remaining(clock::now());
+            if remaining.is_zero() {
                 return StreamEnd::DeadlineExceeded;
             }
             let chunk = tokio::select! {
                 chunk = exchange.next() => chunk,
                 () = self.sender.closed() => return StreamEnd::CallerGone,
-                () = tokio::time::sleep(left) => return StreamEnd::DeadlineExceeded,
+                () = tokio::time::sleep(remaining) => return StreamEnd::DeadlineExceeded,
                 () = tokio::time::sleep(max_gap), if !is_overdue => {
                     lease.report_overdue();
                     is_overdue = true;
@@ -194,13 +194,13 @@
                     return StreamEnd::Interrupted(String::from("ended inside an event"));
                 }
                 Ok(None) => return StreamEnd::Completed,
-                Err(fault) => return StreamEnd::Interrupted(fault),
+                Err(error) => return StreamEnd::Interrupted(error),
             };
             is_overdue = false;
             let bytes = if is_resumable {
                 match self.complete_events(splitter, &bytes) {
                     Ok(bytes) => bytes,
-                    Err(fault) => return StreamEnd::Interrupted(fault),
+                    Err(error) => return StreamEnd::Interrupted(error),
                 }
             } else {
                 bytes
@@ -250,13 +250,13 @@
     }
 
     /// Aborts the response so that it can't be taken for a complete one.
-    async fn abort(&self, target: &str, fault: &str) {
+    async fn abort(&self, target: &str, error: &str) {
         self.node().metrics.count("stream.broken");
-        self.log("stream aborted", target, fault);
+        self.log("stream aborted", target, error);
         let _gone = self.sender.send(Err(Broken)).await;
     }
 
-    fn log(&self, event: &'static str, target: &str, fault: &str) {
+    fn log(&self, event: &'static str, target: &str, error: &str) {
         let call = self.call();
         let node = self.node();
         let age = clock::since(call.started);
@@ -265,13 +265,13 @@
         let first = self.stats.first_after(call.started);
         first.into_iter().for_each(|first| node.metrics.time("stream.first", first));
         let is_in_time = first.is_some_and(|first| first <= route.objective);
-        let is_good = fault.is_empty() && is_in_time && self.stats.slowest <= route.max_event_gap;
+        let is_good = error.is_empty() && is_in_time && self.stats.slowest <= route.max_event_gap;
         node.metrics.record_request(&route.name, is_good, clock::now());
         slog::info!(node.log, "{}", event; "request" => &call.id, "target" => target,
             "content" => hex(call.content()),
             "route" => &self.forward.route.name, "config" => self.forward.version,
             "registry" => self.forward.registry,
-            "fault" => fault, "pieces" => self.stats.chunks, "sent" => self.forward.attempts,
+            "fault" => error, "pieces" => self.stats.chunks, "sent" => self.forward.attempts,
             "first_ms" => self.stats.first_after(call.started).map(|at| at.as_millis() as u64),
             "slowest_ms" => self.stats.slowest.as_millis() as u64,
             "slot_ms" => self.forward.slot_wait.get().as_millis() as u64,
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -106,7 +106,7 @@
         return SubmitOutcome::Malformed;
     };
     let path = call.target.split('?').next().unwrap_or_default().to_owned();
-    let ask = PeerRequest::Submit {
+    let request = PeerRequest::Submit {
         host: call.host.clone(),
         path,
         job: call.id.clone(),
@@ -120,7 +120,7 @@
     members.sort_by_cached_key(|member| (is_disconnected(member), rand::random::<u32>()));
     let mut result = outcome;
     for member in members.into_iter().take(MAX_FORWARDS) {
-        let reply = node.request(member.peer, &ask, FORWARD_TIMEOUT).await;
+        let reply = node.request(member.peer, &request, FORWARD_TIMEOUT).await;
         slog::info!(node.log, "submission forwarded"; "job" => &call.id, "to" => %member.peer,
             "reply" => ?reply);
         match reply {
@@ -184,8 +184,8 @@
     match node.store.get(CallReason::Submission, job::KIND, id).await {
         Ok(Some(_)) => SubmitOutcome::Accepted,
         Ok(None) => SubmitOutcome::Full,
-        Err(fault) => {
-            slog::info!(node.log, "job load failed"; "job" => id, "fault" => %fault);
+        Err(error) => {
+            slog::info!(node.log, "job load failed"; "job" => id, "fault" => %error);
             SubmitOutcome::Unknown
         }
     }
@@ -207,22 +207,22 @@
                 spawn_local(notify_holder(node.clone(), job.id));
                 return SubmitOutcome::Accepted;
             }
-            Err(StoreError::OutcomeUnknown(fault)) => {
+            Err(StoreError::OutcomeUnknown(error)) => {
                 slog::info!(node.log, "submission outcome unknown";
-                    "job" => &job.id, "fault" => fault);
+                    "job" => &job.id, "fault" => error);
                 is_outcome_unknown = true;
             }
             Err(StoreError::Unavailable(_)) if !is_outcome_unknown => {
                 return SubmitOutcome::Refused;
             }
-            Err(StoreError::Rejected(fault)) => {
+            Err(StoreError::Rejected(error)) => {
                 slog::warn!(node.log, "submission rejected by the platform";
-                    "job" => &job.id, "fault" => fault);
+                    "job" => &job.id, "fault" => error);
                 return SubmitOutcome::TooLong;
             }
-            Err(fault) => {
+            Err(error) => {
                 slog::info!(node.log, "submission outcome unknown"; "job" => &job.id,
-                    "fault" => %fault);
+                    "fault" => %error);
             }
         }
         let pause = node.store.backoff_remaining(clock::now()).max(CREATE_RETRY_DELAY);
@@ -236,8 +236,8 @@
 /// Makes sure that the holder of a job stored earlier knows of it. Retried until it does,
 /// since the submitter is told that the job is stored and nobody else may know of it.
 async fn notify_holder(node: Rc<Node>, id: JobId) {
-    while let Err(fault) = try_notify_holder(&node, &id).await {
-        slog::info!(node.log, "holder not notified of its job"; "job" => &id, "fault" => fault,
+    while let Err(error) = try_notify_holder(&node, &id).await {
+        slog::info!(node.log, "holder not notified of its job"; "job" => &id, "fault" => error,
             "again" => !node.is_stopping());
         if node.is_stopping() {
             takeover::hand_off(&node, &id, &Handoff::default()).await;
@@ -256,7 +256,7 @@
         .store
         .get(CallReason::Submission, job::KIND, id)
         .await
-        .map_err(|fault| fault.to_string())?;
+        .map_err(|error| error.to_string())?;
     let Some(object) = found else {
         return Ok(());
     };
@@ -273,7 +273,7 @@
         takeover::take_over_with_retry(node, id, Handoff::default()).await;
         return Ok(());
     };
-    let ask = PeerRequest::TakeOver(id.to_owned(), Handoff::default());
-    let told = node.request(member.peer, &ask, NOTIFY_HOLDER_TIMEOUT).await;
-    told.map(|_| ()).map_err(|fault| format!("{fault:?}"))
+    let request = PeerRequest::TakeOver(id.to_owned(), Handoff::default());
+    let reply = node.request(member.peer, &request, NOTIFY_HOLDER_TIMEOUT).await;
+    reply.map(|_| ()).map_err(|error| format!("{error:?}"))
 }
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -114,8 +114,8 @@
     absences.retain(|id, _| orphans.iter().any(|status| status.job == *id));
     let mut due = Vec::new();
     for status in orphans {
-        let first = Absence { since: now, was_unreachable: false };
-        let absence = absences.entry(status.job.clone()).or_insert(first);
+        let new = Absence { since: now, was_unreachable: false };
+        let absence = absences.entry(status.job.clone()).or_insert(new);
         absence.was_unreachable |= is_unreachable(node, &status.data_centre);
         let delay = match absence.was_unreachable {
             _ if is_replaced(&node.members.borrow(), status.holder) => Duration::ZERO,
@@ -169,8 +169,8 @@
 pub async fn take_over(node: &Rc<Node>, id: &str, handoff: Handoff) -> Option<Rc<HeldJob>> {
     match try_take_over(node, id, &handoff).await {
         Ok(held) => held,
-        Err(fault) => {
-            slog::info!(node.log, "job not taken over"; "job" => id, "fault" => %fault);
+        Err(error) => {
+            slog::info!(node.log, "job not taken over"; "job" => id, "fault" => %error);
             None
         }
     }
@@ -188,8 +188,8 @@
     if !is_first {
         return; // The one under way takes it in.
     }
-    while let Err(fault) = try_take_over(node, id, &Handoff::default()).await {
-        slog::info!(node.log, "job not taken over"; "job" => id, "fault" => %fault,
+    while let Err(error) = try_take_over(node, id, &Handoff::default()).await {
+        slog::info!(node.log, "job not taken over"; "job" => id, "fault" => %error,
             "again" => !node.is_stopping());
         if node.is_stopping() {
             for handoff in node.jobs.pending_takeovers.borrow_mut().remove(id).unwrap_or_default() {
@@ -273,8 +273,8 @@
                 return Ok(Some(held));
             }
             Ok(None) => return Ok(None),
-            Err(fault @ StoreError::Conflict(_)) => conflict = Some(fault),
-            Err(fault) => return Err(fault),
+            Err(error @ StoreError::Conflict(_)) => conflict = Some(error),
+            Err(error) => return Err(error),
         }
     }
     conflict.map_or(Ok(None), Err)
@@ -285,7 +285,7 @@
 async fn claim(node: &Rc<Node>, object: &Object) -> Result<Option<Rc<HeldJob>>, StoreError> {
     let mut stored_job = match job_store::read(node, CallReason::Takeover, object).await {
         Ok(stored_job) => stored_job,
-        Err(LoadError::Fault(fault)) => return Err(fault),
+        Err(LoadError::Store(error)) => return Err(error),
         Err(error @ LoadError::Malformed(_)) => {
             slog::warn!(node.log, "job load failed"; "job" => &object.name, "fault" => %error);
             return Ok(None);
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -153,14 +153,14 @@
                     "revision" => revision);
                 revision = None;
             }
-            Err(fault) => {
+            Err(error) => {
                 failures += 1;
                 let open_for = clock::since(started_at);
                 slog::info!(node.log, "watch broken"; "kind" => topic.kind(),
-                    "fault" => %fault, "failures" => failures,
+                    "fault" => %error, "failures" => failures,
                     "since" => revision, "open_ms" => open_for.as_millis() as u64,
                     "silence_ms" => ms_since_response(&node));
-                on_watch_error(&node, revision.take(), &fault, open_for, failures).await;
+                on_watch_error(&node, revision.take(), &error, open_for, failures).await;
             }
         }
     }
@@ -171,14 +171,14 @@
 async fn on_watch_error(
     node: &Node,
     revision: Option<Revision>,
-    fault: &StoreError,
+    error: &StoreError,
     open_for: Duration,
     failures: u32,
 ) {
     node.store.on_watch_failed();
     if revision.is_none() {
         let now = clock::now();
-        node.store.on_failure(fault, now);
+        node.store.on_failure(error, now);
         node.store.on_probe_failed(now);
     } else if open_for >= RETRY_DELAY_BOUNDS[0] {
         // A single interrupted watch proves nothing; the list that follows does.
@@ -330,7 +330,7 @@
     match result {
         // Another instance was faster, or the order was withdrawn.
         Ok(_) | Err(StoreError::Conflict(_) | StoreError::NotFound) => Ok(()),
-        Err(fault) => Err(fault),
+        Err(error) => Err(error),
     }
 }
 
@@ -342,8 +342,8 @@
     let entry = instance::Entry { peer, data_centre: node.data_centre().clone() };
     match node.store.create(CallReason::Address, instance::KIND, name, &entry).await {
         Ok(_) | Err(StoreError::Conflict(_)) => true,
-        Err(fault) => {
-            slog::info!(node.log, "instance registration failed"; "fault" => %fault);
+        Err(error) => {
+            slog::info!(node.log, "instance registration failed"; "fault" => %error);
             false
         }
     }
@@ -353,8 +353,8 @@
 pub async fn registered_addresses(node: &Rc<Node>) -> Vec<SocketAddr> {
     let objects = match node.store.list_all(CallReason::Address, instance::KIND).await {
         Ok(objects) => objects,
-        Err(fault) => {
-            slog::info!(node.log, "instance list failed"; "fault" => %fault);
+        Err(error) => {
+            slog::info!(node.log, "instance list failed"; "fault" => %error);
             return Vec::new();
         }
     };
