--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -22,7 +22,7 @@
 //! | [`broadcast`], [`anti_entropy`] | updates to all instances; repair of lost ones |
 //! | [`store`], [`job_store`] | the platform's store behind a circuit breaker; stored jobs |
 //! | [`call_reason`] | reasons by which calls of the platform are counted |
-//! | [`node`], [`run`] | state of an instance; start and shutdown |
+//! | [`node`], [`mod@run`] | state of an instance; start and shutdown |
 //! | [`metrics`] | counters and histograms |
 
 pub mod allocator;
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -205,12 +205,12 @@
         Ok(())
     }
 
-    /// As [`Store::touch`]. Not subject to the back-off, since probes are rate-limited and
+    /// As [`Store::probe`]. Not subject to the back-off, since probes are rate-limited and
     /// end it.
     ///
     /// # Errors
     ///
-    /// As [`Store::touch`].
+    /// As [`Store::probe`].
     pub async fn probe(&self, kind: &str, name: &str) -> Result<(), StoreError> {
         self.count_call(CallReason::Probe);
         self.record_result(self.store.probe(kind, name).await)
