--- a/crates/state/tests/model/main.rs
+++ b/crates/state/tests/model/main.rs
@@ -1,6 +1,6 @@
-//! A model check of the shard log: random interleavings of owners that are
-//! stale, paused and overtaken, of lost answers, claims that lapse, cancels and
-//! resends. The seed is fixed, so the verdict is the same on every run.
+//! Model test of the shard log: random interleavings of owners with stale state,
+//! failed writes, expired claims, cancellations and retries. The seed is fixed,
+//! so that every run has the same result.
 
 mod world;
 
@@ -17,10 +17,10 @@
 
 #[derive(Clone, Debug)]
 enum Action {
-    Offer { key: u8, gives_up: bool },
+    Send { key: u8, is_released: bool },
     Finish { key: u8 },
     Claim { holder: u64 },
-    Report { hand: usize, items: usize, hand_back: bool },
+    Report { assignment: usize, items: usize, releases: bool },
     Cancel,
     Wait { millis: u64 },
     CatchUp,
@@ -28,21 +28,21 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    Sound,
-    /// The write takes effect and its answer is lost.
-    Lost,
-    /// The write never arrives, and its answer is lost too.
-    Vanished,
+enum WriteResult {
+    Written,
+    /// The write takes effect, but its response is lost.
+    ResponseLost,
+    /// The write takes no effect, and there is no response.
+    NotWritten,
 }
 
 fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        3 => (0..KEYS, any::<bool>()).prop_map(|(key, gives_up)| Action::Offer { key, gives_up }),
+        3 => (0..KEYS, any::<bool>()).prop_map(|(key, is_released)| Action::Send { key, is_released }),
         1 => (0..KEYS).prop_map(|key| Action::Finish { key }),
         3 => (1..4u64).prop_map(|holder| Action::Claim { holder }),
         5 => (0..6usize, 0..3usize, any::<bool>())
-            .prop_map(|(hand, items, hand_back)| Action::Report { hand, items, hand_back }),
+            .prop_map(|(assignment, items, releases)| Action::Report { assignment, items, releases }),
         1 => Just(Action::Cancel),
         3 => (1..30_000u64).prop_map(|millis| Action::Wait { millis }),
         2 => Just(Action::CatchUp),
@@ -50,19 +50,19 @@
     ]
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
-    prop_oneof![6 => Just(Fate::Sound), 1 => Just(Fate::Lost), 1 => Just(Fate::Vanished)]
+fn write_result() -> impl Strategy<Value = WriteResult> {
+    prop_oneof![6 => Just(WriteResult::Written), 1 => Just(WriteResult::ResponseLost), 1 => Just(WriteResult::NotWritten)]
 }
 
 fn run(policy: Policy, cases: u32) -> Result<(), String> {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let steps = proptest::collection::vec((0..OWNERS, fate(), action()), 1..60);
+    let steps = proptest::collection::vec((0..OWNERS, write_result(), action()), 1..60);
     let result = runner.run(&steps, |steps| {
         let mut world = World::new(policy);
-        for (owner, fate, action) in &steps {
-            world.act(*owner, *fate, action).map_err(TestCaseError::fail)?;
+        for (owner, write_result, action) in &steps {
+            world.act(*owner, *write_result, action).map_err(TestCaseError::fail)?;
         }
         world.check().map_err(TestCaseError::fail)
     });
@@ -74,19 +74,19 @@
 }
 
 #[test]
-fn owners_pauses_and_lost_answers_break_no_promise() {
-    run(policy(), 3000).expect("the promises hold");
+fn invariants_hold_with_stale_owners_and_failed_writes() {
+    run(policy(), 3000).expect("no invariant is violated");
 }
 
 #[test]
-fn without_the_fence_the_model_finds_a_second_outcome() {
+fn model_finds_second_outcome_without_fencing() {
     let error =
         run(Policy { without_fencing: true, ..policy() }, 3000).expect_err("a second outcome");
     assert!(error.contains("outcome"), "{error}");
 }
 
 #[test]
-fn without_the_claim_the_model_finds_a_second_send() {
+fn model_finds_second_send_without_claims() {
     let error = run(Policy { without_claims: true, ..policy() }, 3000).expect_err("a second send");
     assert!(error.contains("sent twice"), "{error}");
 }
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -1,6 +1,6 @@
-//! Owners of one shard, their chain, and what they have promised.
+//! Owners of one shard, their log, and the invariants that they must keep.
 
-use super::{Action, CHUNK, Fate, ITEMS, OWNERS};
+use super::{Action, CHUNK, ITEMS, OWNERS, WriteResult};
 use coordination::append_log::{Append, Step};
 use protocol::chat;
 use protocol::job::Phase;
@@ -10,8 +10,8 @@
 use state::shard::{Batch, Decision, Policy, Shard};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// A chunk in somebody's hands, and the items that he will run.
-struct Hand {
+/// A chunk assigned to a holder, and the items that remain for it.
+struct Assignment {
     chunk: u32,
     attempt: u32,
     items: Vec<u64>,
@@ -27,8 +27,8 @@
     attempts: u64,
     sent: HashMap<u8, u32>,
     outcomes: HashMap<u8, u64>,
-    hands: Vec<Hand>,
-    /// Result objects: what each report wrote, by chunk, hand-out and number.
+    assignments: Vec<Assignment>,
+    /// Items in each result object, by chunk, assignment and number.
     parts: HashMap<(u32, u32, u32), Vec<u64>>,
     recorded: BTreeSet<(u32, u64)>,
     cancelled: bool,
@@ -45,7 +45,7 @@
             attempts: 0,
             sent: HashMap::new(),
             outcomes: HashMap::new(),
-            hands: Vec::new(),
+            assignments: Vec::new(),
             parts: HashMap::new(),
             recorded: BTreeSet::new(),
             cancelled: false,
@@ -60,7 +60,7 @@
             starts: (0..ITEMS).step_by(CHUNK as usize).collect(),
             at: 0,
         };
-        let accepted = world.submit(0, Fate::Sound, &Command::Accept(spec));
+        let accepted = world.submit(0, WriteResult::Written, &Command::Accept(spec));
         assert_eq!(accepted, Some(Ok(Reply::Recorded)));
         world
     }
@@ -72,9 +72,14 @@
         }
     }
 
-    /// Brings a command through one owner, as its committer does; `None` when
-    /// the caller gets no answer.
-    fn submit(&mut self, owner: usize, fate: Fate, command: &Command) -> Option<Answer> {
+    /// Submits a command to one owner, and retries after conflicts as the
+    /// committer does; `None` when the caller gets no reply.
+    fn submit(
+        &mut self,
+        owner: usize,
+        write_result: WriteResult,
+        command: &Command,
+    ) -> Option<Answer> {
         loop {
             let shard = &mut self.owners[owner];
             if let Command::Progress { job, chunk, .. } = command {
@@ -90,7 +95,7 @@
             let token = format!("{owner}-{}", self.tokens);
             let append = Append::new(shard.next_position(), token.clone());
             let entry = Entry { token, at: self.now, records };
-            match self.drive(&append, &entry, fate) {
+            match self.append(&append, &entry, write_result) {
                 Some(true) => {
                     self.catch_up(owner);
                     return Some(Ok(reply));
@@ -101,24 +106,29 @@
         }
     }
 
-    /// `true` when committed, `false` when overtaken, `None` when left open.
-    fn drive(&mut self, append: &Append, entry: &Entry, fate: Fate) -> Option<bool> {
-        let place = append.position() as usize;
-        let taken = place < self.log.len();
-        let mut step = match fate {
-            Fate::Vanished => return None,
-            _ if taken => append.on_exists(),
-            Fate::Sound => {
+    /// `true` when committed, `false` after a conflict, `None` when unknown.
+    fn append(
+        &mut self,
+        append: &Append,
+        entry: &Entry,
+        write_result: WriteResult,
+    ) -> Option<bool> {
+        let position = append.position() as usize;
+        let is_taken = position < self.log.len();
+        let mut step = match write_result {
+            WriteResult::NotWritten => return None,
+            _ if is_taken => append.on_exists(),
+            WriteResult::Written => {
                 self.log.push(entry.clone());
                 append.on_created()
             }
-            Fate::Lost => {
+            WriteResult::ResponseLost => {
                 self.log.push(entry.clone());
                 append.on_unknown()
             }
         };
         if step == Step::ReadBack {
-            step = append.on_read(self.log.get(place).map(|found| found.token.as_str()));
+            step = append.on_read(self.log.get(position).map(|found| found.token.as_str()));
         }
         match step {
             Step::Committed => Some(true),
@@ -127,17 +137,22 @@
         }
     }
 
-    pub fn act(&mut self, owner: usize, fate: Fate, action: &Action) -> Result<(), String> {
+    pub fn act(
+        &mut self,
+        owner: usize,
+        write_result: WriteResult,
+        action: &Action,
+    ) -> Result<(), String> {
         match action {
-            Action::Offer { key, gives_up } => self.offer(owner, fate, *key, *gives_up),
-            Action::Finish { key } => self.finish(owner, fate, *key),
-            Action::Claim { holder } => self.claim(owner, fate, *holder),
-            Action::Report { hand, items, hand_back } => {
-                self.report(owner, fate, *hand, *items, *hand_back)
+            Action::Send { key, is_released } => self.send(owner, write_result, *key, *is_released),
+            Action::Finish { key } => self.finish(owner, write_result, *key),
+            Action::Claim { holder } => self.claim(owner, write_result, *holder),
+            Action::Report { assignment, items, releases } => {
+                self.report(owner, write_result, *assignment, *items, *releases)
             }
             Action::Cancel => {
                 let command = Command::Cancel { job: "job-1".into() };
-                let answer = self.submit(owner, fate, &command);
+                let answer = self.submit(owner, write_result, &command);
                 if let Some(Ok(Reply::Status(status))) = answer {
                     self.cancelled |= status.phase == Phase::Cancelled;
                 }
@@ -159,8 +174,15 @@
         }
     }
 
-    /// An offer may be sent once: right after the log said so, by whoever asked.
-    fn offer(&mut self, owner: usize, fate: Fate, key: u8, gives_up: bool) -> Result<(), String> {
+    /// Begins a request, and sends it if the owner lets it proceed; each request
+    /// may be sent once.
+    fn send(
+        &mut self,
+        owner: usize,
+        write_result: WriteResult,
+        key: u8,
+        is_released: bool,
+    ) -> Result<(), String> {
         self.attempts += 1;
         let attempt = self.attempts;
         let command = Command::Begin {
@@ -171,25 +193,25 @@
             deadline: self.now + 5_000,
             issued: 1_000_000,
         };
-        let answer = self.submit(owner, fate, &command);
-        if matches!(answer, Some(Ok(Reply::Proceed))) && !gives_up {
+        let answer = self.submit(owner, write_result, &command);
+        if matches!(answer, Some(Ok(Reply::Proceed))) && !is_released {
             let sent = self.sent.entry(key).or_insert(0);
             *sent += 1;
             if *sent > 1 {
-                return Err(format!("offer {key} was sent twice"));
+                return Err(format!("request {key} was sent twice"));
             }
             return Ok(());
         }
-        if answer.is_none() || gives_up {
-            // Never sent: the claim is given back, through any owner.
+        if answer.is_none() || is_released {
+            // The attempt was never sent: any owner can release it.
             let key = format!("k{key}");
             let release = Command::Release { key, attempt, issued: 1_000_000 };
-            self.submit((owner + 1) % OWNERS, Fate::Sound, &release);
+            self.submit((owner + 1) % OWNERS, WriteResult::Written, &release);
         }
         Ok(())
     }
 
-    fn finish(&mut self, owner: usize, fate: Fate, key: u8) -> Result<(), String> {
+    fn finish(&mut self, owner: usize, write_result: WriteResult, key: u8) -> Result<(), String> {
         if !self.sent.contains_key(&key) {
             return Ok(());
         }
@@ -197,7 +219,7 @@
         let outcome = StoredOutcome::Chat(chat::Outcome { text, finish: "stop".into(), tokens: 1 });
         let command =
             Command::Finish { key: format!("k{key}"), digest: 7, issued: 1_000_000, outcome };
-        let answer = self.submit(owner, fate, &command);
+        let answer = self.submit(owner, write_result, &command);
         let position = match answer {
             Some(Ok(Reply::Recorded)) => self.owners[owner].next_position() - 1,
             Some(Ok(Reply::Duplicate { position })) => position,
@@ -205,22 +227,27 @@
         };
         match self.outcomes.insert(key, position) {
             Some(before) if before != position => {
-                Err(format!("offer {key} has its outcome at {before} and at {position}"))
+                Err(format!("request {key} has its outcome at {before} and at {position}"))
             }
             _ => Ok(()),
         }
     }
 
-    fn claim(&mut self, owner: usize, fate: Fate, holder: u64) -> Result<(), String> {
+    fn claim(
+        &mut self,
+        owner: usize,
+        write_result: WriteResult,
+        holder: u64,
+    ) -> Result<(), String> {
         let command = Command::Claim { holder, services: vec!["s".into()] };
-        let Some(Ok(Reply::Work(work))) = self.submit(owner, fate, &command) else {
+        let Some(Ok(Reply::Work(work))) = self.submit(owner, write_result, &command) else {
             return Ok(());
         };
-        // What the parts named in the hand-out hold is not run again.
+        // Items in the result objects of earlier assignments are not run again.
         let done: HashSet<u64> = self.done_by(work.chunk, &work.parts);
         let items = (0..CHUNK).filter(|item| !done.contains(item)).collect();
         let (chunk, attempt) = (work.chunk, work.attempt);
-        self.hands.push(Hand { chunk, attempt, items, parts: 0 });
+        self.assignments.push(Assignment { chunk, attempt, items, parts: 0 });
         Ok(())
     }
 
@@ -229,44 +256,44 @@
         parts.iter().filter_map(written).flatten().copied().collect()
     }
 
-    /// A holder, however late, reports its next items.
+    /// Reports the next items of an assignment, which may be superseded by now.
     fn report(
         &mut self,
         owner: usize,
-        fate: Fate,
-        hand: usize,
+        write_result: WriteResult,
+        assignment: usize,
         items: usize,
-        hand_back: bool,
+        releases: bool,
     ) -> Result<(), String> {
-        if self.hands.is_empty() {
+        if self.assignments.is_empty() {
             return Ok(());
         }
-        let index = hand % self.hands.len();
-        let hand = &self.hands[index];
-        let (chunk, attempt, part) = (hand.chunk, hand.attempt, hand.parts);
-        let done: Vec<u64> = hand.items.iter().take(items).copied().collect();
-        let after = match (done.len() == hand.items.len(), hand_back) {
+        let index = assignment % self.assignments.len();
+        let assignment = &self.assignments[index];
+        let (chunk, attempt, part) = (assignment.chunk, assignment.attempt, assignment.parts);
+        let done: Vec<u64> = assignment.items.iter().take(items).copied().collect();
+        let after = match (done.len() == assignment.items.len(), releases) {
             (true, _) => Disposition::Done,
             (false, true) => Disposition::Release,
             (false, false) => Disposition::Continue,
         };
-        let place = (!done.is_empty()).then_some(ResultPartRef { attempt, part });
-        if place.is_some() {
+        let written = (!done.is_empty()).then_some(ResultPartRef { attempt, part });
+        if written.is_some() {
             self.parts.insert((chunk, attempt, part), done.clone());
         }
         let command = Command::Progress {
             job: "job-1".into(),
             chunk,
             attempt,
-            part: place,
+            part: written,
             done: done.len() as u32,
             failed: 0,
             disposition: after,
         };
-        match self.submit(owner, fate, &command) {
+        match self.submit(owner, write_result, &command) {
             Some(Ok(Reply::Continue)) => self.on_recorded(index, &done, after),
             Some(_) => {
-                self.hands.remove(index);
+                self.assignments.remove(index);
                 Ok(())
             }
             None => Ok(()),
@@ -279,7 +306,7 @@
         done: &[u64],
         after: Disposition,
     ) -> Result<(), String> {
-        let chunk = self.hands[index].chunk;
+        let chunk = self.assignments[index].chunk;
         for item in done {
             if !self.recorded.insert((chunk, *item)) {
                 return Err(format!("item {item} of chunk {chunk} has two outcomes"));
@@ -288,16 +315,16 @@
         if self.cancelled && !done.is_empty() {
             return Err(format!("chunk {chunk} got an outcome after the cancel"));
         }
-        let hand = &mut self.hands[index];
-        hand.items.drain(..done.len());
-        hand.parts += u32::from(!done.is_empty());
+        let assignment = &mut self.assignments[index];
+        assignment.items.drain(..done.len());
+        assignment.parts += u32::from(!done.is_empty());
         if after != Disposition::Continue {
-            self.hands.remove(index);
+            self.assignments.remove(index);
         }
         Ok(())
     }
 
-    /// However an owner came to know the chain, it knows the same.
+    /// Checks that all owners reach the same state as a replay of the whole log.
     pub fn check(&mut self) -> Result<(), String> {
         for owner in 0..OWNERS {
             self.catch_up(owner);
@@ -318,6 +345,6 @@
             .owners
             .iter()
             .all(|owner| owner.keys() == fresh.keys() && done(owner) == done(&fresh));
-        if agree { Ok(()) } else { Err("owners disagree on the same chain".into()) }
+        if agree { Ok(()) } else { Err("owners disagree on the same log".into()) }
     }
 }
--- a/crates/state/tests/progress.rs
+++ b/crates/state/tests/progress.rs
@@ -1,5 +1,5 @@
-//! The life of a job under seeded interleavings: two holders, a store that loses
-//! answers, runs that fail, ends at any moment.
+//! Tests of a job's state machine, among them random interleavings of two holders,
+//! lost responses of the store, failed runs and ends.
 
 use proptest::prelude::*;
 use state::progress::{Failure, Job, JobState, Outcome, PartialOutput, Progress};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn an_item_fails_for_good_after_its_attempts_also_across_holders() {
+fn item_fails_permanently_after_max_attempts_across_holders() {
     let mut first = JobState::new(Job::example("j", &["a"]), Progress::default(), 3);
     for _ in 0..2 {
         first.start_next().expect("an item");
@@ -22,27 +22,27 @@
     let mut second = JobState::new(Job::example("j", &["a"]), first.to_progress(), 3);
     second.start_next().expect("an item");
     second.on_failed("a", Failure::Retryable);
-    let draft = second.next_write().expect("a result");
-    assert!(!draft.outcomes[0].is_complete);
+    let progress = second.next_write().expect("a result");
+    assert!(!progress.outcomes[0].is_complete);
     assert!(second.start_next().is_none());
 }
 
 #[test]
-fn an_impossible_item_runs_once() {
+fn item_with_permanent_failure_runs_once() {
     let mut state = JobState::new(Job::example("j", &["a"]), Progress::default(), 3);
     state.start_next().expect("an item");
     state.on_failed("a", Failure::Permanent);
     assert!(state.is_done());
 }
 
-/// Regression: of the items that were stopped the first in the list went on, so
-/// some stayed nearly done until the whole job was late.
+/// Regression: preempted items resumed in list order, and nearly complete ones
+/// stayed back until the job was expired.
 #[test]
-fn the_item_with_the_least_left_goes_on_first() {
+fn preempted_item_with_most_events_resumes_first() {
     let mut state = JobState::new(Job::example("j", &["a", "b", "c"]), Progress::default(), 3);
-    let partial = |made: usize| PartialOutput {
-        last_event_id: Some(made as u64),
-        events: vec![String::from("x"); made],
+    let partial = |count: usize| PartialOutput {
+        last_event_id: Some(count as u64),
+        events: vec![String::from("x"); count],
     };
     state.merge_partials([("a".to_owned(), partial(3)), ("b".to_owned(), partial(9))].into());
     assert_eq!(state.next_event_count(), Some(9));
@@ -50,36 +50,36 @@
 }
 
 #[test]
-fn a_stopped_item_goes_on_where_it_stood() {
+fn preempted_item_resumes_with_its_partial_output() {
     let mut state = JobState::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
     let item = state.start_next().expect("an item").id;
-    let made = PartialOutput { last_event_id: Some(3), events: vec!["x".into(); 3] };
-    state.on_stopped(&item, made.clone());
-    assert_eq!(state.start_next().expect("it again").id, item);
-    assert_eq!(state.partial(&item), made);
-    // What a failed run had made is worth nothing.
+    let partial = PartialOutput { last_event_id: Some(3), events: vec!["x".into(); 3] };
+    state.on_stopped(&item, partial.clone());
+    assert_eq!(state.start_next().expect("the same item").id, item);
+    assert_eq!(state.partial(&item), partial);
+    // A failed run discards the output so far.
     state.on_failed(&item, Failure::Retryable);
     assert_eq!(state.partial(&item), PartialOutput::default());
 }
 
 #[test]
-fn nothing_starts_after_the_end_and_what_is_late_is_given_up() {
+fn no_item_starts_after_the_end_and_items_fail_at_expiry() {
     let mut state = JobState::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
     state.end();
     assert!(state.start_next().is_none());
     assert_eq!(state.waiting_tokens(), 0);
-    let mut late = JobState::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
-    late.expire(59_999);
-    assert!(!late.is_done());
-    late.expire(60_000);
-    assert!(late.is_done());
-    assert!(late.next_write().expect("results").outcomes.iter().all(|o| !o.is_complete));
+    let mut expired = JobState::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
+    expired.expire(59_999);
+    assert!(!expired.is_done());
+    expired.expire(60_000);
+    assert!(expired.is_done());
+    assert!(expired.next_write().expect("results").outcomes.iter().all(|o| !o.is_complete));
 }
 
-/// Regression: a job that another instance had ended went on listing what its holder
-/// had still made; whoever had read the ended job showed fewer results for good.
+/// Regression: a holder added results to a job that another instance had ended,
+/// so that readers of the ended job saw different results.
 #[test]
-fn nothing_is_listed_once_an_end_is_durable() {
+fn no_result_is_added_once_the_end_is_durable() {
     let mut state = JobState::new(Job::example("j", &["a", "b", "c"]), Progress::default(), 3);
     for _ in 0..3 {
         state.start_next().expect("an item");
@@ -87,34 +87,34 @@
     state.on_done("a", outcome("a", "holder"));
     let ended = Progress { ended: true, ..Progress::default() };
     state.on_conflict(ended);
-    assert!(state.next_write().is_none(), "made before it knew of the end");
+    assert!(state.next_write().is_none(), "result from before the conflict");
     state.on_done("b", outcome("b", "holder"));
-    assert!(state.next_write().is_none(), "made after it knew");
+    assert!(state.next_write().is_none(), "result from after the conflict");
     state.on_failed("c", Failure::Permanent);
     assert!(state.is_finished());
     assert!(state.durable_results().is_empty());
 }
 
 #[test]
-fn what_is_done_before_an_end_is_listed_with_it() {
+fn results_before_the_end_are_written_with_it() {
     let mut state = JobState::new(Job::example("j", &["a", "b"]), Progress::default(), 3);
     state.start_next().expect("an item");
     state.on_done("a", outcome("a", "holder"));
     state.end();
-    let draft = state.next_write().expect("the end");
-    assert_eq!((draft.outcomes.len(), draft.ended), (1, true));
-    state.on_written(&draft);
+    let progress = state.next_write().expect("the end");
+    assert_eq!((progress.outcomes.len(), progress.ended), (1, true));
+    state.on_written(&progress);
     assert!(state.is_finished());
 }
 
-/// What the platform keeps of the job, with a revision.
+/// The stored progress of the job, with its revision.
 #[derive(Clone)]
 struct Store {
     progress: Progress,
     revision: u64,
 }
 
-/// One holder with its idea of the revision.
+/// One holder, with the revision that it last saw.
 struct Worker {
     name: &'static str,
     state: JobState,
@@ -125,7 +125,7 @@
 enum Step {
     Finish(usize, usize),
     Fail(usize, usize),
-    /// A write; `true` loses its answer.
+    /// A write; with `true` its response is lost.
     Write(usize, bool),
     End(usize),
 }
@@ -141,32 +141,32 @@
 }
 
 fn write(worker: &mut Worker, store: &mut Store, is_answer_lost: bool) {
-    let draft = worker.state.to_progress();
+    let progress = worker.state.to_progress();
     if store.revision != worker.revision {
         let found = store.progress.clone();
         worker.revision = store.revision;
-        if found == draft {
-            worker.state.on_written(&draft);
+        if found == progress {
+            worker.state.on_written(&progress);
         } else {
             worker.state.on_conflict(found);
         }
         return;
     }
-    store.progress = draft.clone();
+    store.progress = progress.clone();
     store.revision += 1;
     if !is_answer_lost {
         worker.revision = store.revision;
-        worker.state.on_written(&draft);
+        worker.state.on_written(&progress);
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
-    /// Two holders that both believe the job theirs: no listed result ever moves
-    /// or changes, none is doubled, what a holder lists is durable, an end stays.
+    /// With two concurrent holders, results are append-only and unique, each holder
+    /// shows only durable ones, and an end is final.
     #[test]
-    fn two_holders_never_contradict_what_was_listed(steps in steps()) {
+    fn two_holders_keep_results_append_only(steps in steps()) {
         let mut store = Store { progress: Progress::default(), revision: 1 };
         let worker = |name| Worker {
             name,
@@ -186,18 +186,18 @@
                 Step::Write(w, lost) => write(&mut workers[w], &mut store, lost),
                 Step::End(w) => workers[w].state.end(),
             }
-            let kept = &store.progress;
-            prop_assert_eq!(&kept.outcomes[..before.outcomes.len()], &before.outcomes[..]);
-            prop_assert!(kept.ended || !before.ended, "an end stays");
-            prop_assert!(!before.ended || kept.outcomes == before.outcomes, "and closes the list");
-            let items: BTreeSet<&str> = kept.outcomes.iter().map(|o| o.item.as_str()).collect();
-            prop_assert_eq!(items.len(), kept.outcomes.len(), "each item once");
+            let stored = &store.progress;
+            prop_assert_eq!(&stored.outcomes[..before.outcomes.len()], &before.outcomes[..]);
+            prop_assert!(stored.ended || !before.ended, "an end is final");
+            prop_assert!(!before.ended || stored.outcomes == before.outcomes, "no later results");
+            let items: BTreeSet<&str> = stored.outcomes.iter().map(|o| o.item.as_str()).collect();
+            prop_assert_eq!(items.len(), stored.outcomes.len(), "one result for each item");
             for worker in &workers {
-                let listed = worker.state.durable_results();
-                prop_assert_eq!(listed, &kept.outcomes[..listed.len()], "listed is durable");
+                let results = worker.state.durable_results();
+                prop_assert_eq!(results, &stored.outcomes[..results.len()], "durable results");
             }
         }
-        // In the end both write until all is settled, and agree.
+        // Both holders converge once they write without lost responses.
         for _ in 0..6 {
             for worker in &mut workers {
                 write(worker, &mut store, false);
@@ -209,33 +209,33 @@
     }
 }
 
-/// Regression: a holder that lost its job kept to itself which items had failed for
-/// good and what was done, so the next one ran them again, the third as well.
+/// Regression: each new holder ran items again that had completed or failed
+/// permanently at the previous one.
 #[test]
-fn what_a_holder_has_learnt_saves_the_next_one_the_runs() {
+fn handoff_spares_the_next_holder_repeated_runs() {
     let job = || Job::example("j", &["never", "done", "begun", "failed"]);
     let mut first = JobState::new(job(), Progress::default(), 3);
     while first.start_next().is_some() {}
     first.on_failed("never", Failure::Permanent);
     first.on_done("done", outcome("done", "first"));
-    let made = PartialOutput { last_event_id: Some(3), events: vec!["x".into(); 3] };
-    first.on_stopped("begun", made.clone());
+    let partial = PartialOutput { last_event_id: Some(3), events: vec!["x".into(); 3] };
+    first.on_stopped("begun", partial.clone());
     first.on_failed("failed", Failure::Retryable);
     first.on_failed("failed", Failure::Retryable);
     let mut second = JobState::new(job(), Progress::default(), 3);
     second.merge_handoff(first.handoff());
-    assert_eq!(second.runnable(), 2, "neither what is done nor what can't be");
-    assert_eq!(second.partial("begun"), made);
+    assert_eq!(second.runnable(), 2, "neither the completed nor the failed item");
+    assert_eq!(second.partial("begun"), partial);
     second.on_failed("failed", Failure::Retryable);
-    assert_eq!(second.runnable(), 1, "the third failure is the last");
-    let listed = second.next_write().expect("results").outcomes;
+    assert_eq!(second.runnable(), 1, "no run after the third failure");
+    let results = second.next_write().expect("results").outcomes;
     let complete: Vec<&str> =
-        listed.iter().filter(|o| o.is_complete).map(|o| o.item.as_str()).collect();
-    assert_eq!((listed.len(), complete), (3, vec!["done"]));
+        results.iter().filter(|o| o.is_complete).map(|o| o.item.as_str()).collect();
+    assert_eq!((results.len(), complete), (3, vec!["done"]));
 }
 
 #[test]
-fn what_two_holders_learnt_of_the_same_runs_counts_once() {
+fn repeated_handoff_counts_failed_runs_once() {
     let job = || Job::example("j", &["a", "b"]);
     let mut first = JobState::new(job(), Progress::default(), 3);
     while first.start_next().is_some() {}
@@ -247,14 +247,14 @@
     second.on_failed("a", Failure::Retryable);
     second.merge_handoff(first.handoff());
     second.merge_handoff(first.handoff());
-    assert!(!second.is_done(), "two failures are known for sure, not three or five");
+    assert!(!second.is_done(), "two failed runs, not three or five");
     second.on_done("b", outcome("b", "second"));
-    let draft = second.next_write().expect("a result");
-    assert_eq!(draft.outcomes, [outcome("b", "first")], "one result, the one that was learnt");
+    let progress = second.next_write().expect("a result");
+    assert_eq!(progress.outcomes, [outcome("b", "first")], "one result, from the handoff");
 }
 
 #[test]
-fn nothing_learnt_is_listed_once_an_end_is_durable() {
+fn handoff_adds_no_result_once_the_end_is_durable() {
     let job = || Job::example("j", &["a", "b"]);
     let mut first = JobState::new(job(), Progress::default(), 3);
     first.start_next().expect("an item");
