--- a/crates/daemon/src/shards.rs
+++ b/crates/daemon/src/shards.rs
@@ -9,7 +9,7 @@
 use coordination::hash;
 use protocol::settings::Settings;
 use protocol::{Error, Kind, ShardId};
-use state::command::{Answer, Command, Reply};
+use state::command::{Command, CommandResult, Reply};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     /// Command.
     pub command: Command,
     /// Where the answer goes.
-    pub answer: channel::ReplySender<Answer>,
+    pub answer: channel::ReplySender<CommandResult>,
 }
 
 /// The log as other duties see it.
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// What the owner answered, or `Undetermined` when its answer was lost.
-    pub async fn submit(&self, shared: &Shared, command: Command) -> Answer {
+    pub async fn submit(&self, shared: &Shared, command: Command) -> CommandResult {
         let shard = command.routing_key().map_or(0, |subject| self.shard_of(subject));
         self.submit_to(shared, shard, command).await
     }
@@ -71,7 +71,12 @@
     /// # Errors
     ///
     /// As [`Handle::submit`].
-    pub async fn submit_to(&self, shared: &Shared, shard: ShardId, command: Command) -> Answer {
+    pub async fn submit_to(
+        &self,
+        shared: &Shared,
+        shard: ShardId,
+        command: Command,
+    ) -> CommandResult {
         let owner = shared.owner(shard).filter(|owner| owner.id != shared.id);
         let Some(owner) = owner else {
             return self.local(shard, command).await;
@@ -96,7 +101,7 @@
     /// # Errors
     ///
     /// What it answered, or `Undetermined` when it took too long.
-    pub async fn local(&self, shard: ShardId, command: Command) -> Answer {
+    pub async fn local(&self, shard: ShardId, command: Command) -> CommandResult {
         let make = |answer| Item { shard, command, answer };
         self.sender.call(self.limit, make).await.unwrap_or_else(Err)
     }
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -11,7 +11,7 @@
 use coordination::retry;
 use platform::store::StoreError;
 use protocol::{Error, Kind, Millis, ShardId};
-use state::command::{Answer, Command, Reply};
+use state::command::{Command, CommandResult, Reply};
 use state::object_key;
 use state::record::{Disposition, Entry, Record};
 use state::shard::{Batch, Decision, Policy, Shard};
@@ -61,7 +61,7 @@
     failures: u32,
     sequence: u64,
     swept: Instant,
-    archiving: Option<tokio::sync::oneshot::Receiver<Answer>>,
+    archiving: Option<tokio::sync::oneshot::Receiver<CommandResult>>,
 }
 
 impl Committer {
@@ -348,7 +348,7 @@
     Error::new(Kind::PlatformUnavailable, text).with_retry_after(wait)
 }
 
-fn answer_all(waiting: Vec<Waiting>, answer: impl Fn(&Waiting) -> Answer) {
+fn answer_all(waiting: Vec<Waiting>, answer: impl Fn(&Waiting) -> CommandResult) {
     for one in waiting {
         let reply = answer(&one);
         drop(one.item.answer.send(reply));
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -174,7 +174,7 @@
 }
 
 /// Result of a command; the error kinds are those of the public API.
-pub type Answer = Result<Reply, Error>;
+pub type CommandResult = Result<Reply, Error>;
 
 impl Command {
     /// Idempotency key or job id whose hash selects the shard; `None` for
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -5,7 +5,7 @@
 
 pub use policy::Policy;
 
-use crate::command::{Answer, Command, Reply};
+use crate::command::{Command, CommandResult, Reply};
 use crate::jobs::{ChunkId, Job, Jobs};
 use crate::keys::{Claim, Finished, Keys};
 use crate::record::{Disposition, Entry, JobSpec, Record, StoredOutcome};
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The result follows from the durable state.
-    Answer(Answer),
+    Answer(CommandResult),
     /// The reply may be sent once the records are durable.
     Commit(Vec<Record>, Reply),
     /// Decide again once the entry under construction is durable.
@@ -147,7 +147,7 @@
         attempt: u64,
         issued: Millis,
         now: Millis,
-    ) -> Option<Answer> {
+    ) -> Option<CommandResult> {
         if issued + self.policy.retention.as_millis() as Millis <= now {
             return Some(reject(
                 Kind::KeyExpired,
@@ -300,14 +300,14 @@
         Decision::Commit(vec![Record::Cancelled { job: job.into() }], Reply::Status(status))
     }
 
-    fn status(&self, job: &str) -> Answer {
+    fn status(&self, job: &str) -> CommandResult {
         match self.jobs.get(job) {
             Some(found) => Ok(Reply::Status(found.status())),
             None => unknown_job(job),
         }
     }
 
-    fn results(&self, job: &str, from: u64, limit: u64) -> Answer {
+    fn results(&self, job: &str, from: u64, limit: u64) -> CommandResult {
         let Some(found) = self.jobs.get(job) else {
             return unknown_job(job);
         };
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -4,7 +4,7 @@
 use coordination::append_log::{Append, Step};
 use protocol::chat;
 use protocol::job::Phase;
-use state::command::{Answer, Command, Reply};
+use state::command::{Command, CommandResult, Reply};
 use state::part::ResultPartRef;
 use state::record::{Disposition, Entry, JobSpec, StoredOutcome};
 use state::shard::{Batch, Decision, Policy, Shard};
@@ -79,7 +79,7 @@
         owner: usize,
         write_result: WriteResult,
         command: &Command,
-    ) -> Option<Answer> {
+    ) -> Option<CommandResult> {
         loop {
             let shard = &mut self.owners[owner];
             if let Command::Progress { job, chunk, .. } = command {
