--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -228,7 +228,7 @@
             }
             note_life(&mut loaded.shard, &item.command, now);
             match loaded.shard.decide(&mut batch, &item.command, now) {
-                Decision::Answer(answer) => {
+                Decision::Reply(answer) => {
                     if matches!(answer, Ok(Reply::Proceed)) {
                         loaded.shard.track_running(&item.command, now);
                     }
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The result follows from the durable state.
-    Answer(CommandResult),
+    Reply(CommandResult),
     /// The reply may be sent once the records are durable.
     Commit(Vec<Record>, Reply),
     /// Decide again once the entry under construction is durable.
@@ -103,9 +103,9 @@
             Command::Claim { holder, services } => self.claim(batch, *holder, services, now),
             Command::Progress { .. } => self.progress(batch, command),
             Command::Cancel { job } => self.cancel(batch, job),
-            Command::Status { job } => Decision::Answer(self.status(job)),
+            Command::Status { job } => Decision::Reply(self.status(job)),
             Command::Results { job, from, limit } => {
-                Decision::Answer(self.results(job, *from, *limit))
+                Decision::Reply(self.results(job, *from, *limit))
             }
             Command::Archive { job } => self.archive(job),
         }
@@ -116,16 +116,16 @@
             return Decision::Defer;
         };
         if self.keys.is_released(*attempt) {
-            return Decision::Answer(reject(
+            return Decision::Reply(reject(
                 Kind::PlatformUnavailable,
                 "the attempt was given back",
             ));
         }
         if let Some(rejection) = self.reject_key(key, *digest, *attempt, *issued, now) {
-            return Decision::Answer(rejection);
+            return Decision::Reply(rejection);
         }
         if *repeatable {
-            return Decision::Answer(Ok(Reply::Proceed));
+            return Decision::Reply(Ok(Reply::Proceed));
         }
         if !batch.routing_keys.insert(key.clone()) {
             return Decision::Defer;
@@ -190,11 +190,7 @@
     ) -> Decision {
         if let Some(finished) = self.keys.finished(key) {
             let reply = Reply::Duplicate { position: finished.position };
-            return Decision::Answer(if finished.digest == digest {
-                Ok(reply)
-            } else {
-                conflict()
-            });
+            return Decision::Reply(if finished.digest == digest { Ok(reply) } else { conflict() });
         }
         if !batch.routing_keys.insert(key.to_owned()) {
             return Decision::Defer;
@@ -206,7 +202,7 @@
 
     fn release(&self, batch: &mut Batch, key: &str, attempt: u64, issued: Millis) -> Decision {
         if self.keys.is_released(attempt) {
-            return Decision::Answer(Ok(Reply::Recorded));
+            return Decision::Reply(Ok(Reply::Recorded));
         }
         if !batch.routing_keys.insert(key.to_owned()) {
             return Decision::Defer;
@@ -219,7 +215,7 @@
     fn accept(&self, batch: &mut Batch, spec: &JobSpec) -> Decision {
         if let Some(job) = self.jobs.get(&spec.job) {
             let is_same = job.spec.digest == spec.digest;
-            return Decision::Answer(if is_same {
+            return Decision::Reply(if is_same {
                 Ok(Reply::Status(job.status()))
             } else {
                 conflict()
@@ -234,7 +230,7 @@
     fn claim(&self, batch: &mut Batch, holder: u64, services: &[String], now: Millis) -> Decision {
         let stale_before = now.saturating_sub(self.policy.claim_timeout.as_millis() as Millis);
         let Some(work) = self.jobs.next_chunk(services, &batch.chunks, stale_before) else {
-            return Decision::Answer(Ok(Reply::NoWork));
+            return Decision::Reply(Ok(Reply::NoWork));
         };
         if batch.cancelled.contains(&work.job) {
             return Decision::Defer;
@@ -256,12 +252,12 @@
         let Some(found) =
             self.jobs.get(job).filter(|found| self.is_current_holder(found, *chunk, *attempt))
         else {
-            return Decision::Answer(Ok(Reply::Stop));
+            return Decision::Reply(Ok(Reply::Stop));
         };
         let is_recorded =
             found.chunks[*chunk as usize].parts.iter().any(|known| Some(*known) == *part);
         if is_recorded || (part.is_none() && *disposition == Disposition::Continue) {
-            return Decision::Answer(Ok(Reply::Continue));
+            return Decision::Reply(Ok(Reply::Continue));
         }
         batch.chunks.insert(id);
         let record = Record::Progressed {
@@ -286,10 +282,10 @@
 
     fn cancel(&self, batch: &mut Batch, job: &str) -> Decision {
         let Some(found) = self.jobs.get(job) else {
-            return Decision::Answer(unknown_job(job));
+            return Decision::Reply(unknown_job(job));
         };
         if found.phase != Phase::Running {
-            return Decision::Answer(Ok(Reply::Status(found.status())));
+            return Decision::Reply(Ok(Reply::Status(found.status())));
         }
         let is_touched = batch.chunks.iter().any(|(id, _)| id == job);
         if is_touched || !batch.cancelled.insert(job.to_owned()) {
@@ -318,7 +314,7 @@
     fn archive(&self, job: &str) -> Decision {
         let is_due = self.jobs.get(job).is_some_and(|j| !j.archived && j.phase != Phase::Running);
         if !is_due {
-            return Decision::Answer(Ok(Reply::Recorded));
+            return Decision::Reply(Ok(Reply::Recorded));
         }
         Decision::Commit(vec![Record::Archived { job: job.into() }], Reply::Recorded)
     }
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -87,7 +87,7 @@
             }
             let decision = shard.decide(&mut Batch::default(), command, self.now);
             let (records, reply) = match decision {
-                Decision::Answer(answer) => return Some(answer),
+                Decision::Reply(answer) => return Some(answer),
                 Decision::Defer => return None,
                 Decision::Commit(records, reply) => (records, reply),
             };
