--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -13,7 +13,7 @@
 //! let shard = Shard::new(0, Policy::default());
 //! let command = Command::Status { job: "job-1".into() };
 //! let decision = shard.decide(&mut Batch::default(), &command, 0);
-//! assert!(matches!(decision, Decision::Answer(Err(_))));
+//! assert!(matches!(decision, Decision::Reply(Err(_))));
 //! ```
 
 pub mod command;
