--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -371,7 +371,7 @@
     }
 
     /// When a request was queued; `None` if it isn't.
-    pub fn waits_since(&self, id: WaiterId) -> Option<Instant> {
+    pub fn queued_at(&self, id: WaiterId) -> Option<Instant> {
         self.waiters.get(&id).map(|waiter| waiter.queued_at)
     }
 }
