--- a/crates/coordination/src/ejection.rs
+++ b/crates/coordination/src/ejection.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-const MAX_FAILURES: u32 = 3;
+const FAILURE_LIMIT: u32 = 3;
 const BASE_EJECTION: Duration = Duration::from_secs(1);
 const MAX_EJECTION: Duration = Duration::from_secs(30);
 const MAX_DOUBLINGS: u32 = 5;
@@ -14,7 +14,7 @@
     failures: u32,
     ejections: u32,
     ejected_until: Option<Instant>,
-    probation_left: u32,
+    probation_remaining: u32,
 }
 
 /// How much a target may be used.
@@ -33,7 +33,7 @@
     pub fn availability(&self, now: Instant) -> Availability {
         match self.ejected_until {
             Some(ejected_until) if now < ejected_until => Availability::Ejected,
-            _ if self.probation_left > 0 => Availability::Probation,
+            _ if self.probation_remaining > 0 => Availability::Probation,
             _ => Availability::Full,
         }
     }
@@ -42,23 +42,23 @@
     pub fn on_success(&mut self) {
         self.failures = 0;
         self.ejected_until = None;
-        self.probation_left = self.probation_left.saturating_sub(1);
-        if self.probation_left == 0 {
+        self.probation_remaining = self.probation_remaining.saturating_sub(1);
+        if self.probation_remaining == 0 {
             self.ejections = 0;
         }
     }
 
     /// The target doesn't respond at all: ejects it at once.
     pub fn on_unresponsive(&mut self, now: Instant) {
-        self.probation_left = PROBATION_SUCCESSES;
+        self.probation_remaining = PROBATION_SUCCESSES;
         self.on_failure(now);
     }
 
     /// A request failed because of the target.
     pub fn on_failure(&mut self, now: Instant) {
         self.failures += 1;
-        let on_probation = self.probation_left > 0;
-        if self.failures < MAX_FAILURES && !on_probation {
+        let on_probation = self.probation_remaining > 0;
+        if self.failures < FAILURE_LIMIT && !on_probation {
             return;
         }
         let ejection =
@@ -66,6 +66,6 @@
         self.ejected_until = Some(now + ejection);
         self.ejections += 1;
         self.failures = 0;
-        self.probation_left = PROBATION_SUCCESSES;
+        self.probation_remaining = PROBATION_SUCCESSES;
     }
 }
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -13,10 +13,10 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Instant;
 
-const MAX_MISSED_HEARTBEATS: u32 = 2;
+const MISSED_HEARTBEAT_LIMIT: u32 = 2;
 const MAX_UPDATES: usize = 512;
 const MAX_UPDATES_PER_MESSAGE: usize = 64;
-const DEAD_PROBE_INTERVAL: u64 = 8;
+const DEAD_PROBE_INTERVAL_TICKS: u64 = 8;
 /// Part of the suspect timeout in which second-hand reports of a death are ignored; whoever
 /// observed the death itself reports it only after the whole timeout.
 const REFUTATION_RATIO: f64 = 0.75;
@@ -30,14 +30,14 @@
     missed_heartbeats: u32,
     changed_at: Instant,
     /// Whether it is suspected only because others report it dead.
-    second_hand: bool,
+    is_second_hand: bool,
 }
 
 impl Entry {
     /// Whether it has had too little time to refute the suspicion.
     fn is_recent_suspect(&self, policy: Policy, now: Instant) -> bool {
-        let since = now.saturating_duration_since(self.changed_at);
-        since < policy.suspect_timeout.mul_f64(REFUTATION_RATIO)
+        let elapsed = now.saturating_duration_since(self.changed_at);
+        elapsed < policy.suspect_timeout.mul_f64(REFUTATION_RATIO)
     }
 }
 
@@ -167,7 +167,7 @@
         if !fingers.is_empty() {
             due.push(fingers[(self.tick_count % fingers.len() as u64) as usize]);
         }
-        if self.tick_count.is_multiple_of(DEAD_PROBE_INTERVAL) {
+        if self.tick_count.is_multiple_of(DEAD_PROBE_INTERVAL_TICKS) {
             due.extend(self.next_dead());
         }
         due.iter().filter_map(|id| self.entries.get(id)).map(|entry| entry.member.clone()).collect()
@@ -176,9 +176,9 @@
     fn next_dead(&self) -> Option<InstanceId> {
         let is_dead = |entry: &&Entry| entry.member.state == State::Dead;
         let dead: Vec<InstanceId> =
-            self.entries.values().filter(is_dead).map(|r| r.member.id).collect();
-        let tick_count = (self.tick_count / DEAD_PROBE_INTERVAL) as usize;
-        if dead.is_empty() { None } else { Some(dead[tick_count % dead.len()]) }
+            self.entries.values().filter(is_dead).map(|entry| entry.member.id).collect();
+        let index = (self.tick_count / DEAD_PROBE_INTERVAL_TICKS) as usize;
+        if dead.is_empty() { None } else { Some(dead[index % dead.len()]) }
     }
 
     /// Whether a member lacks the latest updates; `false` if it is dead, since it would never
@@ -240,11 +240,11 @@
         };
         entry.missed_heartbeats += 1;
         let is_first =
-            entry.missed_heartbeats >= MAX_MISSED_HEARTBEATS && entry.member.state == State::Alive;
+            entry.missed_heartbeats >= MISSED_HEARTBEAT_LIMIT && entry.member.state == State::Alive;
         if is_first {
             entry.member.state = State::Suspect;
             entry.changed_at = now;
-            entry.second_hand = false;
+            entry.is_second_hand = false;
             let update = Update::Member(entry.member.clone());
             self.enqueue(update);
         }
@@ -253,8 +253,8 @@
     /// Merges a member's state from any source; `true` if it is new.
     ///
     /// A second-hand report that a live member is dead only makes it a suspect, since the reporter
-    /// may have been partitioned from it. A death that follows a suspicion is accepted as
-    /// reported.
+    /// may have been partitioned from it. A death that follows a suspicion is accepted once
+    /// the suspect has had time to refute it.
     ///
     /// Guards against a fleet that splits further as a partition heals: each side broadcasts its
     /// view that the other one is dead.
@@ -272,30 +272,30 @@
             let update = Update::Member(member.clone());
             self.entries.insert(
                 member.id,
-                Entry { member, missed_heartbeats: 0, changed_at: now, second_hand: false },
+                Entry { member, missed_heartbeats: 0, changed_at: now, is_second_hand: false },
             );
             self.version += 1;
             self.enqueue(update);
             return true;
         };
         let known = &entry.member;
-        let newer = (member.incarnation, member.state) > (known.incarnation, known.state);
+        let is_newer = (member.incarnation, member.state) > (known.incarnation, known.state);
         let generation = member.generation.max(known.generation);
-        if !newer {
+        if !is_newer {
             entry.member.generation = generation;
             return false;
         }
         let is_death = member.state == State::Dead;
-        let second_hand = is_death && known.state == State::Alive;
+        let is_second_hand = is_death && known.state == State::Alive;
         if is_death && known.state == State::Suspect && entry.is_recent_suspect(policy, now) {
             return false;
         }
-        let state = if second_hand { State::Suspect } else { member.state };
+        let state = if is_second_hand { State::Suspect } else { member.state };
         let member = Member { state, ..member };
         let is_loss =
             member.state == State::Dead && !matches!(known.state, State::Dead | State::Leaving);
         entry.changed_at = now;
-        entry.second_hand = second_hand;
+        entry.is_second_hand = is_second_hand;
         entry.member = member;
         entry.member.generation = generation;
         self.losses += u64::from(is_loss);
@@ -350,13 +350,13 @@
         let mut losses = 0;
         for entry in self.entries.values_mut() {
             let elapsed = now.saturating_duration_since(entry.changed_at);
-            let factor = if entry.second_hand { SECOND_HAND_FACTOR } else { 1 };
-            let expired =
+            let factor = if entry.is_second_hand { SECOND_HAND_FACTOR } else { 1 };
+            let has_expired =
                 entry.member.state == State::Suspect && elapsed >= policy.suspect_timeout * factor;
             let has_left = entry.member.state == State::Leaving
-                && entry.missed_heartbeats >= MAX_MISSED_HEARTBEATS;
-            if expired || has_left {
-                losses += u64::from(expired);
+                && entry.missed_heartbeats >= MISSED_HEARTBEAT_LIMIT;
+            if has_expired || has_left {
+                losses += u64::from(has_expired);
                 entry.member.state = State::Dead;
                 entry.changed_at = now;
                 dead.push(entry.member.clone());
--- a/crates/coordination/src/registry.rs
+++ b/crates/coordination/src/registry.rs
@@ -92,9 +92,9 @@
 
     /// Latest change of a target, for an instance that is out of date; `None` if it is unknown.
     pub fn change(&self, id: &str) -> Option<Change> {
-        let gone = |revision: &u64| Change::Gone { id: id.to_owned(), revision: *revision };
+        let removal = |revision: &u64| Change::Gone { id: id.to_owned(), revision: *revision };
         let present = self.entries.get(id).map(|entry| Change::Present(entry.target.clone()));
-        present.or_else(|| self.removed.get(id).map(gone))
+        present.or_else(|| self.removed.get(id).map(removal))
     }
 
     /// A known target, leaving or not.
@@ -116,22 +116,23 @@
 
     /// Latest changes in the buckets whose digests differ, for an instance that is out of date.
     pub fn changes_in_differing_buckets(&self, digests: &[u64]) -> Vec<Change> {
-        let own = self.digests();
-        let differs = |id: &TargetId| digests.get(bucket(id)) != own.get(bucket(id));
+        let local = self.digests();
+        let differs = |id: &TargetId| digests.get(bucket(id)) != local.get(bucket(id));
         let present = self.entries.values().map(|entry| &entry.target);
         let present = present.filter(|target| differs(&target.id));
         let present = present.map(|target| Change::Present(target.clone()));
-        let gone = self.removed.iter().filter(|(id, _)| differs(id));
-        let gone = gone.map(|(id, revision)| Change::Gone { id: id.clone(), revision: *revision });
-        present.chain(gone).collect()
+        let removals = self.removed.iter().filter(|(id, _)| differs(id));
+        let removals =
+            removals.map(|(id, revision)| Change::Gone { id: id.clone(), revision: *revision });
+        present.chain(removals).collect()
     }
 
     /// A target's part of its bucket's digest.
     fn contribution(&self, id: &str) -> u64 {
         let entry = self.entries.get(id);
         let present = entry.map_or(0, |entry| digest_of(id, entry.target.revision, true));
-        let gone = self.removed.get(id).map_or(0, |revision| digest_of(id, *revision, false));
-        present.wrapping_add(gone)
+        let removal = self.removed.get(id).map_or(0, |revision| digest_of(id, *revision, false));
+        present.wrapping_add(removal)
     }
 
     /// Updates a bucket's digest after a change of a target, whose contribution was `before`.
@@ -181,7 +182,7 @@
             return false;
         }
         if self.removed.len() >= MAX_REMOVED {
-            self.forget_oldest();
+            self.evict_oldest_removal();
         }
         // Of several removals the latest counts, whatever their order.
         let known = self.removed.get(id).copied();
@@ -189,7 +190,7 @@
         self.entries.remove(id).is_some() || known.is_none()
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest_removal(&mut self) {
         let oldest = self.removed.iter().min_by_key(|(_, revision)| **revision);
         if let Some(id) = oldest.map(|(id, _)| id.clone()) {
             let before = self.contribution(&id);
--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -147,11 +147,11 @@
         }
         self.drop_unresponsive(now);
         let priority = request.priority(&self.policy, now);
-        let before = |waiter: &&Waiter| {
+        let precedes = |waiter: &&Waiter| {
             waiter.request.competes_with(&request)
                 && waiter.request.priority(&self.policy, now) < priority
         };
-        let ahead = self.waiters.values().filter(before).count();
+        let ahead = self.waiters.values().filter(precedes).count();
         let wait = self.expected_wait(&request, ahead, now);
         let is_unserviceable = request.purpose == Purpose::Online && now + wait > request.expires;
         if !request.may_wait || is_unserviceable {
@@ -178,13 +178,14 @@
     /// queued. The other allocators are assumed to have lost the same ratio of their targets as
     /// this one.
     fn expected_wait(&self, request: &Request, ahead: usize, now: Instant) -> Duration {
-        let fits = |state: &&TargetState| state.serves(request);
+        let is_match = |state: &&TargetState| state.serves(request);
         let local_slots: u32 =
-            self.targets.values().filter(fits).map(|state| state.target.slots).sum();
-        let in_use = self.targets.values().filter(fits).filter(|state| state.is_in_use(now));
-        let in_use: u32 = in_use.map(|state| state.target.slots).sum();
-        let in_use_ratio = f64::from(in_use) / f64::from(local_slots.max(1));
-        let slots = (f64::from(local_slots.max(request.total_slots)) * in_use_ratio).max(1.0);
+            self.targets.values().filter(is_match).map(|state| state.target.slots).sum();
+        let available =
+            self.targets.values().filter(is_match).filter(|state| state.is_available(now));
+        let available: u32 = available.map(|state| state.target.slots).sum();
+        let available_ratio = f64::from(available) / f64::from(local_slots.max(1));
+        let slots = (f64::from(local_slots.max(request.total_slots)) * available_ratio).max(1.0);
         Duration::from_secs_f64(self.mean_hold_s * (ahead + 1) as f64 / slots)
     }
 
@@ -260,11 +261,11 @@
         self.record_contact(lease.holder, now);
         let smoothing = self.policy.smoothing;
         if lease.purpose == Purpose::Online && report.outcome == LeaseOutcome::Completed {
-            let held = now.saturating_duration_since(lease.granted).as_secs_f64();
-            self.mean_hold_s += (held - self.mean_hold_s) * smoothing;
+            let hold_s = now.saturating_duration_since(lease.granted).as_secs_f64();
+            self.mean_hold_s += (hold_s - self.mean_hold_s) * smoothing;
         }
-        if let Some(done) = report.completed {
-            self.run_time.record(done);
+        if let Some(sample) = report.completed {
+            self.run_time.record(sample);
         }
         let Some(state) = self.targets.get_mut(&lease.target) else {
             return;
@@ -287,9 +288,9 @@
     pub fn next_grants(&mut self, now: Instant) -> Vec<(WaiterId, Grant, Option<Revocation>)> {
         let mut grants = Vec::new();
         // Requests without a slot: lower priorities for the same slots are skipped.
-        let mut full: Vec<Request> = Vec::new();
-        let mut passed_over: HashSet<WaiterId> = HashSet::new();
-        while let Some(id) = self.highest_priority(&full, &passed_over, now) {
+        let mut unserved: Vec<Request> = Vec::new();
+        let mut skipped: HashSet<WaiterId> = HashSet::new();
+        while let Some(id) = self.highest_priority(&unserved, &skipped, now) {
             let Some(request) = self.waiters.get(&id).map(|waiter| waiter.request.clone()) else {
                 break;
             };
@@ -298,30 +299,30 @@
                     self.waiters.remove(&id);
                     grants.push((id, grant, revocation));
                 }
-                None if request.excluded.is_empty() => full.push(request),
+                None if request.excluded.is_empty() => unserved.push(request),
                 None => {
-                    passed_over.insert(id);
+                    skipped.insert(id);
                 }
             }
         }
         grants
     }
 
-    /// The queued request of highest priority that isn't blocked by a request in `full`.
+    /// The queued request of highest priority that isn't blocked by a request in `unserved`.
     ///
     /// Runs whenever a slot comes free, mostly for one grant among hundreds of waiters: a scan for
     /// the minimum is several times cheaper than sorting them.
     fn highest_priority(
         &self,
-        full: &[Request],
-        passed_over: &HashSet<WaiterId>,
+        unserved: &[Request],
+        skipped: &HashSet<WaiterId>,
         now: Instant,
     ) -> Option<WaiterId> {
-        let is_blocked = |request: &Request| full.iter().any(|first| first.blocks(request));
+        let is_blocked = |request: &Request| unserved.iter().any(|earlier| earlier.blocks(request));
         let candidates = self
             .waiters
             .iter()
-            .filter(|(id, waiter)| !is_blocked(&waiter.request) && !passed_over.contains(id));
+            .filter(|(id, waiter)| !is_blocked(&waiter.request) && !skipped.contains(id));
         candidates
             .min_by_key(|(id, waiter)| (waiter.request.priority(&self.policy, now), **id))
             .map(|(id, _)| *id)
--- a/crates/coordination/src/slots/batch.rs
+++ b/crates/coordination/src/slots/batch.rs
@@ -7,9 +7,10 @@
 use std::collections::HashSet;
 use std::time::Instant;
 
-/// Cap on the slots that batch keeps free at low request rates; enough for two requests that
-/// arrive together.
+/// Lower bound of the optimal reserve, so that two requests that arrive together preempt nothing;
+/// the headroom ratio still limits it.
 const MIN_RESERVED_SLOTS: f64 = 2.0;
+
 impl Allocator {
     /// Whether batch may take one more slot of the service.
     pub(super) fn has_headroom(&self, request: &Request) -> bool {
@@ -58,12 +59,12 @@
         let batch = self.leases.iter().filter(|(_, lease)| {
             lease.purpose == Purpose::Batch && !lease.is_revoked && matches(&lease.target)
         });
-        let cost = |(id, lease): &(&LeaseId, &Lease)| (lease.is_late, lease.ends, lease.due, **id);
-        batch.max_by_key(cost).map(|(id, _)| *id)
+        let preference =
+            |(id, lease): &(&LeaseId, &Lease)| (lease.is_late, lease.ends, lease.due, **id);
+        batch.max_by_key(preference).map(|(id, _)| *id)
     }
 
-    /// Revokes a batch lease. Its slot counts as free at once, since the holder stops without a
-    /// second request.
+    /// Revokes a batch lease. Its slot counts as free at once, since its holder must stop at once.
     pub(super) fn revoke(&mut self, id: LeaseId) -> Option<Revocation> {
         let lease = self.leases.get_mut(&id)?;
         lease.is_revoked = true;
--- a/crates/coordination/src/slots/holders.rs
+++ b/crates/coordination/src/slots/holders.rs
@@ -15,8 +15,8 @@
 
     /// An instance is gone: its leases are released and its queued requests are dropped.
     pub fn on_holder_lost(&mut self, holder: InstanceId) {
-        let of_holder = |lease: &Lease| lease.holder == holder;
-        let held = self.leases.iter().filter(|(_, lease)| of_holder(lease));
+        let is_held = |lease: &Lease| lease.holder == holder;
+        let held = self.leases.iter().filter(|(_, lease)| is_held(lease));
         let held: Vec<LeaseId> = held.map(|(id, _)| *id).collect();
         for id in held {
             self.drop_lease(id);
@@ -106,18 +106,19 @@
         }
     }
 
-    /// Revokes batch leases at targets with more leases than slots, which reports can cause.
+    /// Revokes one batch lease at each target with more leases than slots, which reports can
+    /// cause.
     pub fn revoke_excess(&mut self) -> Vec<Revocation> {
         let is_overcommitted = |state: &&TargetState| {
             state.batch > 0 && state.online + state.batch > state.target.slots
         };
-        let is_overcommitted: Vec<TargetId> = self
+        let overcommitted: Vec<TargetId> = self
             .targets
             .values()
             .filter(is_overcommitted)
             .map(|state| state.target.id.clone())
             .collect();
-        let preempted: Vec<LeaseId> = is_overcommitted
+        let preempted: Vec<LeaseId> = overcommitted
             .iter()
             .filter_map(|target| self.cheapest_to_preempt(|id| id == target))
             .collect();
--- a/crates/coordination/src/slots/lease.rs
+++ b/crates/coordination/src/slots/lease.rs
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Online before batch, feasible before late, then by deadline. Late online requests are
-    /// served when nothing else is queued, in the order in which their callers leave.
+    /// Online before batch, feasible before late, then by deadline. Late online requests follow
+    /// the other online ones, in the order in which their callers leave.
     ///
     /// Started batch items precede others: otherwise a long shortage starts many items and
     /// completes few.
@@ -208,8 +208,8 @@
 /// How a lease was used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseReport {
-    #[serde(rename = "end")]
     /// Defaults to [`LeaseOutcome::Completed`].
+    #[serde(rename = "end")]
     pub outcome: LeaseOutcome,
     /// Time to the first event; `None` if there was none.
     #[serde(rename = "first")]
--- a/crates/coordination/src/slots/target_state.rs
+++ b/crates/coordination/src/slots/target_state.rs
@@ -140,7 +140,7 @@
     }
 
     /// Whether health allows any request, be it one at a time.
-    pub(super) fn is_in_use(&self, now: Instant) -> bool {
+    pub(super) fn is_available(&self, now: Instant) -> bool {
         self.health.availability(now) != Availability::Ejected
     }
 
