--- a/crates/coordination/src/quarantine/types.rs
+++ b/crates/coordination/src/quarantine/types.rs
@@ -92,6 +92,6 @@
     Allowed,
     /// It must not be sent for this long.
     Quarantined(Duration),
-    /// It is quarantined, but its owner may grant a trial ([`Table::on_trial`](super::Table::on_trial)).
+    /// It is quarantined, but its owner may grant a trial by [`super::Table::on_trial`].
     TrialDue,
 }
