--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -29,7 +29,7 @@
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(pause(&node)) => {}
+            () = tokio::time::sleep(next_delay(&node)) => {}
             () = stop.cancelled() => return,
         }
         // Not awaited: an unresponsive instance must not delay the next comparison.
@@ -39,7 +39,7 @@
 
 /// Delay before the next comparison. Without a configuration and targets an instance serves
 /// nothing, so it asks more often.
-fn pause(node: &Node) -> Duration {
+fn next_delay(node: &Node) -> Duration {
     let is_new = clock::since(node.started) < STARTUP_PERIOD;
     if node.is_initialized() || !is_new { SYNC_INTERVAL } else { STARTUP_SYNC_INTERVAL }
 }
@@ -51,8 +51,8 @@
         return;
     }
     let now = clock::now();
-    let at = rand::random_range(0..others.len());
-    if node.is_unresponsive(others[at].peer, now) {
+    let index = rand::random_range(0..others.len());
+    if node.is_unresponsive(others[index].peer, now) {
         return;
     }
     let request = PeerRequest::Sync {
@@ -60,25 +60,25 @@
         digest: node.state_digest(),
         connectivity: node.connectivity(),
     };
-    let reply = node.request(others[at].peer, &request, SYNC_TIMEOUT).await;
+    let reply = node.request(others[index].peer, &request, SYNC_TIMEOUT).await;
     if let Ok(PeerReply::Sync { config, digest, connectivity }) = reply {
-        platform_health::on_peer_report(&node, others[at].id, connectivity);
+        platform_health::on_peer_report(&node, others[index].id, connectivity);
         let is_due =
             node.jobs.last_fetch.get().is_none_or(|at| clock::since(at) >= MIN_JOB_SYNC_INTERVAL);
         if digest.jobs != node.state_digest().jobs && is_due {
             node.jobs.last_fetch.set(Some(now));
-            let wanted = job_table::open_jobs_filter(&node);
-            job_table::fetch_statuses_from(&node, others[at].peer, wanted).await;
+            let filter = job_table::open_jobs_filter(&node);
+            job_table::fetch_statuses_from(&node, others[index].peer, filter).await;
         }
         if let Some(digest) = digest.crash_reports {
-            compare_strikes(&node, &others[at], digest).await;
+            compare_crash_reports(&node, &others[index], digest).await;
         }
         if let Some((version, text)) = config {
             discovery::on_config(&node, version, &text, "compared");
         }
         if digest.targets != node.state_digest().targets {
             let request = PeerRequest::Targets(node.registry.borrow().digests());
-            let reply = node.request(others[at].peer, &request, SYNC_TIMEOUT).await;
+            let reply = node.request(others[index].peer, &request, SYNC_TIMEOUT).await;
             if let Ok(PeerReply::Targets(changes)) = reply {
                 discovery::on_targets(&node, changes, "compared");
             }
@@ -87,13 +87,13 @@
 }
 
 /// Fetches crash reports from an instance that has them if the digests differ.
-async fn compare_strikes(node: &Node, other: &Member, digest: u64) {
+async fn compare_crash_reports(node: &Node, other: &Member, digest: u64) {
     if node.quarantine.borrow().digest() != digest {
         let reply = node.request(other.peer, &PeerRequest::CrashReports, SYNC_TIMEOUT).await;
-        let Ok(PeerReply::CrashReports(strikes)) = reply else {
+        let Ok(PeerReply::CrashReports(reports)) = reply else {
             return;
         };
-        quarantine::on_crash_reports(node, strikes, "compared");
+        quarantine::on_crash_reports(node, reports, "compared");
     }
     node.has_crash_reports.set(true);
 }
--- a/crates/daemon/src/gateway/broadcast.rs
+++ b/crates/daemon/src/gateway/broadcast.rs
@@ -136,8 +136,8 @@
             jobs::on_ended(node, &job);
             true
         }
-        Update::CrashReports(strikes) => {
-            !quarantine::on_crash_reports(node, strikes, "peer").is_empty()
+        Update::CrashReports(reports) => {
+            !quarantine::on_crash_reports(node, reports, "peer").is_empty()
         }
     }
 }
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -204,12 +204,12 @@
     let retention = node.settings.retention.as_millis() as u64;
     let held_jobs: Vec<Rc<HeldJob>> = node.jobs.held.borrow().values().cloned().collect();
     for held in held_jobs {
-        let (id, is_over) = {
+        let (id, is_expired) = {
             let state = held.state.borrow();
             let is_old = state.job().accepted + retention < now;
             (state.job().id.clone(), is_old && state.is_finished())
         };
-        if !is_over {
+        if !is_expired {
             continue;
         }
         let is_own = held.state.borrow().holder().instance == node.id();
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -214,7 +214,7 @@
 ///
 /// [`StoreError::Conflict`] if the job exists, else the error of the failed call.
 pub async fn create(node: &Node, job: &Job) -> Result<(Object, Overflow), StoreError> {
-    let max_bytes = share(node, SPEC_BYTES_RATIO);
+    let max_bytes = byte_limit(node, SPEC_BYTES_RATIO);
     let runs = runs(&job.items, max_bytes);
     let Some((first, rest)) = runs.split_first().filter(|(_, rest)| !rest.is_empty()) else {
         let object = node.store.create(CallReason::Submission, job::KIND, &job.id, job).await?;
@@ -251,9 +251,9 @@
     overflow: &Overflow,
 ) -> Result<(Object, Overflow), StoreError> {
     let mut overflow = overflow.clone();
-    let moved = count(&overflow.results).min(progress.outcomes.len());
-    let mut remaining = &progress.outcomes[moved..];
-    let max_bytes = share(node, STATUS_BYTES_RATIO);
+    let overflowed = count(&overflow.results).min(progress.outcomes.len());
+    let mut remaining = &progress.outcomes[overflowed..];
+    let max_bytes = byte_limit(node, STATUS_BYTES_RATIO);
     let runs = runs(remaining, max_bytes);
     for run in runs.split_last().map(|(_, early)| early).unwrap_or_default() {
         overflow.results.push(write_overflow(node, reason, id, run).await?);
@@ -286,8 +286,8 @@
     }
 }
 
-fn share(node: &Node, share: f64) -> usize {
-    (node.settings.value_bytes as f64 * share) as usize
+fn byte_limit(node: &Node, ratio: f64) -> usize {
+    (node.settings.value_bytes as f64 * ratio) as usize
 }
 
 /// Splits a list into runs whose encoded form has at most `max_bytes` bytes each. A larger
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -129,7 +129,7 @@
     pub fn waiting_tokens(&self, node: &Node, route: &str) -> u64 {
         let held_jobs = self.held.borrow();
         let held = held_jobs.values().filter(|held| !held.is_read_only);
-        let here: u64 = held
+        let local: u64 = held
             .map(|held| held.state.borrow())
             .filter(|state| route_of(node, state.job()).is_some_and(|found| found.name == route))
             .map(|state| state.waiting_tokens())
@@ -138,7 +138,7 @@
         let others = directory.values().filter(|status| {
             status.route == route && !status.is_finished && !held_jobs.contains_key(&status.job)
         });
-        here + others.map(|status| status.waiting_tokens).sum::<u64>()
+        local + others.map(|status| status.waiting_tokens).sum::<u64>()
     }
 }
 
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -38,9 +38,9 @@
     let id = held.state.borrow().job().id.clone();
     match node.store.get(CallReason::Verify, job::KIND, &id).await {
         Ok(Some(object)) if object.revision > held.revision.get() => {
-            let draft = held.state.borrow().to_progress();
+            let snapshot = held.state.borrow().to_progress();
             // If loading fails now, the next write runs into the same conflict.
-            on_newer_object(node, held, &draft, &object).await;
+            on_newer_object(node, held, &snapshot, &object).await;
         }
         Ok(Some(_)) => held.on_confirmed(clock::now()),
         Ok(None) => job_table::release(node, held),
@@ -109,32 +109,32 @@
     let (due, at) = (state.job().due, unix_millis());
     let overdue = Duration::from_millis(at.saturating_sub(due));
     let due_in = Duration::from_millis(due.saturating_sub(at));
-    let is_end = state.is_ended() && !state.is_end_durable();
-    let fresh = flush::Unwritten {
+    let has_unwritten_end = state.is_ended() && !state.is_end_durable();
+    let unwritten = flush::Unwritten {
         oldest: held.oldest_unwritten.get().unwrap_or(now),
         failed: held.oldest_failure.get(),
         due: now.checked_sub(overdue).unwrap_or(now) + due_in,
-        is_last: is_end || state.is_done(),
+        is_last: has_unwritten_end || state.is_done(),
     };
     let policy =
         flush::Policy { max_delay: node.settings.policy.write_delay, ..flush::Policy::default() };
-    flush::flush_at(policy, fresh).saturating_duration_since(now)
+    flush::flush_at(policy, unwritten).saturating_duration_since(now)
 }
 
 /// Writes a job's progress once; `false` if it must be retried.
 pub async fn write(node: &Rc<Node>, held: &Rc<HeldJob>) -> bool {
-    let (id, draft) = {
+    let (id, snapshot) = {
         let state = held.state.borrow();
         (state.job().id.clone(), state.to_progress())
     };
     let revision = held.revision.get();
     let overflow = held.overflow.borrow().clone();
     let result =
-        job_store::write(node, CallReason::Progress, &id, revision, &draft, &overflow).await;
+        job_store::write(node, CallReason::Progress, &id, revision, &snapshot, &overflow).await;
     match result {
         Ok((object, overflow)) => {
             *held.overflow.borrow_mut() = overflow;
-            on_durable(node, held, &draft, object.revision);
+            on_durable(node, held, &snapshot, object.revision);
             true
         }
         Err(StoreError::Conflict(found)) => {
@@ -143,7 +143,7 @@
                 None => node.store.get(CallReason::Progress, job::KIND, &id).await,
             };
             match found {
-                Ok(Some(object)) => return on_newer_object(node, held, &draft, &object).await,
+                Ok(Some(object)) => return on_newer_object(node, held, &snapshot, &object).await,
                 Ok(None) => job_table::release(node, held),
                 Err(error) => {
                     slog::info!(node.log, "job load failed"; "job" => &id, "fault" => %error);
@@ -175,15 +175,15 @@
     takeover::send_handoff(node, id, holder, handoff).await;
 }
 
-fn on_durable(node: &Rc<Node>, held: &Rc<HeldJob>, draft: &Progress, revision: u64) {
+fn on_durable(node: &Rc<Node>, held: &Rc<HeldJob>, snapshot: &Progress, revision: u64) {
     held.revision.set(revision);
     held.on_confirmed(clock::now());
-    held.state.borrow_mut().on_written(draft);
+    held.state.borrow_mut().on_written(snapshot);
     held.oldest_unwritten.set(None);
     held.oldest_failure.set(None);
     held.mark_dirty();
     slog::info!(node.log, "results durable"; "job" => &held.state.borrow().job().id,
-        "results" => draft.outcomes.len(), "revision" => revision, "ended" => draft.ended);
+        "results" => snapshot.outcomes.len(), "revision" => revision, "ended" => snapshot.ended);
     held.changed.notify_waiters();
     job_table::announce(node, held);
 }
@@ -193,7 +193,7 @@
 async fn on_newer_object(
     node: &Rc<Node>,
     held: &Rc<HeldJob>,
-    draft: &Progress,
+    snapshot: &Progress,
     object: &Object,
 ) -> bool {
     let StoredJob { progress, overflow, .. } =
@@ -211,8 +211,8 @@
             }
         };
     *held.overflow.borrow_mut() = overflow;
-    if progress == *draft {
-        on_durable(node, held, draft, object.revision);
+    if progress == *snapshot {
+        on_durable(node, held, snapshot, object.revision);
         return true;
     }
     held.revision.set(object.revision);
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -182,7 +182,7 @@
     let counts = node.store.without_breaker().counts();
     let [online, batch] = node.leases.in_use();
     // Never answered counts as silent for as long as a gauge can say.
-    let silence = node.store.silence(clock::now()).map_or(u64::MAX, |t| t.as_millis() as u64);
+    let silence = node.store.idle_time(clock::now()).map_or(u64::MAX, |t| t.as_millis() as u64);
     let gauges = [
         ("gatespool.platform.reads", counts.reads.get()),
         ("gatespool.platform.writes", counts.writes.get()),
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -44,7 +44,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(POLL_INTERVAL) => {}
-            () = node.store.disconnected(), if !last_report.is_lost => {}
+            () = node.store.disconnected(), if !last_report.is_disconnected => {}
             () = stop.cancelled() => return,
         }
         let now = clock::now();
@@ -80,18 +80,18 @@
 /// The last report sent to other instances.
 #[derive(Default)]
 struct LastReport {
-    is_lost: bool,
+    is_disconnected: bool,
     at: Option<Instant>,
 }
 
 impl LastReport {
     /// Whether a report is due; records it as sent if so.
-    fn is_due(&mut self, is_lost: bool, now: Instant) -> bool {
+    fn is_due(&mut self, is_disconnected: bool, now: Instant) -> bool {
         let is_old = self.at.is_none_or(|at| now >= at + REPORT_INTERVAL);
-        if is_lost == self.is_lost && !(is_lost && is_old) {
+        if is_disconnected == self.is_disconnected && !(is_disconnected && is_old) {
             return false;
         }
-        *self = LastReport { is_lost, at: Some(now) };
+        *self = LastReport { is_disconnected, at: Some(now) };
         true
     }
 }
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -39,7 +39,7 @@
     /// Calls made, by reason.
     calls: RefCell<BTreeMap<CallReason, u64>>,
     breaker: RefCell<Breaker>,
-    contact: RefCell<Tracker>,
+    tracker: RefCell<Tracker>,
     /// Notified when the store counts as disconnected.
     disconnected: Notify,
     log: Logger,
@@ -48,12 +48,12 @@
 impl PlatformStore {
     /// Connects to the platform named in the settings.
     pub fn new(settings: &Settings, log: Logger) -> PlatformStore {
-        let lapse = settings.entry_heartbeat.mul_f64(EXPIRY_HEARTBEATS);
+        let min_outage = settings.entry_heartbeat.mul_f64(EXPIRY_HEARTBEATS);
         PlatformStore {
             store: Store::new(settings.platform_address, settings.platform_timeout),
             calls: RefCell::default(),
             breaker: RefCell::default(),
-            contact: RefCell::new(Tracker::new(Policy { expiry: lapse, ..Policy::default() })),
+            tracker: RefCell::new(Tracker::new(Policy { expiry: min_outage, ..Policy::default() })),
             disconnected: Notify::new(),
             log,
         }
@@ -78,22 +78,22 @@
     /// Start of the current period without an outage in which entries may have expired, as
     /// observed here or by other instances.
     pub fn reachable_since(&self) -> Option<Instant> {
-        self.uptime().map(|series| series.since)
+        self.uptime().map(|uptime| uptime.since)
     }
 
     /// As [`Tracker::uptime`].
     pub fn uptime(&self) -> Option<Uptime> {
-        self.contact.borrow().uptime()
+        self.tracker.borrow().uptime()
     }
 
     /// Time since the last response to this instance; `None` if there was none.
-    pub fn silence(&self, now: Instant) -> Option<Duration> {
-        self.contact.borrow().idle_time(now)
+    pub fn idle_time(&self, now: Instant) -> Option<Duration> {
+        self.tracker.borrow().idle_time(now)
     }
 
     /// Whether this instance counts as disconnected from the store.
     pub fn is_disconnected(&self) -> bool {
-        self.contact.borrow().is_disconnected()
+        self.tracker.borrow().is_disconnected()
     }
 
     /// Returns once this instance counts as disconnected.
@@ -109,7 +109,7 @@
 
     /// Whether a probe should be sent.
     pub fn is_probe_due(&self, now: Instant) -> bool {
-        self.contact.borrow().is_probe_due(now)
+        self.tracker.borrow().is_probe_due(now)
     }
 
     /// Time until a call may be made; zero if one may be made now.
@@ -121,42 +121,42 @@
     /// Records a response.
     pub fn on_response(&self, now: Instant) {
         let failures = std::mem::take(&mut *self.breaker.borrow_mut()).failures;
-        let silence = self.silence(now).map(|time| time.as_millis() as u64);
-        let mut contact = self.contact.borrow_mut();
-        let was_disconnected = contact.is_disconnected();
-        contact.on_response(now);
+        let idle_time = self.idle_time(now).map(|time| time.as_millis() as u64);
+        let mut tracker = self.tracker.borrow_mut();
+        let was_disconnected = tracker.is_disconnected();
+        tracker.on_response(now);
         if failures > 0 || was_disconnected {
             slog::info!(self.log, "platform regained"; "failures" => failures,
-                "was_lost" => was_disconnected, "silence_ms" => silence,
-                "may_have_lapsed" => contact.uptime().is_some_and(|series| series.since == now));
+                "was_lost" => was_disconnected, "silence_ms" => idle_time,
+                "may_have_lapsed" => tracker.uptime().is_some_and(|uptime| uptime.since == now));
         }
     }
 
     /// Records a failed watch, which alone doesn't open the breaker.
     pub fn on_watch_failed(&self) {
-        self.contact.borrow_mut().on_failure();
+        self.tracker.borrow_mut().on_failure();
     }
 
     /// Records that a probe timed out or failed: this instance counts as disconnected.
     pub fn on_probe_failed(&self, now: Instant) {
-        let silence = self.silence(now).map(|time| time.as_millis() as u64);
-        let mut contact = self.contact.borrow_mut();
-        if !contact.is_disconnected() {
-            slog::info!(self.log, "platform contact lost"; "silence_ms" => silence);
+        let idle_time = self.idle_time(now).map(|time| time.as_millis() as u64);
+        let mut tracker = self.tracker.borrow_mut();
+        if !tracker.is_disconnected() {
+            slog::info!(self.log, "platform contact lost"; "silence_ms" => idle_time);
         }
-        contact.on_probe_failed();
-        drop(contact);
+        tracker.on_probe_failed();
+        drop(tracker);
         self.disconnected.notify_waiters();
     }
 
     /// As [`Tracker::on_peer_report`].
-    pub fn on_peer_report(&self, series: Option<Uptime>, is_disconnected: bool) {
-        self.contact.borrow_mut().on_peer_report(series, is_disconnected);
+    pub fn on_peer_report(&self, uptime: Option<Uptime>, is_disconnected: bool) {
+        self.tracker.borrow_mut().on_peer_report(uptime, is_disconnected);
     }
 
     /// Records a failed call and opens the breaker.
     pub fn on_failure(&self, error: &StoreError, now: Instant) {
-        self.contact.borrow_mut().on_failure();
+        self.tracker.borrow_mut().on_failure();
         let mut breaker = self.breaker.borrow_mut();
         breaker.failures += 1;
         let backoff = retry::backoff(breaker.failures, MIN_BACKOFF, MAX_BACKOFF, rand::random());
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -57,14 +57,14 @@
 /// Starts the response to a streaming request; a separate task forwards the events.
 pub fn stream(
     forward: ProxiedRequest,
-    begun: TargetResponse,
+    response: TargetResponse,
     in_flight: InFlightGuard,
 ) -> Response<Body> {
-    let head = response_head(&begun.exchange);
+    let head = response_head(&response.exchange);
     let (sender, body) = listen::stream();
     tokio::task::spawn_local(async move {
         let mut stream = Stream { forward, last_event: None, sender, stats: EventStats::default() };
-        stream.run(begun).await;
+        stream.run(response).await;
         drop(in_flight);
     });
     with_body(head, body)
@@ -89,11 +89,11 @@
 }
 
 impl Stream {
-    async fn run(&mut self, begun: TargetResponse) {
-        let mut begun = begun;
+    async fn run(&mut self, response: TargetResponse) {
+        let mut response = response;
         loop {
-            let target = begun.lease.grant.target.clone();
-            let end = self.forward_response(begun).await;
+            let target = response.lease.grant.target.clone();
+            let end = self.forward_response(response).await;
             let error = match end {
                 StreamEnd::Completed => return self.log("stream ended", &target, ""),
                 StreamEnd::CallerGone => return self.log("caller disconnected", &target, ""),
@@ -113,11 +113,11 @@
                 next = self.forward.forward(self.last_event) => next,
                 () = self.sender.closed() => return self.log("caller disconnected", &target, ""),
             };
-            begun = match next {
-                Ok(begun) if begun.exchange.head().status.is_success() => begun,
-                Ok(begun) => {
-                    let status = begun.exchange.head().status;
-                    begun.lease.end(LeaseOutcome::Completed);
+            response = match next {
+                Ok(response) if response.exchange.head().status.is_success() => response,
+                Ok(response) => {
+                    let status = response.exchange.head().status;
+                    response.lease.end(LeaseOutcome::Completed);
                     return self
                         .abort(&target, &format!("next target responded with {status}"))
                         .await;
@@ -137,8 +137,8 @@
     }
 
     /// Forwards one target's response.
-    async fn forward_response(&mut self, begun: TargetResponse) -> StreamEnd {
-        let TargetResponse { mut exchange, mut lease } = begun;
+    async fn forward_response(&mut self, response: TargetResponse) -> StreamEnd {
+        let TargetResponse { mut exchange, mut lease } = response;
         let mut splitter = Splitter::default();
         self.stats = EventStats { began: Some(clock::now()), ..EventStats::default() };
         let end = self.forward_events(&mut exchange, &lease, &mut splitter).await;
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -44,8 +44,8 @@
     let until = call.started + call.remaining(call.started).mul_f64(CONFIRM_TIME_RATIO);
     let mut outcome = accept(node, route, call, until).await;
     if outcome == SubmitOutcome::Refused && !node.is_stopping() || node.store.last_call_failed() {
-        let is_open = matches!(outcome, SubmitOutcome::Refused | SubmitOutcome::Unknown);
-        if is_open {
+        let is_undecided = matches!(outcome, SubmitOutcome::Refused | SubmitOutcome::Unknown);
+        if is_undecided {
             outcome = forward(node, call, outcome).await;
         }
     }
@@ -56,15 +56,15 @@
 }
 
 fn response(node: &Node, id: &str, outcome: SubmitOutcome) -> Response<Body> {
-    let refuse = |kind, message| {
+    let retry_later = |kind, message| {
         let mut error = Error::new(kind, message);
         error.retry_after = Some(RETRY_AFTER);
         error_response(node, id, &error)
     };
     match outcome {
         SubmitOutcome::Accepted => text_response(202, "accepted"),
-        SubmitOutcome::Full => refuse(Kind::CallerLimit, "too many tokens wait on the route"),
-        SubmitOutcome::Refused => refuse(Kind::PlatformUnavailable, "the platform is away"),
+        SubmitOutcome::Full => retry_later(Kind::CallerLimit, "too many tokens wait on the route"),
+        SubmitOutcome::Refused => retry_later(Kind::PlatformUnavailable, "the platform is away"),
         SubmitOutcome::Unknown => text_response(502, "nobody can say whether the job is kept"),
         SubmitOutcome::Malformed => text_response(400, "the submission can't be understood"),
         SubmitOutcome::TooLong => text_response(413, "the platform can't keep an item that long"),
@@ -174,13 +174,13 @@
         slog::info!(node.log, "submission exceeds the token limit";
             "job" => id, "waiting" => waiting,
             "tokens" => job.tokens(), "most" => terms.waiting_tokens);
-        return is_stored(node, id).await;
+        return check_stored(node, id).await;
     }
     create(node, job, until).await
 }
 
 /// A job that exceeds the limit now may have been accepted earlier.
-async fn is_stored(node: &Rc<Node>, id: &str) -> SubmitOutcome {
+async fn check_stored(node: &Rc<Node>, id: &str) -> SubmitOutcome {
     match node.store.get(CallReason::Submission, job::KIND, id).await {
         Ok(Some(_)) => SubmitOutcome::Accepted,
         Ok(None) => SubmitOutcome::Full,
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -45,7 +45,7 @@
 
 /// Takes over jobs without a holder until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
-    let began = clock::now();
+    let started_at = clock::now();
     let mut absences: HashMap<JobId, Absence> = HashMap::new();
     loop {
         tokio::select! {
@@ -56,7 +56,7 @@
         if node.is_stopping() || node.store.is_backing_off(now) {
             continue;
         }
-        let is_warmed_up = now >= began + MEMBERSHIP_WARM_UP;
+        let is_warmed_up = now >= started_at + MEMBERSHIP_WARM_UP;
         for id in due_jobs(&node, &mut absences, is_warmed_up, now) {
             take_over(&node, &id, Handoff::default()).await;
         }
@@ -135,9 +135,9 @@
         return false;
     }
     let members = node.members.borrow();
-    let is_seen =
+    let is_reachable =
         |member: &Member| member.data_centre == data_centre && member.state == State::Alive;
-    !members.workers().any(is_seen)
+    !members.workers().any(is_reachable)
 }
 
 /// Hands a job off to another instance, or takes it over if no other does and this one
@@ -186,7 +186,7 @@
         is_first
     };
     if !is_first {
-        return; // The one under way takes it in.
+        return; // The takeover in progress merges it.
     }
     while let Err(error) = try_take_over(node, id, &Handoff::default()).await {
         slog::info!(node.log, "job not taken over"; "job" => id, "fault" => %error,
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -32,7 +32,7 @@
 /// The same for the configuration, which may take longer after an outage of the platform.
 const CONFIG_WATCH_TIMEOUT: Duration = Duration::from_millis(3_400);
 /// The same for orders to empty a machine, which aren't urgent.
-const RETIREMENTS_WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+const DECOMMISSIONS_WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 /// The same for quarantined requests, which instances also report to each other.
 const QUARANTINE_WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 /// Delay after a change, so that a series of changes costs few calls.
@@ -57,7 +57,7 @@
 enum Topic {
     Config,
     Targets,
-    Retirements,
+    Decommissions,
     Quarantine,
 }
 
@@ -66,29 +66,29 @@
         match self {
             Topic::Config => config::KIND,
             Topic::Targets => target::KIND,
-            Topic::Retirements => decommission::KIND,
+            Topic::Decommissions => decommission::KIND,
             Topic::Quarantine => platform::quarantine::KIND,
         }
     }
 
-    fn longest_wait(self) -> Duration {
+    fn watch_timeout(self) -> Duration {
         match self {
             Topic::Config => CONFIG_WATCH_TIMEOUT,
             Topic::Targets => TARGETS_WATCH_TIMEOUT,
-            Topic::Retirements => RETIREMENTS_WATCH_TIMEOUT,
+            Topic::Decommissions => DECOMMISSIONS_WATCH_TIMEOUT,
             Topic::Quarantine => QUARANTINE_WATCH_TIMEOUT,
         }
     }
 
     /// Whether one instance watches for all data centres.
     fn is_global(self) -> bool {
-        self == Topic::Retirements
+        self == Topic::Decommissions
     }
 }
 
 /// Starts watching all topics, until `stop`.
 pub fn start(node: &Rc<Node>, stop: &CancellationToken) {
-    let topics = [Topic::Config, Topic::Targets, Topic::Retirements, Topic::Quarantine];
+    let topics = [Topic::Config, Topic::Targets, Topic::Decommissions, Topic::Quarantine];
     for topic in topics {
         spawn_local(watch_topic(node.clone(), topic, stop.clone()));
     }
@@ -132,7 +132,8 @@
         let started_at = clock::now();
         let result = tokio::select! {
             result = list_or_watch(&node, topic, revision) => result,
-            () = node.store.disconnected() => Err(StoreError::OutcomeUnknown(String::from("probe failed"))),
+            () = node.store.disconnected() =>
+                Err(StoreError::OutcomeUnknown(String::from("probe failed"))),
             () = role.lost() => continue,
             () = node.resumed.notified() => {
                 revision = None;
@@ -237,7 +238,7 @@
 
 /// Milliseconds since the platform last responded to this instance.
 fn ms_since_response(node: &Node) -> Option<u64> {
-    node.store.silence(clock::now()).map(|time| time.as_millis() as u64)
+    node.store.idle_time(clock::now()).map(|time| time.as_millis() as u64)
 }
 
 /// Lists or watches once and returns the revision to continue from.
@@ -256,7 +257,7 @@
         on_list(node, topic, listing).await?;
         return Ok(revision);
     };
-    let wait = topic.longest_wait();
+    let wait = topic.watch_timeout();
     node.store.count_call(CallReason::Watch);
     let watch = store.watch(topic.kind(), revision, wait);
     let changes = tokio::time::timeout(wait + PROBE_TIMEOUT, watch).await.unwrap_or_else(|_| {
@@ -267,9 +268,9 @@
     let is_unchanged = changes.changes.is_empty() && changes.undecodable.is_empty();
     let revision = changes.revision;
     match topic {
-        Topic::Retirements => {
+        Topic::Decommissions => {
             for change in changes.changes.into_iter().filter(|change| !change.removed) {
-                retire(node, &change.object).await?;
+                complete_decommission(node, &change.object).await?;
             }
         }
         Topic::Config => {
@@ -292,9 +293,9 @@
 async fn on_list(node: &Rc<Node>, topic: Topic, listing: Listing) -> Result<(), StoreError> {
     let objects = &listing.objects;
     match topic {
-        Topic::Retirements => {
+        Topic::Decommissions => {
             for object in objects {
-                retire(node, object).await?;
+                complete_decommission(node, object).await?;
             }
         }
         Topic::Config => {
@@ -310,7 +311,7 @@
 }
 
 /// Reports a machine as empty: gateways keep nothing on it.
-async fn retire(node: &Rc<Node>, object: &Object) -> Result<(), StoreError> {
+async fn complete_decommission(node: &Rc<Node>, object: &Object) -> Result<(), StoreError> {
     if decommission::Status::is_complete(object.status.get()) {
         return Ok(());
     }
