--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,6 +1,6 @@
 //! Where the present time enters; everything else takes it as an argument.
 
-pub use transport::clock::{asleep, now, pretend, since};
+pub use transport::clock::{now, simulate_suspension, since, suspended_for};
 
 use protocol::Millis;
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -49,7 +49,7 @@
 }
 
 async fn serve_all(settings: Settings, file: &Path, log: Logger) -> anyhow::Result<()> {
-    settings.suspension_file.iter().for_each(|file| clock::pretend(file.clone()));
+    settings.suspension_file.iter().for_each(|file| clock::simulate_suspension(file.clone()));
     let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
     let mut reload = signal(SignalKind::hangup()).context("SIGHUP")?;
     let front = bind(settings.front_address)?;
--- a/crates/daemon/src/gateway/suspension.rs
+++ b/crates/daemon/src/gateway/suspension.rs
@@ -31,7 +31,7 @@
 /// Whoever decides by how long others have been silent looks first: the machine may have
 /// woken in this moment, and have heard nobody because it slept.
 pub fn check(node: &Rc<Node>) {
-    let total = clock::asleep();
+    let total = clock::suspended_for();
     let last = total.saturating_sub(node.suspended_for.get());
     if last < MIN_SUSPENSION {
         return;
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -63,14 +63,14 @@
 
 /// How long the machine was suspended since the first use of this clock, to a few
 /// microseconds.
-pub fn asleep() -> Duration {
+pub fn suspended_for() -> Duration {
     let origin = origin();
     let awake = origin.steady.elapsed();
     counting().saturating_sub(origin.counting).saturating_sub(awake)
 }
 
 /// Has the clock run ahead by what `file` says, for tests; the first call counts.
-pub fn pretend(file: PathBuf) {
+pub fn simulate_suspension(file: PathBuf) {
     PRETENDED.get_or_init(|| Pretended { file, known: Mutex::new(None) });
 }
 
--- a/crates/transport/tests/clock.rs
+++ b/crates/transport/tests/clock.rs
@@ -8,7 +8,7 @@
 fn the_clock_counts_what_was_slept_and_never_runs_back() {
     let file = std::env::temp_dir().join(format!("gatespool-clock-{}", std::process::id()));
     std::fs::write(&file, "0").expect("a file");
-    clock::pretend(file.clone());
+    clock::simulate_suspension(file.clone());
     let (steady, counting) = (Instant::now(), clock::now());
     let mut last = counting;
     for _ in 0..1_000 {
