--- a/crates/daemon/src/front/admin.rs
+++ b/crates/daemon/src/front/admin.rs
@@ -33,7 +33,7 @@
 /// Why it isn't accepted.
 pub async fn apply<B: BodyStream>(front: &Front, mut body: B) -> Result<Response, Error> {
     check_admin(front)?;
-    let body = http::read(&mut body, BODY_LIMIT, BODY_WAIT).await?;
+    let body = http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await?;
     let offer: Offer = serde_json::from_slice(&body)
         .map_err(|error| Error::new(Kind::Malformed, error.to_string()))?;
     let Offer { revision, author, change } = offer;
--- a/crates/daemon/src/front/call.rs
+++ b/crates/daemon/src/front/call.rs
@@ -3,7 +3,7 @@
 use crate::clock;
 use protocol::{Error, Kind, Millis, header};
 use std::time::{Duration, Instant};
-use transport::http::Head;
+use transport::http::RequestHead;
 use xxhash_rust::xxh3::Xxh3Default;
 
 /// Longest deadline that a caller may ask for.
@@ -62,7 +62,7 @@
     ///
     /// `Malformed`, with the header at fault.
     pub fn read(
-        head: &Head,
+        head: &RequestHead,
         scope: &str,
         body: &[u8],
         default: Duration,
@@ -97,7 +97,7 @@
     }
 }
 
-fn read_key(head: &Head, scope: &str, body: &[u8]) -> Result<Option<Key>, Error> {
+fn read_key(head: &RequestHead, scope: &str, body: &[u8]) -> Result<Option<Key>, Error> {
     let key = head.header(header::IDEMPOTENCY_KEY);
     if key.is_empty() {
         return Ok(None);
--- a/crates/daemon/src/front/chat.rs
+++ b/crates/daemon/src/front/chat.rs
@@ -17,7 +17,7 @@
 use state::record::StoredOutcome;
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
-use transport::http::{self, BodyStream, Head, Response};
+use transport::http::{self, BodyStream, RequestHead, Response};
 use transport::target::Piece;
 
 /// Events that may wait for a slow caller.
@@ -30,13 +30,13 @@
 /// The refusal or failure, when no part of the answer was given.
 pub async fn call<B: BodyStream>(
     front: &Front,
-    head: &Head,
+    head: &RequestHead,
     mut body: B,
     running: Running,
 ) -> Result<Response, Error> {
     let arrived = Instant::now();
     let settings = &front.shared.settings;
-    let body = http::read(&mut body, settings.body_limit, settings.body_timeout).await?;
+    let body = http::read_body(&mut body, settings.body_limit, settings.body_timeout).await?;
     let request: Request = serde_json::from_slice(&body)
         .map_err(|error| Error::new(Kind::Malformed, format!("body: {error}")))?;
     let (service, wanted) = parse_model(&request);
@@ -176,7 +176,7 @@
         }
         let mut response = http::json(200, &completion(&self.terms, &self.service, &outcome));
         set_recorded(&mut response, recorded.as_ref());
-        http::set(&mut response, header::TARGET, self.answer.target());
+        http::set_header(&mut response, header::TARGET, self.answer.target());
         Ok(response)
     }
 
@@ -199,7 +199,7 @@
         let target = self.answer.target().to_owned();
         tokio::spawn(self.feed(first, pieces));
         let mut response = http::stream(200, "text/event-stream", receiver);
-        http::set(&mut response, header::TARGET, &target);
+        http::set_header(&mut response, header::TARGET, &target);
         response
     }
 
@@ -303,7 +303,7 @@
         Some(Recorded::Later) => "later",
         Some(Recorded::Now | Recorded::Earlier(_)) => "now",
     };
-    http::set(response, header::RECORDED, value);
+    http::set_header(response, header::RECORDED, value);
 }
 
 /// Gives a kept outcome again, in the form the caller asked for.
@@ -325,8 +325,8 @@
     } else {
         http::json(200, &completion(terms, service, &outcome))
     };
-    http::set(&mut response, header::RECORDED, "now");
-    http::set(&mut response, header::REPLAYED, "true");
+    http::set_header(&mut response, header::RECORDED, "now");
+    http::set_header(&mut response, header::REPLAYED, "true");
     Ok(response)
 }
 
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -15,7 +15,7 @@
 use state::part::{ChunkItems, ChunkProgress, ResultPart};
 use state::record::JobSpec;
 use std::sync::Arc;
-use transport::http::{self, BodyStream, Head, Lines, Response};
+use transport::http::{self, BodyStream, LineReader, RequestHead, Response};
 use xxhash_rust::xxh3::{Xxh3Default, xxh3_128};
 
 /// Most items of a job.
@@ -33,7 +33,11 @@
 /// # Errors
 ///
 /// The refusal; the job is then not accepted, unless it says `undetermined`.
-pub async fn submit<B: BodyStream>(front: &Front, head: &Head, body: B) -> Result<Response, Error> {
+pub async fn submit<B: BodyStream>(
+    front: &Front,
+    head: &RequestHead,
+    body: B,
+) -> Result<Response, Error> {
     let shared = &front.shared;
     let key = head.header(header::IDEMPOTENCY_KEY);
     if key.is_empty() {
@@ -48,7 +52,7 @@
     {
         return Err(error.clone());
     }
-    let lines = Lines::new(body, LONGEST_LINE, shared.settings.body_timeout);
+    let lines = LineReader::new(body, LONGEST_LINE, shared.settings.body_timeout);
     let mut upload = Upload::new(shared.clone(), job.clone(), known.is_ok());
     let spec = upload.read(lines).await?;
     match shared.shards.submit(shared, Command::Accept(spec.clone())).await {
@@ -110,7 +114,7 @@
         }
     }
 
-    async fn read<B: BodyStream>(&mut self, mut lines: Lines<B>) -> Result<JobSpec, Error> {
+    async fn read<B: BodyStream>(&mut self, mut lines: LineReader<B>) -> Result<JobSpec, Error> {
         let first = lines.next().await?;
         let first = first.ok_or_else(|| Error::new(Kind::Malformed, "the body is empty"))?;
         let header: JobHeader = parse(&first, 1)?;
@@ -253,7 +257,7 @@
 /// # Errors
 ///
 /// `NotFound`, `Malformed`, or why the platform can't be read.
-pub async fn results(front: &Front, head: &Head, job: &str) -> Result<Response, Error> {
+pub async fn results(front: &Front, head: &RequestHead, job: &str) -> Result<Response, Error> {
     let shared = &front.shared;
     let from = number(head, "from")?.unwrap_or(0);
     let most = number(head, "limit")?.unwrap_or(PAGE).clamp(1, PAGE);
@@ -302,7 +306,7 @@
     serde_json::from_slice(&found.bytes).map_err(|error| away(error.to_string()))
 }
 
-fn number(head: &Head, name: &str) -> Result<Option<u64>, Error> {
+fn number(head: &RequestHead, name: &str) -> Result<Option<u64>, Error> {
     let parse = |text: &str| {
         text.parse()
             .map_err(|_| Error::new(Kind::Malformed, format!("`{name}`: expected a number")))
--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Instant;
-use transport::http::{self, BodyStream, Head, Response, Service};
+use transport::http::{self, BodyStream, RequestHead, Response, Service};
 use transport::target::Client;
 
 mod admin;
@@ -48,7 +48,7 @@
 }
 
 impl Service for Front {
-    async fn call<B: BodyStream>(&self, head: Head, body: B) -> Response {
+    async fn call<B: BodyStream>(&self, head: RequestHead, body: B) -> Response {
         let running = Running::new(&self.shared);
         let method = head.method.clone();
         let path = head.path.clone();
@@ -81,7 +81,7 @@
 }
 
 impl Front {
-    async fn read(&self, head: &Head, segments: &[&str]) -> Result<Response, Error> {
+    async fn read(&self, head: &RequestHead, segments: &[&str]) -> Result<Response, Error> {
         match segments {
             ["models"] => Ok(admin::models(self)),
             ["jobs", job] => jobs::status(self, job).await,
@@ -99,7 +99,7 @@
     /// Runs a call that brings work, if this instance may take it.
     async fn work<F: Future<Output = Result<Response, Error>>>(
         &self,
-        head: &Head,
+        head: &RequestHead,
         call: impl FnOnce() -> F,
     ) -> Result<Response, Error> {
         if self.shared.refusing.load(Ordering::Relaxed) {
--- a/crates/daemon/src/front/plain.rs
+++ b/crates/daemon/src/front/plain.rs
@@ -10,7 +10,7 @@
 use protocol::{Error, Kind, header};
 use state::record::{Body, StoredOutcome};
 use std::time::{Duration, Instant};
-use transport::http::{self, BodyStream, Head, Response};
+use transport::http::{self, BodyStream, RequestHead, Response};
 use transport::target::{AttemptError, Meta, Plain};
 
 const MOST_TRIES: u32 = 3;
@@ -22,11 +22,11 @@
 /// The refusal or failure.
 pub async fn call<B: BodyStream>(
     front: &Front,
-    head: &Head,
+    head: &RequestHead,
     mut body: B,
 ) -> Result<Response, Error> {
     let settings = &front.shared.settings;
-    let body = http::read(&mut body, settings.body_limit, settings.body_timeout).await?;
+    let body = http::read_body(&mut body, settings.body_limit, settings.body_timeout).await?;
     let (service, repeatable, deadline) = {
         let view = front.shared.view();
         let bound = view.plain(&head.path);
@@ -53,7 +53,7 @@
 
 async fn run_keyed(
     front: Front,
-    head: Head,
+    head: RequestHead,
     service: String,
     terms: Terms,
     key: Key,
@@ -83,13 +83,13 @@
     }
     let mut response = http::bytes(status.as_u16(), &kind, body);
     let value = if recorded == Recorded::Later { "later" } else { "now" };
-    http::set(&mut response, header::RECORDED, value);
+    http::set_header(&mut response, header::RECORDED, value);
     Ok(response)
 }
 
 async fn run(
     front: &Front,
-    head: &Head,
+    head: &RequestHead,
     service: &str,
     terms: &Terms,
     body: Bytes,
@@ -102,7 +102,7 @@
 /// Calls targets until one answers; the error says whether anything was sent.
 async fn exchange(
     front: &Front,
-    head: &Head,
+    head: &RequestHead,
     service: &str,
     terms: &Terms,
     body: Bytes,
@@ -167,8 +167,8 @@
         StoredOutcome::Plain { status, content_type, body } => {
             let body = Bytes::from(body.into_bytes());
             let mut response = http::bytes(status, &content_type, body);
-            http::set(&mut response, header::RECORDED, "now");
-            http::set(&mut response, header::REPLAYED, "true");
+            http::set_header(&mut response, header::RECORDED, "now");
+            http::set_header(&mut response, header::REPLAYED, "true");
             Ok(response)
         }
         StoredOutcome::Failed(error) => Err(error),
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
-use transport::http::{self, BodyStream, Head, Response, Service};
+use transport::http::{self, BodyStream, RequestHead, Response, Service};
 use transport::target::{LEAVING, Order, Report};
 
 mod events;
@@ -150,8 +150,8 @@
         if known.is_some() { self.config.prefill / 4 } else { self.config.prefill }
     }
 
-    async fn chat<B: BodyStream>(&self, head: Head, mut body: B) -> Response {
-        let request = match http::read(&mut body, BODY_LIMIT, BODY_WAIT).await {
+    async fn chat<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
+        let request = match http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await {
             Ok(bytes) => serde_json::from_slice::<chat::Request>(&bytes),
             Err(error) => return http::error(&error),
         };
@@ -187,12 +187,12 @@
         }
         let mut response = http::error(&Error::new(Kind::Draining, "no new work"));
         if leaving {
-            http::set(&mut response, LEAVING, "true");
+            http::set_header(&mut response, LEAVING, "true");
         }
         Some(response)
     }
 
-    fn note_failed(&self, head: &Head, prompt: &str) {
+    fn note_failed(&self, head: &RequestHead, prompt: &str) {
         let mut state = self.lock();
         let run = state.run(head, prompt, 0);
         state.runs.push(run);
@@ -200,7 +200,7 @@
 
     async fn generate(
         self,
-        head: Head,
+        head: RequestHead,
         request: chat::Request,
         prompt: String,
         pieces: mpsc::Sender<Result<Bytes, String>>,
@@ -272,8 +272,8 @@
         is_cut
     }
 
-    async fn order<B: BodyStream>(&self, head: Head, mut body: B) -> Response {
-        let order = match http::read(&mut body, BODY_LIMIT, BODY_WAIT).await {
+    async fn order<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
+        let order = match http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await {
             Ok(bytes) => serde_json::from_slice::<Order>(&bytes),
             Err(error) => return http::error(&error),
         };
@@ -332,7 +332,7 @@
         }
     }
 
-    fn run(&mut self, head: &Head, prompt: &str, arrived: u64) -> Run {
+    fn run(&mut self, head: &RequestHead, prompt: &str, arrived: u64) -> Run {
         self.events += 1;
         Run {
             arrived,
@@ -349,7 +349,7 @@
 }
 
 impl Service for Engine {
-    async fn call<B: BodyStream>(&self, head: Head, mut body: B) -> Response {
+    async fn call<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
         match (&head.method, head.path.as_str()) {
             (&Method::POST, "/v1/chat/completions") => self.chat(head, body).await,
             (&Method::POST, "/order") => self.order(head, body).await,
@@ -361,7 +361,8 @@
             }
             (&Method::GET, "/record") => http::json(200, &self.runs()),
             (&Method::POST, "/control") => {
-                let bytes = http::read(&mut body, BODY_LIMIT, BODY_WAIT).await.unwrap_or_default();
+                let bytes =
+                    http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await.unwrap_or_default();
                 match serde_json::from_slice(&bytes) {
                     Ok(control) => {
                         self.control(control);
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
-use transport::http::{self, BodyStream, Head, Response, Service};
+use transport::http::{self, BodyStream, RequestHead, Response, Service};
 
 const BODY_LIMIT: usize = 8 << 20;
 const BODY_WAIT: Duration = Duration::from_secs(10);
@@ -246,7 +246,7 @@
         response
     }
 
-    async fn answer(&self, head: &Head, body: &[u8]) -> Response {
+    async fn answer(&self, head: &RequestHead, body: &[u8]) -> Response {
         let segments = head.segments();
         let Some(("objects", path)) = segments.split_first().map(|(first, path)| (*first, path))
         else {
@@ -306,8 +306,8 @@
 }
 
 impl Service for Objects {
-    async fn call<B: BodyStream>(&self, head: Head, mut body: B) -> Response {
-        let Ok(body) = http::read(&mut body, BODY_LIMIT, BODY_WAIT).await else {
+    async fn call<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
+        let Ok(body) = http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await else {
             return http::bytes(400, "text/plain", Bytes::new());
         };
         let faults = self.lock().faults.clone();
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use transport::http::{self, BodyStream, Head, Response, Service};
+use transport::http::{self, BodyStream, RequestHead, Response, Service};
 use transport::target::Report;
 
 const BODY_LIMIT: usize = 1 << 20;
@@ -59,14 +59,14 @@
 }
 
 impl Service for Plain {
-    async fn call<B: BodyStream>(&self, head: Head, mut body: B) -> Response {
+    async fn call<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
         if head.method == Method::GET && head.path == "/load" {
             return http::json(200, &Report::default());
         }
         if head.method == Method::GET && head.path == "/record" {
             return http::json(200, &self.calls());
         }
-        let bytes = http::read(&mut body, BODY_LIMIT, BODY_WAIT).await.unwrap_or_default();
+        let bytes = http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await.unwrap_or_default();
         let (count, lost, delay) = {
             let mut state = self.lock();
             state.calls.push(Call {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
-use transport::http::{self, BodyStream, Head, Response, Service};
+use transport::http::{self, BodyStream, RequestHead, Response, Service};
 
 const BODY_LIMIT: usize = 64 << 10;
 const BODY_WAIT: Duration = Duration::from_secs(10);
@@ -115,7 +115,7 @@
     }
 
     async fn control_call<B: BodyStream>(&self, mut body: B) -> Response {
-        let bytes = match http::read(&mut body, BODY_LIMIT, BODY_WAIT).await {
+        let bytes = match http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await {
             Ok(bytes) => bytes,
             Err(error) => return http::error(&error),
         };
@@ -130,7 +130,7 @@
 }
 
 impl Service for Platform {
-    async fn call<B: BodyStream>(&self, head: Head, body: B) -> Response {
+    async fn call<B: BodyStream>(&self, head: RequestHead, body: B) -> Response {
         match (&head.method, head.path.as_str()) {
             (&Method::POST, "/control") => self.control_call(body).await,
             (&Method::GET, "/counts") => http::json(200, &self.counts()),
--- a/crates/standin/src/runner.rs
+++ b/crates/standin/src/runner.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, mpsc};
-use transport::http::{self, BodyStream, Head, Response, Service};
+use transport::http::{self, BodyStream, RequestHead, Response, Service};
 
 const BODY_LIMIT: usize = 8 << 20;
 const BODY_WAIT: Duration = Duration::from_secs(10);
@@ -162,23 +162,23 @@
         data.join("\n")
     }
 
-    fn turn_away(&self, head: &Head) -> Option<Response> {
+    fn turn_away(&self, head: &RequestHead) -> Option<Response> {
         let expected = head.header(EXPECTED);
         if !expected.is_empty() && expected != self.config.id {
             return Some(http::bytes(421, "text/plain", Bytes::new()));
         }
         if self.lock().faults.full {
             let mut response = http::bytes(503, "text/plain", Bytes::new());
-            http::set(&mut response, NOT_RUN, "1");
+            http::set_header(&mut response, NOT_RUN, "1");
             return Some(response);
         }
         None
     }
 
-    async fn run(&self, head: &Head) -> Response {
+    async fn run(&self, head: &RequestHead) -> Response {
         let Ok(place) = self.places.clone().try_acquire_owned() else {
             let mut response = http::bytes(503, "text/plain", Bytes::new());
-            http::set(&mut response, NOT_RUN, "1");
+            http::set_header(&mut response, NOT_RUN, "1");
             return response;
         };
         let arrived = Instant::now();
@@ -223,8 +223,8 @@
                 http::stream(200, "text/event-stream", pieces)
             }
         };
-        http::set(&mut response, ID, echoed);
-        http::set(&mut response, STAMP, &format!("{}-{id}", self.config.id));
+        http::set_header(&mut response, ID, echoed);
+        http::set_header(&mut response, STAMP, &format!("{}-{id}", self.config.id));
         response
     }
 
@@ -262,8 +262,8 @@
 }
 
 impl Service for Runner {
-    async fn call<B: BodyStream>(&self, head: Head, mut body: B) -> Response {
-        if http::read(&mut body, BODY_LIMIT, BODY_WAIT).await.is_err() {
+    async fn call<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
+        if http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await.is_err() {
             return http::bytes(400, "text/plain", Bytes::new());
         }
         if self.lock().faults.silent {
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -25,7 +25,7 @@
 
 /// A request without its body.
 #[derive(Clone, Debug)]
-pub struct Head {
+pub struct RequestHead {
     /// Method.
     pub method: Method,
     /// Path.
@@ -36,7 +36,7 @@
     pub headers: HeaderMap,
 }
 
-impl Head {
+impl RequestHead {
     /// A header as text; empty when it is absent or no text.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
@@ -62,7 +62,11 @@
 /// What answers requests.
 pub trait Service: Clone + Send + Sync + 'static {
     /// Answers one request.
-    fn call<B: BodyStream>(&self, head: Head, body: B) -> impl Future<Output = Response> + Send;
+    fn call<B: BodyStream>(
+        &self,
+        head: RequestHead,
+        body: B,
+    ) -> impl Future<Output = Response> + Send;
 }
 
 /// A listening socket. Small events must leave at once, so the sockets that it
@@ -89,7 +93,7 @@
         .and(warp::body::stream())
         .then(move |method, path: warp::path::FullPath, query, headers, body| {
             let service = service.clone();
-            let head = Head { method, path: path.as_str().to_owned(), query, headers };
+            let head = RequestHead { method, path: path.as_str().to_owned(), query, headers };
             async move { Ok::<_, Infallible>(answer(service, head, body).await) }
         })
         .map(|result: Result<Response, Infallible>| match result {
@@ -99,7 +103,7 @@
     warp::serve(routes).incoming(listener).graceful(stop.cancelled_owned()).run().await;
 }
 
-async fn answer<S, B, D>(service: S, head: Head, body: B) -> Response
+async fn answer<S, B, D>(service: S, head: RequestHead, body: B) -> Response
 where
     S: Service,
     B: Stream<Item = Result<D, warp::Error>> + Send,
@@ -118,7 +122,7 @@
 /// # Errors
 ///
 /// `TooLarge`, `SlowCaller` or `Malformed`.
-pub async fn read<B: BodyStream>(
+pub async fn read_body<B: BodyStream>(
     body: &mut B,
     limit: usize,
     wait: Duration,
@@ -146,7 +150,7 @@
 }
 
 /// Reads a body line by line, in bounded memory.
-pub struct Lines<B> {
+pub struct LineReader<B> {
     body: B,
     buffer: BytesMut,
     limit: usize,
@@ -154,10 +158,10 @@
     ended: bool,
 }
 
-impl<B: BodyStream> Lines<B> {
+impl<B: BodyStream> LineReader<B> {
     /// Lines of at most `limit` bytes; each piece must come within `wait`.
-    pub fn new(body: B, limit: usize, wait: Duration) -> Lines<B> {
-        Lines { body, buffer: BytesMut::new(), limit, wait, ended: false }
+    pub fn new(body: B, limit: usize, wait: Duration) -> LineReader<B> {
+        LineReader { body, buffer: BytesMut::new(), limit, wait, ended: false }
     }
 
     /// The next line that isn't empty; `None` at the end.
@@ -213,7 +217,7 @@
 pub fn bytes(status: u16, kind: &str, body: Bytes) -> Response {
     let mut response = Response::new(body.into());
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
-    set(&mut response, CONTENT_TYPE.as_str(), kind);
+    set_header(&mut response, CONTENT_TYPE.as_str(), kind);
     response
 }
 
@@ -221,13 +225,13 @@
 pub fn error(error: &Error) -> Response {
     let mut response = json(error.kind.properties().status, &Body::from(error));
     if let Some(seconds) = error.retry_after_seconds() {
-        set(&mut response, RETRY_AFTER.as_str(), &seconds.to_string());
+        set_header(&mut response, RETRY_AFTER.as_str(), &seconds.to_string());
     }
     response
 }
 
 /// Sets a header; one that can't be sent is left out.
-pub fn set(response: &mut Response, name: &str, value: &str) {
+pub fn set_header(response: &mut Response, name: &str, value: &str) {
     let name = hyper::header::HeaderName::from_bytes(name.as_bytes());
     if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
         response.headers_mut().insert(name, value);
@@ -235,9 +239,9 @@
 }
 
 /// A body that comes through a bounded channel.
-pub struct Pieces(mpsc::Receiver<Result<Bytes, String>>);
+pub struct ChannelBody(mpsc::Receiver<Result<Bytes, String>>);
 
-impl Stream for Pieces {
+impl Stream for ChannelBody {
     type Item = Result<Bytes, String>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
@@ -247,8 +251,8 @@
 
 /// An answer whose body is streamed.
 pub fn stream(status: u16, kind: &str, pieces: mpsc::Receiver<Result<Bytes, String>>) -> Response {
-    let mut response = warp::reply::Reply::into_response(warp::reply::stream(Pieces(pieces)));
+    let mut response = warp::reply::Reply::into_response(warp::reply::stream(ChannelBody(pieces)));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
-    set(&mut response, CONTENT_TYPE.as_str(), kind);
+    set_header(&mut response, CONTENT_TYPE.as_str(), kind);
     response
 }
