--- a/crates/daemon/src/batch/item.rs
+++ b/crates/daemon/src/batch/item.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
-use transport::target::{AttemptError, Client, Meta, Piece};
+use transport::target::{AttemptError, AttemptMeta, Client, StreamItem};
 
 /// Longest time of one item on one target.
 const LONGEST: Duration = Duration::from_secs(600);
@@ -33,11 +33,11 @@
 pub async fn run(run: Run, waiting: Waiting) -> End {
     let mut partial = waiting.partial.clone();
     let request = request(&run, &waiting);
-    let meta = Meta {
+    let meta = AttemptMeta {
         attempt: run.attempt,
         key: run.key.clone(),
         priority: u8::from(!run.as_online),
-        left: LONGEST,
+        timeout: LONGEST,
     };
     let started = tokio::select! {
         started = run.client.chat(run.to, &request, &meta) => started,
@@ -53,11 +53,11 @@
             () = run.park.cancelled() => return parked(&waiting, partial),
         };
         match piece {
-            Ok(Piece::Token(text)) => {
+            Ok(StreamItem::Token(text)) => {
                 partial.text.push_str(&text);
                 partial.tokens += 1;
             }
-            Ok(Piece::End(_)) => return End::Whole(partial.text),
+            Ok(StreamItem::End(_)) => return End::Whole(partial.text),
             Err(fault) => return failed(&fault),
         }
     }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -19,7 +19,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 use tokio_util::sync::CancellationToken;
-use transport::target::{Client, Report};
+use transport::target::{Client, LoadReport};
 
 /// How long a watch is held.
 const WATCH: Duration = Duration::from_secs(20);
@@ -331,18 +331,18 @@
 
 async fn ask(shared: &Shared, client: &Client, node: &Node) {
     let sent = Instant::now();
-    match client.report(node.target.address, REPORT_TIMEOUT).await {
+    match client.load_report(node.target.address, REPORT_TIMEOUT).await {
         Ok(report) => on_report(shared, node, report, sent),
         Err(fault) if fault.failure == Failure::NotSent => {
             lock(&node.state).health.on_failure(Instant::now());
         }
-        Err(fault) if fault.is_silence => node.on_silence(Instant::now()),
+        Err(fault) if fault.is_timeout => node.on_silence(Instant::now()),
         // It answers, if not with a report: a plain service need not have one.
         Err(_) => {}
     }
 }
 
-fn on_report(shared: &Shared, node: &Node, report: Report, at: Instant) {
+fn on_report(shared: &Shared, node: &Node, report: LoadReport, at: Instant) {
     let name = &node.target.name;
     let now = clock::millis();
     let word = lock(&shared.board).notice(name, Source::Target);
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -4,7 +4,7 @@
 use coordination::ejection::{Availability, Health};
 use coordination::hash;
 use coordination::limit::ConcurrencyLimit;
-use coordination::load::{Estimate, Report as LoadReport};
+use coordination::load::{self, Estimate};
 use coordination::route::{self, Candidate, Policy};
 use protocol::config::{Document, Protocol, Service, Target};
 use protocol::{DataCentreId, ServiceId, TargetId};
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, watch};
-use transport::target::Report;
+use transport::target::LoadReport;
 
 /// Locks a mutex; a panic elsewhere leaves plain data that is still usable.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -54,7 +54,7 @@
     /// Online requests of other instances, where this one decides on batch.
     pub pressure: PeerLoad,
     /// Its last report.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// A target.
@@ -116,11 +116,11 @@
     }
 
     /// Takes in a report.
-    pub fn on_report(&self, report: Report, now: Instant) {
+    pub fn on_report(&self, report: LoadReport, now: Instant) {
         self.missed.store(0, Ordering::Relaxed);
         self.silent.send_replace(false);
         let mut state = lock(&self.state);
-        state.load.on_report(LoadReport { online: report.online, batch: report.batch, at: now });
+        state.load.on_report(load::Report { online: report.online, batch: report.batch, at: now });
         state.report = Some(report);
     }
 
--- a/crates/daemon/src/front/answer.rs
+++ b/crates/daemon/src/front/answer.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use transport::target::{AttemptError, Client, Meta, Piece, Stream};
+use transport::target::{AttemptError, AttemptMeta, Client, Stream, StreamItem};
 
 /// Most tries of one request.
 const MOST_TRIES: u32 = 4;
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// Why there will be no whole answer.
-    pub async fn next(&mut self) -> Result<Piece, Error> {
+    pub async fn next(&mut self) -> Result<StreamItem, Error> {
         loop {
             if self.stream.is_none() {
                 self.open().await?;
@@ -99,10 +99,10 @@
             let piece = tokio::time::timeout(left, unless_silent(hold, repeatable, stream.next()));
             match piece.await {
                 Err(_) => return Err(Error::new(Kind::TimedOut, "the answer took too long")),
-                Ok(Ok(Piece::Token(text))) => {
+                Ok(Ok(StreamItem::Token(text))) => {
                     self.text.push_str(&text);
                     self.tokens += 1;
-                    return Ok(Piece::Token(text));
+                    return Ok(StreamItem::Token(text));
                 }
                 Ok(Ok(end)) => {
                     hold.on_success();
@@ -111,7 +111,7 @@
                 }
                 Ok(Err(fault)) => {
                     if self.shared.settings.is_guard_disabled("whole") {
-                        return Ok(Piece::End("stop".into()));
+                        return Ok(StreamItem::End("stop".into()));
                     }
                     let hold = self.stream.take().map(|(hold, _)| hold);
                     self.on_fault(hold, &fault)?;
@@ -124,11 +124,11 @@
         let hold = self.hold().await?;
         let now = Instant::now();
         let left = self.terms.left(now);
-        let meta = Meta {
+        let meta = AttemptMeta {
             attempt: rand::random(),
             key: self.terms.key.as_ref().map_or(String::new(), |key| key.scoped.clone()),
             priority: u8::from(self.terms.class == Class::Batch),
-            left,
+            timeout: left,
         };
         self.request.stream = true;
         self.request.resume =
--- a/crates/daemon/src/front/chat.rs
+++ b/crates/daemon/src/front/chat.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 use transport::http::{self, BodyStream, RequestHead, Response};
-use transport::target::Piece;
+use transport::target::StreamItem;
 
 /// Events that may wait for a slow caller.
 const PIECES: usize = 32;
@@ -123,7 +123,7 @@
 impl Exchange {
     /// The first piece; after it the caller gets a part of the answer, before it
     /// a plain error.
-    async fn first(&mut self) -> Result<Piece, Error> {
+    async fn first(&mut self) -> Result<StreamItem, Error> {
         let first = self.answer.next().await;
         self.note(first.is_ok());
         match first {
@@ -158,10 +158,10 @@
         }
     }
 
-    async fn whole(mut self, first: Piece) -> Result<Response, Error> {
+    async fn whole(mut self, first: StreamItem) -> Result<Response, Error> {
         let mut piece = first;
         let finish = loop {
-            if let Piece::End(finish) = piece {
+            if let StreamItem::End(finish) = piece {
                 break finish;
             }
             piece = match self.answer.next().await {
@@ -194,7 +194,7 @@
         }
     }
 
-    fn stream(self, first: Piece) -> Response {
+    fn stream(self, first: StreamItem) -> Response {
         let (pieces, receiver) = mpsc::channel(PIECES);
         let target = self.answer.target().to_owned();
         tokio::spawn(self.feed(first, pieces));
@@ -205,14 +205,14 @@
 
     /// Sends events until the answer is whole. The closing event follows the
     /// durable outcome: what a caller saw end is what a resend reads back.
-    async fn feed(mut self, first: Piece, pieces: mpsc::Sender<Result<Bytes, String>>) {
+    async fn feed(mut self, first: StreamItem, pieces: mpsc::Sender<Result<Bytes, String>>) {
         let events = Events { pieces, id: id(&self.terms), service: self.service.clone() };
         let mut piece = first;
         events.send(Delta { role: Some("assistant".into()), content: None }, None).await;
         let finish = loop {
             match piece {
-                Piece::End(finish) => break finish,
-                Piece::Token(text) => {
+                StreamItem::End(finish) => break finish,
+                StreamItem::Token(text) => {
                     let heard = events.send(Delta { role: None, content: Some(text) }, None).await;
                     if !heard && self.terms.key.is_none() {
                         return;
--- a/crates/daemon/src/front/plain.rs
+++ b/crates/daemon/src/front/plain.rs
@@ -11,7 +11,7 @@
 use state::record::{Body, StoredOutcome};
 use std::time::{Duration, Instant};
 use transport::http::{self, BodyStream, RequestHead, Response};
-use transport::target::{AttemptError, Meta, Plain};
+use transport::target::{AttemptError, AttemptMeta, PlainCall};
 
 const MOST_TRIES: u32 = 3;
 
@@ -114,17 +114,18 @@
     } else {
         format!("{}?{}", head.path, head.query)
     };
-    let plain = Plain { method: head.method.clone(), path, headers: head.headers.clone(), body };
+    let plain =
+        PlainCall { method: head.method.clone(), path, headers: head.headers.clone(), body };
     for attempt in 1.. {
         let now = Instant::now();
         let Some(hold) = hold(front, service, &tried, now) else {
             return Err((Error::new(Kind::NoTarget, format!("no target of `{service}`")), sent));
         };
-        let meta = Meta {
+        let meta = AttemptMeta {
             attempt: rand::random(),
             key: terms.key.as_ref().map_or(String::new(), |key| key.scoped.clone()),
             priority: 0,
-            left: terms.left(now),
+            timeout: terms.left(now),
         };
         let fault = match front.client.plain(hold.node.target.address, plain.clone(), &meta).await {
             // A server's failure after it took in the call: it may have run.
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -18,7 +18,7 @@
 use state::progress::{Failure, Item, Outcome, PartialOutput};
 use std::rc::Rc;
 use std::time::Duration;
-use transport::event::Splitter;
+use transport::event::EventSplitter;
 use transport::upstream::{Exchange, SendError};
 
 /// Time without data after which a target counts as unresponsive. Leaves room for targets
@@ -209,7 +209,7 @@
 
 async fn read_events(exchange: &mut Exchange, partial: &mut PartialOutput) -> RunEnd {
     let interrupted = |error: &str| RunEnd::Stopped(LeaseOutcome::Interrupted, error.to_owned());
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     loop {
         let chunk = match tokio::time::timeout(IDLE_TIMEOUT, exchange.next()).await {
             Err(_) => return RunEnd::Stopped(LeaseOutcome::Unresponsive, String::from("idle")),
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -14,7 +14,7 @@
 use hyper::Response;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use transport::event::Splitter;
+use transport::event::EventSplitter;
 use transport::listen::{self, Body, Broken, Sender};
 use transport::upstream::Exchange;
 
@@ -139,7 +139,7 @@
     /// Forwards one target's response.
     async fn forward_response(&mut self, response: TargetResponse) -> StreamEnd {
         let TargetResponse { mut exchange, mut lease } = response;
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         self.stats = EventStats { began: Some(clock::now()), ..EventStats::default() };
         let end = self.forward_events(&mut exchange, &lease, &mut splitter).await;
         // Closes the connection unless the response is complete.
@@ -165,7 +165,7 @@
         &mut self,
         exchange: &mut Exchange,
         lease: &Lease,
-        splitter: &mut Splitter,
+        splitter: &mut EventSplitter,
     ) -> StreamEnd {
         let is_resumable = self.forward.route.resumable;
         let mut is_overdue = false;
@@ -217,7 +217,11 @@
 
     /// Complete events in the received data, without those already sent by an earlier
     /// target.
-    fn complete_events(&mut self, splitter: &mut Splitter, bytes: &[u8]) -> Result<Bytes, String> {
+    fn complete_events(
+        &mut self,
+        splitter: &mut EventSplitter,
+        bytes: &[u8],
+    ) -> Result<Bytes, String> {
         if !splitter.push(bytes) {
             return Err(String::from("event exceeds the size limit"));
         }
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -273,6 +273,7 @@
         return 0;
     };
     let others = bound.nodes.iter().filter(|other| other.id != node.id);
-    let serves = |report: &transport::target::Report| !report.busy && !report.version.is_empty();
+    let serves =
+        |report: &transport::target::LoadReport| !report.busy && !report.version.is_empty();
     others.filter(|other| lock(&other.state).report.as_ref().is_some_and(serves)).count()
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 use transport::http::{self, BodyStream, RequestHead, Response, Service};
-use transport::target::{LEAVING, Order, Report};
+use transport::target::{LEAVING, LoadReport, Order};
 
 mod events;
 mod slot;
@@ -33,7 +33,7 @@
     waiters: Vec<Waiter>,
     events: u64,
     runs: Vec<Run>,
-    reports: VecDeque<(Instant, Report)>,
+    reports: VecDeque<(Instant, LoadReport)>,
     prefixes: VecDeque<u64>,
     control: Control,
     fence: u64,
@@ -105,7 +105,7 @@
         self.lock().version.clone()
     }
 
-    fn report(&self) -> Report {
+    fn report(&self) -> LoadReport {
         let mut state = self.lock();
         let now = Instant::now();
         let current = state.current();
@@ -320,9 +320,9 @@
         self.running[0] + self.running[1]
     }
 
-    fn current(&self) -> Report {
+    fn current(&self) -> LoadReport {
         let waiting = |p| self.waiters.iter().filter(|w| w.priority == p).count() as u32;
-        Report {
+        LoadReport {
             online: self.running[0] + waiting(0),
             batch: self.running[1] + waiting(1),
             leaving: self.control.leaving == Some(true),
--- a/crates/standin/src/engine/events.rs
+++ b/crates/standin/src/engine/events.rs
@@ -24,7 +24,7 @@
 
 /// A stream's events joined to a whole answer.
 pub async fn collect(mut pieces: mpsc::Receiver<Result<Bytes, String>>) -> Response {
-    let mut parser = transport::sse::Parser::default();
+    let mut parser = transport::sse::DataParser::default();
     while let Some(Ok(bytes)) = pieces.recv().await {
         parser.push(&bytes);
     }
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use transport::http::{self, BodyStream, RequestHead, Response, Service};
-use transport::target::Report;
+use transport::target::LoadReport;
 
 const BODY_LIMIT: usize = 1 << 20;
 const BODY_WAIT: Duration = Duration::from_secs(10);
@@ -61,7 +61,7 @@
 impl Service for Plain {
     async fn call<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
         if head.method == Method::GET && head.path == "/load" {
-            return http::json(200, &Report::default());
+            return http::json(200, &LoadReport::default());
         }
         if head.method == Method::GET && head.path == "/record" {
             return http::json(200, &self.calls());
--- a/crates/transport/src/event.rs
+++ b/crates/transport/src/event.rs
@@ -35,12 +35,12 @@
 
 /// Splits bytes into events.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     buffer: BytesMut,
     looked: usize,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Takes in bytes; `false` when an event is longer than any may be.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
--- a/crates/transport/src/sse.rs
+++ b/crates/transport/src/sse.rs
@@ -7,12 +7,12 @@
 
 /// Splits bytes into the data of events.
 #[derive(Debug, Default)]
-pub struct Parser {
+pub struct DataParser {
     buffer: Vec<u8>,
     ready: VecDeque<String>,
 }
 
-impl Parser {
+impl DataParser {
     /// Takes in bytes; `false` when an event is longer than any may be.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
--- a/crates/transport/src/target.rs
+++ b/crates/transport/src/target.rs
@@ -1,7 +1,7 @@
 //! Calls to targets: model engines and plain services.
 
 use crate::partition::SimulatedPartition;
-use crate::sse::Parser;
+use crate::sse::DataParser;
 use bytes::Bytes;
 use coordination::retry::Failure;
 use http_body_util::{BodyExt, Full};
@@ -26,7 +26,7 @@
     /// Whether the target says that it is leaving.
     pub leaving: bool,
     /// Whether no answer came in time, rather than a bad one.
-    pub is_silence: bool,
+    pub is_timeout: bool,
     /// The reason.
     pub message: String,
 }
@@ -34,18 +34,18 @@
 impl AttemptError {
     /// A fault for the reason `message`.
     pub fn new(failure: Failure, message: impl Into<String>) -> AttemptError {
-        AttemptError { failure, leaving: false, is_silence: false, message: message.into() }
+        AttemptError { failure, leaving: false, is_timeout: false, message: message.into() }
     }
 
     fn silence(limit: Duration) -> AttemptError {
         let message = format!("no answer in {limit:?}");
-        AttemptError { is_silence: true, ..AttemptError::new(Failure::Unknown, message) }
+        AttemptError { is_timeout: true, ..AttemptError::new(Failure::Unknown, message) }
     }
 }
 
 /// What goes along with a request.
 #[derive(Clone, Debug, Default)]
-pub struct Meta {
+pub struct AttemptMeta {
     /// Id of this attempt.
     pub attempt: u64,
     /// Key of the request, for the target's own record.
@@ -53,12 +53,12 @@
     /// 0 is online, 1 is batch.
     pub priority: u8,
     /// Time left for the caller.
-    pub left: Duration,
+    pub timeout: Duration,
 }
 
 /// What a target reports of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// Online requests running or waiting.
     pub online: u32,
     /// Batch requests running or waiting.
@@ -87,7 +87,7 @@
 
 /// One piece of a streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum StreamItem {
     /// Text of one token.
     Token(String),
     /// The answer is whole; this is why it ended.
@@ -125,17 +125,17 @@
         &self,
         to: SocketAddr,
         request: &chat::Request,
-        meta: &Meta,
+        meta: &AttemptMeta,
     ) -> Result<Stream, AttemptError> {
         let body = serde_json::to_vec(request)
             .map_err(|error| AttemptError::new(Failure::NotSent, error.to_string()))?;
         let builder = self.builder(to, Method::POST, "/v1/chat/completions", meta);
         let builder = builder.header("content-type", "application/json");
-        let response = self.send(to, builder.body(Full::from(body)), meta.left).await?;
+        let response = self.send(to, builder.body(Full::from(body)), meta.timeout).await?;
         check(&response)?;
         Ok(Stream {
             body: response.into_body(),
-            parser: Parser::default(),
+            parser: DataParser::default(),
             idle: self.idle,
             finish: None,
             partition: self.partition.clone(),
@@ -151,20 +151,20 @@
     pub async fn plain(
         &self,
         to: SocketAddr,
-        call: Plain,
-        meta: &Meta,
+        call: PlainCall,
+        meta: &AttemptMeta,
     ) -> Result<(StatusCode, String, Bytes), AttemptError> {
         let mut builder = self.builder(to, call.method, &call.path, meta);
         if let Some(kind) = call.headers.get("content-type") {
             builder = builder.header("content-type", kind);
         }
-        let response = self.send(to, builder.body(Full::new(call.body)), meta.left).await?;
+        let response = self.send(to, builder.body(Full::new(call.body)), meta.timeout).await?;
         if is_refusal(&response) {
             check(&response)?;
         }
         let status = response.status();
         let kind = text(response.headers(), "content-type");
-        let body = tokio::time::timeout(meta.left, response.into_body().collect()).await;
+        let body = tokio::time::timeout(meta.timeout, response.into_body().collect()).await;
         let body =
             body.map_err(|_| AttemptError::new(Failure::Unknown, "no whole answer in time"))?;
         let body = body.map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))?;
@@ -176,8 +176,12 @@
     /// # Errors
     ///
     /// How the call failed.
-    pub async fn report(&self, to: SocketAddr, limit: Duration) -> Result<Report, AttemptError> {
-        let meta = Meta { left: limit, ..Meta::default() };
+    pub async fn load_report(
+        &self,
+        to: SocketAddr,
+        limit: Duration,
+    ) -> Result<LoadReport, AttemptError> {
+        let meta = AttemptMeta { timeout: limit, ..AttemptMeta::default() };
         let builder = self.builder(to, Method::GET, "/load", &meta);
         let response = self.send(to, builder.body(Full::default()), limit).await?;
         let body = tokio::time::timeout(limit, response.into_body().collect()).await;
@@ -199,7 +203,7 @@
         fence: u64,
         limit: Duration,
     ) -> Result<(), AttemptError> {
-        let meta = Meta { left: limit, ..Meta::default() };
+        let meta = AttemptMeta { timeout: limit, ..AttemptMeta::default() };
         let body = serde_json::to_vec(order).unwrap_or_default();
         let builder = self.builder(to, Method::POST, "/order", &meta);
         let builder = builder.header(header::FENCING_TOKEN, fence.to_string());
@@ -212,7 +216,7 @@
         to: SocketAddr,
         method: Method,
         path: &str,
-        meta: &Meta,
+        meta: &AttemptMeta,
     ) -> hyper::http::request::Builder {
         Request::builder()
             .method(method)
@@ -220,7 +224,7 @@
             .header(header::ATTEMPT_ID, meta.attempt.to_string())
             .header(header::IDEMPOTENCY_KEY, meta.key.as_str())
             .header(header::PRIORITY, meta.priority.to_string())
-            .header(header::DEADLINE_MS, meta.left.as_millis().to_string())
+            .header(header::DEADLINE_MS, meta.timeout.as_millis().to_string())
     }
 
     async fn send(
@@ -246,7 +250,7 @@
 
 /// A call to a plain service.
 #[derive(Clone, Debug)]
-pub struct Plain {
+pub struct PlainCall {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -283,7 +287,7 @@
 #[derive(Debug)]
 pub struct Stream {
     body: Incoming,
-    parser: Parser,
+    parser: DataParser,
     idle: Duration,
     finish: Option<String>,
     partition: SimulatedPartition,
@@ -298,7 +302,7 @@
     /// # Errors
     ///
     /// How the stream broke off.
-    pub async fn next(&mut self) -> Result<Piece, AttemptError> {
+    pub async fn next(&mut self) -> Result<StreamItem, AttemptError> {
         loop {
             while let Some(data) = self.parser.next_data() {
                 if let Some(piece) = self.read(&data)? {
@@ -312,12 +316,12 @@
         }
     }
 
-    fn read(&mut self, data: &str) -> Result<Option<Piece>, AttemptError> {
+    fn read(&mut self, data: &str) -> Result<Option<StreamItem>, AttemptError> {
         if data == DONE {
             let finish = self.finish.take();
             let finish =
                 finish.ok_or_else(|| AttemptError::new(Failure::Unknown, "no finish reason"))?;
-            return Ok(Some(Piece::End(finish)));
+            return Ok(Some(StreamItem::End(finish)));
         }
         let chunk: Chunk = serde_json::from_str(data)
             .map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))?;
@@ -327,7 +331,7 @@
         if choice.finish_reason.is_some() {
             self.finish = choice.finish_reason;
         }
-        Ok(choice.delta.content.filter(|text| !text.is_empty()).map(Piece::Token))
+        Ok(choice.delta.content.filter(|text| !text.is_empty()).map(StreamItem::Token))
     }
 
     async fn fill(&mut self) -> Result<(), AttemptError> {
