--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -13,7 +13,7 @@
 use protocol::{Error, Kind, RequestFingerprint};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use transport::listen::{self, Body, Broken, Handler};
+use transport::server::{self, Body, BodyAborted, Handler};
 
 /// Head limit before a configuration tells one.
 const DEFAULT_MAX_HEAD_BYTES: usize = 64 << 10;
@@ -67,7 +67,10 @@
 }
 
 impl Handler for HttpHandler {
-    async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Result<Response<Body>, Broken> {
+    async fn handle(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+    ) -> Result<Response<Body>, BodyAborted> {
         let started = clock::now();
         let node = &self.node;
         let result = handle(node, request, started).await;
@@ -82,7 +85,7 @@
         Ok(response)
     }
 
-    fn head_limit(&self) -> usize {
+    fn max_head_bytes(&self) -> usize {
         let config = self.node.config();
         config.map_or(DEFAULT_MAX_HEAD_BYTES, |config| config.table.limits.head_bytes)
     }
@@ -92,7 +95,7 @@
     node: &Rc<Node>,
     request: Request<Incoming>,
     started: Instant,
-) -> Result<Response<Body>, Broken> {
+) -> Result<Response<Body>, BodyAborted> {
     let (parts, mut body) = request.into_parts();
     let Some(config) = config(node).await else {
         let error = Error::new(Kind::NotReady, "no configuration yet");
@@ -120,7 +123,7 @@
     let until = started + wait.unwrap_or(route.timeout).min(route.timeout);
     let limit = config.table.limits.body_bytes;
     let body_timeout = wait.unwrap_or(MAX_BODY_TIMEOUT).min(MAX_BODY_TIMEOUT);
-    let body = match tokio::time::timeout(body_timeout, listen::read(&mut body, limit)).await {
+    let body = match tokio::time::timeout(body_timeout, server::read_body(&mut body, limit)).await {
         Ok(read) => read?,
         Err(_) => {
             return Ok(error_response(
@@ -156,7 +159,7 @@
     config: &Config,
     route: Route,
     call: CallerRequest,
-) -> Result<Response<Body>, Broken> {
+) -> Result<Response<Body>, BodyAborted> {
     if route.class == Class::Batch {
         return Ok(submit::submit(node, &route, &call).await);
     }
@@ -185,7 +188,7 @@
 
 /// An answer of our own.
 pub fn text_response(status: u16, message: &str) -> Response<Body> {
-    let mut response = Response::new(Body::Whole(Bytes::from(format!("{message}\n"))));
+    let mut response = Response::new(Body::Full(Bytes::from(format!("{message}\n"))));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
     response
 }
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -15,7 +15,7 @@
 use state::progress::{Handoff, Job, Outcome, Progress};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use transport::listen::Body;
+use transport::server::Body;
 
 /// Longest time for which a read waits for new results, whatever the caller asks.
 const MAX_RESULTS_WAIT: Duration = Duration::from_secs(5);
@@ -95,7 +95,7 @@
 }
 
 fn results_response(total: usize, from: usize, outcomes: &[Outcome]) -> Response<Body> {
-    let mut response = Response::new(Body::Whole(job::encode_results(total, from, outcomes)));
+    let mut response = Response::new(Body::Full(job::encode_results(total, from, outcomes)));
     set_header(&mut response, CONTENT_TYPE, "application/json");
     response
 }
@@ -141,7 +141,7 @@
     };
     match found.and_then(|text| job::decode_body(&text).ok()) {
         Some(bytes) => {
-            let mut response = Response::new(Body::Whole(bytes));
+            let mut response = Response::new(Body::Full(bytes));
             set_header(&mut response, CONTENT_TYPE, "application/octet-stream");
             response
         }
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use transport::listen::{Body, Broken, Handler};
+use transport::server::{Body, BodyAborted, Handler};
 
 /// Longest time that a histogram tells apart, in milliseconds.
 const MAX_HISTOGRAM_MS: u64 = 120_000;
@@ -154,7 +154,10 @@
 }
 
 impl Handler for StatusHandler {
-    async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Result<Response<Body>, Broken> {
+    async fn handle(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+    ) -> Result<Response<Body>, BodyAborted> {
         let node = &self.node;
         let (status, text) = match request.uri().path() {
             platform::READINESS_PATH if node.config().is_some() && !node.is_stopping() => {
@@ -166,12 +169,12 @@
             "/metrics" => (StatusCode::OK, metrics(node)),
             _ => (StatusCode::NOT_FOUND, String::new()),
         };
-        let mut response = Response::new(Body::Whole(Bytes::from(text)));
+        let mut response = Response::new(Body::Full(Bytes::from(text)));
         *response.status_mut() = status;
         Ok(response)
     }
 
-    fn head_limit(&self) -> usize {
+    fn max_head_bytes(&self) -> usize {
         16 << 10
     }
 }
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -24,7 +24,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use transport::listen::{self, Body};
+use transport::server::{self, Body};
 use transport::upstream::Exchange;
 
 /// Number of unreachable targets after which a request is rejected.
@@ -103,7 +103,7 @@
     config: &Config,
     route: Rc<Route>,
     call: Rc<CallerRequest>,
-) -> Result<Response<Body>, listen::Broken> {
+) -> Result<Response<Body>, server::BodyAborted> {
     let in_flight = InFlightGuard::new(node);
     let random = hash::bytes(call.id.as_bytes());
     let Some(service) = route.service(random).cloned() else {
@@ -133,7 +133,7 @@
     request: ProxiedRequest,
     response: TargetResponse,
     in_flight: InFlightGuard,
-) -> Result<Response<Body>, listen::Broken> {
+) -> Result<Response<Body>, server::BodyAborted> {
     if request.route.class == Class::Stream && response.exchange.head().status.is_success() {
         return Ok(streaming::stream(request, response, in_flight));
     }
@@ -145,7 +145,7 @@
 async fn respond_buffered(
     mut request: ProxiedRequest,
     response: TargetResponse,
-) -> Result<Response<Body>, listen::Broken> {
+) -> Result<Response<Body>, server::BodyAborted> {
     let mut response = response;
     loop {
         let head = forwarded_head(response.exchange.head());
@@ -164,7 +164,7 @@
                     is_within_objective,
                     clock::now(),
                 );
-                return Ok(with_body(head, Body::Whole(body)));
+                return Ok(with_body(head, Body::Full(body)));
             }
             Ok(Err(error)) => error,
             Err(_) => return Ok(request.fail(&ForwardError::DeadlineExceeded)),
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -25,7 +25,7 @@
 use tokio_util::sync::CancellationToken;
 use transport::partition::SimulatedPartition;
 use transport::peer::{Pool, Traffic, serve};
-use transport::{http, listen};
+use transport::{http, server};
 
 /// Time between looks whether a stop is done.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -80,10 +80,10 @@
     spawn_local(job_scan::run(node.clone(), stop.clone()));
     for listener in ready.into_iter().chain(metrics) {
         let handler = Rc::new(StatusHandler { node: node.clone() });
-        spawn_local(listen::serve(listener, handler, stop.clone()));
+        spawn_local(server::serve(listener, handler, stop.clone()));
     }
     let handler = Rc::new(HttpHandler { node: node.clone() });
-    spawn_local(listen::serve(front, handler, front_stop.clone()));
+    spawn_local(server::serve(front, handler, front_stop.clone()));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use transport::event::EventSplitter;
-use transport::listen::{self, Body, Broken, Sender};
+use transport::server::{self, Body, BodyAborted, BodySender};
 use transport::upstream::Exchange;
 
 /// A resumable stream is idle after this many times the route's maximum gap between events.
@@ -61,7 +61,7 @@
     in_flight: InFlightGuard,
 ) -> Response<Body> {
     let head = response_head(&response.exchange);
-    let (sender, body) = listen::stream();
+    let (sender, body) = server::body_channel();
     tokio::task::spawn_local(async move {
         let mut stream = Stream { forward, last_event: None, sender, stats: EventStats::default() };
         stream.run(response).await;
@@ -73,7 +73,7 @@
 struct Stream {
     forward: ProxiedRequest,
     last_event: Option<u64>,
-    sender: Sender,
+    sender: BodySender,
     stats: EventStats,
 }
 
@@ -257,7 +257,7 @@
     async fn abort(&self, target: &str, error: &str) {
         self.node().metrics.count("stream.broken");
         self.log("stream aborted", target, error);
-        let _gone = self.sender.send(Err(Broken)).await;
+        let _gone = self.sender.send(Err(BodyAborted)).await;
     }
 
     fn log(&self, event: &'static str, target: &str, error: &str) {
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
-use transport::listen::Body;
+use transport::server::Body;
 
 /// Longest wait for an instance to which a submission is forwarded.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -11,10 +11,10 @@
 pub mod clock;
 pub mod event;
 pub mod http;
-pub mod listen;
 pub mod partition;
 pub mod peer;
 
+pub mod server;
 pub mod sse;
 pub mod target;
 pub mod upstream;
--- a/crates/transport/src/listen.rs
+++ b/crates/transport/src/server.rs
@@ -29,45 +29,45 @@
 
 /// Why an answer broke off after its head was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken;
+pub struct BodyAborted;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "the answer broke off")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for BodyAborted {}
 
 /// Where the pieces of a streamed body are put.
-pub type Sender = mpsc::Sender<Result<Bytes, Broken>>;
+pub type BodySender = mpsc::Sender<Result<Bytes, BodyAborted>>;
 
 /// The body of an answer.
 #[derive(Debug)]
 pub enum Body {
     /// All of it.
-    Whole(Bytes),
+    Full(Bytes),
     /// Pieces as they come; an error closes the connection.
-    Stream(mpsc::Receiver<Result<Bytes, Broken>>),
+    Stream(mpsc::Receiver<Result<Bytes, BodyAborted>>),
 }
 
 /// A body whose pieces are put into the sender.
-pub fn stream() -> (Sender, Body) {
+pub fn body_channel() -> (BodySender, Body) {
     let (sender, receiver) = mpsc::channel(PIECES);
     (sender, Body::Stream(receiver))
 }
 
 impl hyper::body::Body for Body {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         match &mut *self {
-            Body::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Body::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            Body::Full(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Body::Full(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
             Body::Stream(pieces) => {
                 pieces.poll_recv(cx).map(|piece| piece.map(|result| result.map(Frame::data)))
             }
@@ -75,12 +75,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Body::Whole(bytes) if bytes.is_empty())
+        matches!(self, Body::Full(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Body::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Body::Full(bytes) => SizeHint::with_exact(bytes.len() as u64),
             Body::Stream(_) => SizeHint::default(),
         }
     }
@@ -92,10 +92,10 @@
     fn handle(
         self: Rc<Self>,
         request: Request<Incoming>,
-    ) -> impl Future<Output = Result<Response<Body>, Broken>>;
+    ) -> impl Future<Output = Result<Response<Body>, BodyAborted>>;
 
     /// Most bytes of a request's head.
-    fn head_limit(&self) -> usize;
+    fn max_head_bytes(&self) -> usize;
 }
 
 /// Serves until `stop`, then lets each connection finish its exchange.
@@ -118,10 +118,10 @@
     if stream.set_nodelay(true).is_err() {
         return; // The caller has gone already.
     }
-    let head_limit = handler.head_limit();
+    let max_head_bytes = handler.max_head_bytes();
     let service = service_fn(move |request| handler.clone().handle(request));
     let connection = http1::Builder::new()
-        .max_buf_size(head_limit.max(16 << 10))
+        .max_buf_size(max_head_bytes.max(16 << 10))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     // How a caller's connection ended is the handler's business: it sees its
@@ -139,14 +139,14 @@
 /// # Errors
 ///
 /// The caller broke off.
-pub async fn read(body: &mut Incoming, limit: usize) -> Result<Option<Bytes>, Broken> {
+pub async fn read_body(body: &mut Incoming, limit: usize) -> Result<Option<Bytes>, BodyAborted> {
     use http_body_util::BodyExt;
     if body.size_hint().lower() > limit as u64 {
         return Ok(None);
     }
     let mut whole = bytes::BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(|_| Broken)?.into_data() else {
+        let Ok(data) = frame.map_err(|_| BodyAborted)?.into_data() else {
             continue;
         };
         if whole.len() + data.len() > limit {
