--- a/crates/transport/src/channel.rs
+++ b/crates/transport/src/channel.rs
@@ -1,14 +1,13 @@
-//! Bounded rings that join the duties of a daemon.
+//! Bounded request channels between the worker threads of an instance.
 //!
-//! A full ring is an answer to give, not a place to wait: [`RequestSender::call`] fails
-//! at once with `Overloaded`. The ring is tokio's bounded channel rather than a
-//! single-producer one, because every front thread writes to the same duty.
+//! Sending never waits: a full channel is an `Overloaded` error, which the caller
+//! of the instance sees.
 
 use protocol::{Error, Kind};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Sending end of a ring.
+/// Sending half of a request channel.
 #[derive(Debug)]
 pub struct RequestSender<T> {
     name: &'static str,
@@ -21,34 +20,34 @@
     }
 }
 
-/// Receiving end of a ring.
+/// Receiving half of a request channel.
 pub type RequestReceiver<T> = mpsc::Receiver<T>;
 
-/// Where the answer to one call goes.
+/// Sends the reply to one request.
 pub type ReplySender<T> = oneshot::Sender<T>;
 
-/// A ring of `capacity` places; `name` appears in errors.
+/// Creates a channel for at most `capacity` requests; `name` appears in errors.
 pub fn channel<T>(name: &'static str, capacity: usize) -> (RequestSender<T>, RequestReceiver<T>) {
     let (sender, receiver) = mpsc::channel(capacity);
     (RequestSender { name, sender }, receiver)
 }
 
 impl<T> RequestSender<T> {
-    /// Puts a message on the ring.
+    /// Sends a request that needs no reply, or whose reply is awaited elsewhere.
     ///
     /// # Errors
     ///
-    /// `Overloaded` when the ring is full, `Draining` when its duty has ended.
+    /// `Overloaded` if the channel is full, `Draining` if the receiver is gone.
     pub fn send(&self, message: T) -> Result<(), Error> {
         self.sender.try_send(message).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => {
-                Error::new(Kind::Overloaded, format!("ring `{}` is full", self.name))
+                Error::new(Kind::Overloaded, format!("channel `{}` is full", self.name))
             }
-            mpsc::error::TrySendError::Closed(_) => self.ended(),
+            mpsc::error::TrySendError::Closed(_) => self.closed(),
         })
     }
 
-    /// Puts a message on the ring, or gives it back with the error.
+    /// Sends a request, or returns it with the error.
     ///
     /// # Errors
     ///
@@ -56,36 +55,36 @@
     pub fn try_send(&self, message: T) -> Result<(), Box<(T, Error)>> {
         self.sender.try_send(message).map_err(|error| match error {
             mpsc::error::TrySendError::Full(message) => {
-                let text = format!("ring `{}` is full", self.name);
+                let text = format!("channel `{}` is full", self.name);
                 Box::new((message, Error::new(Kind::Overloaded, text)))
             }
-            mpsc::error::TrySendError::Closed(message) => Box::new((message, self.ended())),
+            mpsc::error::TrySendError::Closed(message) => Box::new((message, self.closed())),
         })
     }
 
-    /// Puts a message on the ring and waits for its answer, for `limit` at most.
+    /// Sends a request and waits up to `timeout` for its reply.
     ///
     /// # Errors
     ///
-    /// As [`RequestSender::send`]; `Undetermined` when no answer came in time.
+    /// As [`RequestSender::send`]; `Undetermined` if there is no reply in time.
     pub async fn call<R>(
         &self,
-        limit: Duration,
+        timeout: Duration,
         message: impl FnOnce(ReplySender<R>) -> T,
     ) -> Result<R, Error> {
-        let (answer, wait) = oneshot::channel();
-        self.send(message(answer))?;
-        match tokio::time::timeout(limit, wait).await {
+        let (reply_sender, reply) = oneshot::channel();
+        self.send(message(reply_sender))?;
+        match tokio::time::timeout(timeout, reply).await {
             Ok(Ok(reply)) => Ok(reply),
-            Ok(Err(_)) => Err(self.ended()),
+            Ok(Err(_)) => Err(self.closed()),
             Err(_) => {
-                let text = format!("ring `{}` gave no answer in {limit:?}", self.name);
+                let text = format!("no reply on channel `{}` within {timeout:?}", self.name);
                 Err(Error::new(Kind::Undetermined, text))
             }
         }
     }
 
-    fn ended(&self) -> Error {
-        Error::new(Kind::Draining, format!("duty `{}` has ended", self.name))
+    fn closed(&self) -> Error {
+        Error::new(Kind::Draining, format!("channel `{}` is closed", self.name))
     }
 }
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,18 +1,17 @@
-//! The present time, on a clock that goes on while the machine is suspended.
+//! A monotonic clock that includes the time for which the machine was suspended.
 //!
-//! The steady clock of the system ([`Instant::now`]) stands still then, so whatever is
-//! measured by it across a suspension is too short: leases seem held, callers seem to wait,
-//! peers seem to have been heard just now. By this clock a suspension looks like a process
-//! that was stopped for as long, to every decision alike.
+//! [`Instant::now`] reads `CLOCK_MONOTONIC`, which stops during a suspension: leases would
+//! seem held, callers would seem to wait and heartbeats would seem recent. This clock is
+//! based on `CLOCK_BOOTTIME`.
 //!
-//! Timers of the runtime follow the steady clock and fire late by what was slept; who waits
-//! looks at this clock when it wakes.
+//! Timers of the runtime follow `CLOCK_MONOTONIC` and fire late after a suspension; compare
+//! deadlines with this clock when they do.
 //!
 //! ```
 //! use transport::clock;
 //!
-//! let began = clock::now();
-//! assert!(clock::since(began) < std::time::Duration::from_secs(60));
+//! let start = clock::now();
+//! assert!(clock::since(start) < std::time::Duration::from_secs(60));
 //! ```
 
 use rustix::time::{ClockId, clock_gettime};
@@ -20,73 +19,73 @@
 use std::sync::{Mutex, OnceLock, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time between looks into the file that tests put suspensions into.
-const REREAD: Duration = Duration::from_millis(20);
+const REREAD_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Origin {
-    steady: Instant,
-    counting: Duration,
+    monotonic: Instant,
+    boottime: Duration,
 }
 
-/// Suspensions that a test pretends: a file with their milliseconds in all.
-struct Pretended {
+/// Suspension simulated by a test: a file with its total length in milliseconds.
+struct SimulatedSuspension {
     file: PathBuf,
-    known: Mutex<Option<(Instant, Duration)>>,
+    cached: Mutex<Option<(Instant, Duration)>>,
 }
 
 static ORIGIN: OnceLock<Origin> = OnceLock::new();
-static PRETENDED: OnceLock<Pretended> = OnceLock::new();
+static SIMULATED: OnceLock<SimulatedSuspension> = OnceLock::new();
 
-/// Time since the machine's start, suspensions included.
-fn counting() -> Duration {
+/// Time since boot, suspensions included.
+fn boottime() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
     let nanos = u32::try_from(time.tv_nsec).unwrap_or_default();
-    Duration::new(seconds, nanos) + PRETENDED.get().map_or(Duration::ZERO, Pretended::read)
+    Duration::new(seconds, nanos)
+        + SIMULATED.get().map_or(Duration::ZERO, SimulatedSuspension::read)
 }
 
 fn origin() -> &'static Origin {
-    ORIGIN.get_or_init(|| Origin { steady: Instant::now(), counting: counting() })
+    ORIGIN.get_or_init(|| Origin { monotonic: Instant::now(), boottime: boottime() })
 }
 
-/// Now. Differences between two such times are right whatever lay between; don't mix them
-/// with times of another clock.
+/// Current time on this clock; not comparable with [`Instant::now`].
 pub fn now() -> Instant {
     let origin = origin();
-    origin.steady + counting().saturating_sub(origin.counting)
+    origin.monotonic + boottime().saturating_sub(origin.boottime)
 }
 
-/// Time since `then`, which came from [`now`].
-pub fn since(then: Instant) -> Duration {
-    now().saturating_duration_since(then)
+/// Time elapsed since `earlier`, a result of [`now`].
+pub fn since(earlier: Instant) -> Duration {
+    now().saturating_duration_since(earlier)
 }
 
-/// How long the machine was suspended since the first use of this clock, to a few
-/// microseconds.
+/// Total time for which the machine was suspended since the first use of this clock,
+/// accurate to a few microseconds.
 pub fn suspended_for() -> Duration {
     let origin = origin();
-    let awake = origin.steady.elapsed();
-    counting().saturating_sub(origin.counting).saturating_sub(awake)
+    let running = origin.monotonic.elapsed();
+    boottime().saturating_sub(origin.boottime).saturating_sub(running)
 }
 
-/// Has the clock run ahead by what `file` says, for tests; the first call counts.
+/// Advances the clock by the milliseconds that `file` holds, for tests. Only the
+/// first call in a process has an effect.
 pub fn simulate_suspension(file: PathBuf) {
-    PRETENDED.get_or_init(|| Pretended { file, known: Mutex::new(None) });
+    SIMULATED.get_or_init(|| SimulatedSuspension { file, cached: Mutex::new(None) });
 }
 
-impl Pretended {
+impl SimulatedSuspension {
     fn read(&self) -> Duration {
         let now = Instant::now();
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((at, time)) = *known
-            && now.saturating_duration_since(at) < REREAD
+        let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some((read_at, suspended)) = *cached
+            && now.saturating_duration_since(read_at) < REREAD_INTERVAL
         {
-            return time;
+            return suspended;
         }
-        // Empty or gone: nothing is pretended.
+        // An empty or missing file simulates no suspension.
         let text = std::fs::read_to_string(&self.file).unwrap_or_default();
-        let time = Duration::from_millis(text.trim().parse().unwrap_or_default());
-        *known = Some((now, time));
-        time
+        let suspended = Duration::from_millis(text.trim().parse().unwrap_or_default());
+        *cached = Some((now, suspended));
+        suspended
     }
 }
--- a/crates/transport/src/event.rs
+++ b/crates/transport/src/event.rs
@@ -1,26 +1,23 @@
-//! Server-sent events with their ids, as raw bytes.
+//! Splits server-sent events without decoding them.
 //!
-//! [`crate::sse`] reads the data of chat completions; this splitter keeps each
-//! event's bytes as they came, since they are passed on unchanged, and reads
-//! the id that a broken stream resumes at.
+//! Events are forwarded byte for byte, and their ids are needed to resume an
+//! interrupted stream. [`crate::sse`] decodes the data of events instead.
 
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes of one event; a target that sends more is at fault.
-const MAX_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, the empty line behind it included.
+    /// Bytes of the event as received, with the empty line that ends it.
     pub raw: Bytes,
-    /// Its id, if it carries one.
+    /// Value of the last `id` field, if it is a number.
     pub id: Option<u64>,
 }
 
 impl Event {
-    /// Its data: the text behind each `data:`, joined by line feeds; `None`
-    /// when it carries none.
+    /// Values of the `data` fields, joined by line feeds; `None` if there are none.
     pub fn data(&self) -> Option<String> {
         let text = String::from_utf8_lossy(&self.raw);
         let lines: Vec<&str> = text.lines().filter_map(|line| field(line, "data")).collect();
@@ -33,48 +30,48 @@
     Some(rest.strip_prefix(' ').unwrap_or(rest))
 }
 
-/// Splits bytes into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    looked: usize,
+    scanned: usize,
 }
 
 impl EventSplitter {
-    /// Takes in bytes; `false` when an event is longer than any may be.
+    /// Appends received bytes; returns `false` if more than 1 MiB is buffered.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
-        self.buffer.len() <= MAX_EVENT
+        self.buffer.len() <= MAX_EVENT_BYTES
     }
 
-    /// The next whole event.
+    /// Removes and returns the next event, if it is complete.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.find_end()?;
         let raw = self.buffer.split_to(end).freeze();
-        self.looked = 0;
+        self.scanned = 0;
         let text = String::from_utf8_lossy(&raw);
         let id = text.lines().filter_map(|line| field(line, "id")).next_back();
         let id = id.and_then(|id| id.trim().parse().ok());
         Some(Event { raw, id })
     }
 
-    /// Whether bytes of an unfinished event are left.
+    /// Whether the buffer holds no bytes of an incomplete event.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
-        let start = self.looked.saturating_sub(3);
-        for at in start..bytes.len() {
-            if bytes[at..].starts_with(b"\n\n") {
-                return Some(at + 2);
+        let start = self.scanned.saturating_sub(3);
+        for index in start..bytes.len() {
+            if bytes[index..].starts_with(b"\n\n") {
+                return Some(index + 2);
             }
-            if bytes[at..].starts_with(b"\n\r\n") {
-                return Some(at + 3);
+            if bytes[index..].starts_with(b"\n\r\n") {
+                return Some(index + 3);
             }
         }
-        self.looked = bytes.len();
+        self.scanned = bytes.len();
         None
     }
 }
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP side that serves: bounded bodies, answers, errors.
+//! HTTP server of the product's own API: bounded request bodies, responses and errors.
 
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::{Stream, StreamExt};
@@ -18,50 +18,50 @@
 use tokio_util::sync::CancellationToken;
 use warp::Filter;
 
-/// An answer.
+/// An HTTP response, complete or streamed.
 pub type Response = warp::reply::Response;
 
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 
-/// A request without its body.
+/// Head of an HTTP request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Path without the query, not decoded.
     pub path: String,
-    /// Query, without the question mark.
+    /// Query without the question mark; empty if there is none.
     pub query: String,
-    /// Headers.
+    /// All headers.
     pub headers: HeaderMap,
 }
 
 impl RequestHead {
-    /// A header as text; empty when it is absent or no text.
+    /// Returns the value of a header; empty if the header is absent or not ASCII.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
     }
 
-    /// A value of the query; `None` when it is absent.
+    /// Returns the value of a query parameter, not decoded.
     pub fn value(&self, name: &str) -> Option<&str> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 
-    /// Path segments.
+    /// Returns the path segments that aren't empty.
     pub fn segments(&self) -> Vec<&str> {
-        self.path.split('/').filter(|part| !part.is_empty()).collect()
+        self.path.split('/').filter(|segment| !segment.is_empty()).collect()
     }
 }
 
-/// Bytes of a body as they come.
+/// A request body as a stream of chunks.
 pub trait BodyStream: Stream<Item = Result<Bytes, String>> + Send + Unpin {}
 
 impl<T: Stream<Item = Result<Bytes, String>> + Send + Unpin> BodyStream for T {}
 
-/// What answers requests.
+/// Handles the requests of a server.
 pub trait Service: Clone + Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn call<B: BodyStream>(
         &self,
         head: RequestHead,
@@ -69,21 +69,21 @@
     ) -> impl Future<Output = Response> + Send;
 }
 
-/// A listening socket. Small events must leave at once, so the sockets that it
-/// accepts inherit `TCP_NODELAY`.
+/// Binds a listening socket. Accepted connections inherit `TCP_NODELAY`, so that
+/// small events are sent immediately.
 ///
 /// # Errors
 ///
-/// When the address can't be bound.
+/// The address can't be bound.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.set_nodelay(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// Serves until `stop`, then finishes what runs.
+/// Serves until `stop` is cancelled, then completes the requests in progress.
 pub async fn serve<S: Service>(listener: TcpListener, service: S, stop: CancellationToken) {
     let query = warp::query::raw().or(warp::any().map(String::new)).unify();
     let routes = warp::method()
@@ -94,7 +94,7 @@
         .then(move |method, path: warp::path::FullPath, query, headers, body| {
             let service = service.clone();
             let head = RequestHead { method, path: path.as_str().to_owned(), query, headers };
-            async move { Ok::<_, Infallible>(answer(service, head, body).await) }
+            async move { Ok::<_, Infallible>(handle(service, head, body).await) }
         })
         .map(|result: Result<Response, Infallible>| match result {
             Ok(response) => response,
@@ -103,13 +103,13 @@
     warp::serve(routes).incoming(listener).graceful(stop.cancelled_owned()).run().await;
 }
 
-async fn answer<S, B, D>(service: S, head: RequestHead, body: B) -> Response
+async fn handle<S, B, D>(service: S, head: RequestHead, body: B) -> Response
 where
     S: Service,
     B: Stream<Item = Result<D, warp::Error>> + Send,
     D: Buf,
 {
-    let bytes = body.map(|piece| match piece {
+    let bytes = body.map(|chunk| match chunk {
         Ok(mut buffer) => Ok(buffer.copy_to_bytes(buffer.remaining())),
         Err(error) => Err(error.to_string()),
     });
@@ -117,58 +117,67 @@
     service.call(head, bytes).await
 }
 
-/// Reads a whole body of at most `limit` bytes within `wait`.
+/// Reads a complete body of at most `max_bytes` within `timeout`.
 ///
 /// # Errors
 ///
-/// `TooLarge`, `SlowCaller` or `Malformed`.
+/// `TooLarge` or `SlowCaller` if a limit is exceeded, `Malformed` if the
+/// connection fails.
 pub async fn read_body<B: BodyStream>(
     body: &mut B,
-    limit: usize,
-    wait: Duration,
+    max_bytes: usize,
+    timeout: Duration,
 ) -> Result<Bytes, Error> {
-    let whole = async {
+    let read = async {
         let mut buffer = BytesMut::new();
-        while let Some(piece) = body.next().await {
-            let piece = piece.map_err(|text| Error::new(Kind::Malformed, text))?;
-            if buffer.len() + piece.len() > limit {
-                let text = format!("the body is over {limit} bytes");
+        while let Some(chunk) = body.next().await {
+            let chunk = chunk.map_err(|text| Error::new(Kind::Malformed, text))?;
+            if buffer.len() + chunk.len() > max_bytes {
+                let text = format!("the body exceeds {max_bytes} bytes");
                 return Err(Error::new(Kind::TooLarge, text));
             }
-            buffer.extend_from_slice(&piece);
+            buffer.extend_from_slice(&chunk);
         }
         Ok(buffer.freeze())
     };
-    match tokio::time::timeout(wait, whole).await {
+    match tokio::time::timeout(timeout, read).await {
         Ok(result) => result,
-        Err(_) => Err(slow(wait)),
+        Err(_) => Err(body_timeout(timeout)),
     }
 }
 
-fn slow(wait: Duration) -> Error {
-    Error::new(Kind::SlowCaller, format!("the body did not come within {wait:?}"))
+fn body_timeout(timeout: Duration) -> Error {
+    Error::new(Kind::SlowCaller, format!("the body did not arrive within {timeout:?}"))
 }
 
-/// Reads a body line by line, in bounded memory.
+/// Reads a body line by line in bounded memory.
 pub struct LineReader<B> {
     body: B,
     buffer: BytesMut,
-    limit: usize,
-    wait: Duration,
-    ended: bool,
+    max_line_bytes: usize,
+    chunk_timeout: Duration,
+    is_at_end: bool,
 }
 
 impl<B: BodyStream> LineReader<B> {
-    /// Lines of at most `limit` bytes; each piece must come within `wait`.
-    pub fn new(body: B, limit: usize, wait: Duration) -> LineReader<B> {
-        LineReader { body, buffer: BytesMut::new(), limit, wait, ended: false }
+    /// Reads lines of at most `max_line_bytes`; each chunk of the body must
+    /// arrive within `chunk_timeout`.
+    pub fn new(body: B, max_line_bytes: usize, chunk_timeout: Duration) -> LineReader<B> {
+        LineReader {
+            body,
+            buffer: BytesMut::new(),
+            max_line_bytes,
+            chunk_timeout,
+            is_at_end: false,
+        }
     }
 
-    /// The next line that isn't empty; `None` at the end.
+    /// Returns the next line that isn't blank, or `None` at the end of the body.
     ///
     /// # Errors
     ///
-    /// `TooLarge`, `SlowCaller` or `Malformed`.
+    /// `TooLarge` or `SlowCaller` if a limit is exceeded, `Malformed` if the
+    /// connection fails.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
@@ -179,7 +188,7 @@
                 }
                 continue;
             }
-            if self.ended {
+            if self.is_at_end {
                 let rest = std::mem::take(&mut self.buffer).freeze();
                 return Ok(Some(rest).filter(|line| !line.is_empty()));
             }
@@ -188,40 +197,40 @@
     }
 
     async fn fill(&mut self) -> Result<(), Error> {
-        if self.buffer.len() > self.limit {
-            let text = format!("a line is over {} bytes", self.limit);
+        if self.buffer.len() > self.max_line_bytes {
+            let text = format!("a line exceeds {} bytes", self.max_line_bytes);
             return Err(Error::new(Kind::TooLarge, text));
         }
-        match tokio::time::timeout(self.wait, self.body.next()).await {
-            Err(_) => Err(slow(self.wait)),
+        match tokio::time::timeout(self.chunk_timeout, self.body.next()).await {
+            Err(_) => Err(body_timeout(self.chunk_timeout)),
             Ok(None) => {
-                self.ended = true;
+                self.is_at_end = true;
                 Ok(())
             }
             Ok(Some(Err(text))) => Err(Error::new(Kind::Malformed, text)),
-            Ok(Some(Ok(piece))) => {
-                self.buffer.extend_from_slice(&piece);
+            Ok(Some(Ok(chunk))) => {
+                self.buffer.extend_from_slice(&chunk);
                 Ok(())
             }
         }
     }
 }
 
-/// An answer with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json<T: Serialize>(status: u16, value: &T) -> Response {
     let body = serde_json::to_vec(value).unwrap_or_default();
     bytes(status, "application/json", Bytes::from(body))
 }
 
-/// An answer with any body.
-pub fn bytes(status: u16, kind: &str, body: Bytes) -> Response {
+/// Creates a response with a body of any content type.
+pub fn bytes(status: u16, content_type: &str, body: Bytes) -> Response {
     let mut response = Response::new(body.into());
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
-    set_header(&mut response, CONTENT_TYPE.as_str(), kind);
+    set_header(&mut response, CONTENT_TYPE.as_str(), content_type);
     response
 }
 
-/// The answer that the table gives for an error.
+/// Creates the response to a failed request, with `Retry-After` if a retry may help.
 pub fn error(error: &Error) -> Response {
     let mut response = json(error.kind.properties().status, &Body::from(error));
     if let Some(seconds) = error.retry_after_seconds() {
@@ -230,7 +239,7 @@
     response
 }
 
-/// Sets a header; one that can't be sent is left out.
+/// Sets a response header; an invalid name or value is ignored.
 pub fn set_header(response: &mut Response, name: &str, value: &str) {
     let name = hyper::header::HeaderName::from_bytes(name.as_bytes());
     if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
@@ -238,7 +247,7 @@
     }
 }
 
-/// A body that comes through a bounded channel.
+/// Response body whose chunks come from a bounded channel.
 pub struct ChannelBody(mpsc::Receiver<Result<Bytes, String>>);
 
 impl Stream for ChannelBody {
@@ -249,10 +258,14 @@
     }
 }
 
-/// An answer whose body is streamed.
-pub fn stream(status: u16, kind: &str, pieces: mpsc::Receiver<Result<Bytes, String>>) -> Response {
-    let mut response = warp::reply::Reply::into_response(warp::reply::stream(ChannelBody(pieces)));
+/// Creates a response with a streamed body.
+pub fn stream(
+    status: u16,
+    content_type: &str,
+    chunks: mpsc::Receiver<Result<Bytes, String>>,
+) -> Response {
+    let mut response = warp::reply::Reply::into_response(warp::reply::stream(ChannelBody(chunks)));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
-    set_header(&mut response, CONTENT_TYPE.as_str(), kind);
+    set_header(&mut response, CONTENT_TYPE.as_str(), content_type);
     response
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,11 +1,8 @@
-//! Connections of a daemon: to the platform, to targets, to its peers.
+//! Connections of an instance to callers, the platform, targets and other instances.
 //!
-//! Each module moves messages and says how a call ended, in just the terms
-//! that decisions need: was it sent, was it refused, is its fate unknown. None
-//! of them decides what to do about it.
-//!
-//! What it is not: a place for retries. A retry needs to know whether the work
-//! may run twice, and only the caller of this crate knows that.
+//! Errors distinguish requests that were not sent, were rejected, or have an
+//! unknown outcome. Nothing here retries: only the user of this crate knows
+//! whether a request may run twice.
 
 pub mod channel;
 pub mod clock;
@@ -19,8 +16,7 @@
 pub mod target;
 pub mod upstream;
 
-/// Generated from `schema/peer.capnp`; committed so that the build needs no
-/// generator.
+/// Generated from `schema/peer.capnp`; checked in so that builds don't need the capnp compiler.
 #[allow(missing_docs, clippy::all, unsafe_code, unused_qualifications)]
 #[rustfmt::skip]
 pub mod peer_capnp;
--- a/crates/transport/src/partition.rs
+++ b/crates/transport/src/partition.rs
@@ -1,9 +1,9 @@
-//! Cuts for tests: addresses that a daemon treats as unreachable, or whose open
-//! connections it treats as silent.
+//! Network partitions simulated for tests: addresses treated as unreachable, or
+//! whose open connections are treated as unresponsive.
 //!
-//! A data centre that is cut off can't be brought about on loopback without
-//! privileges, so each connection asks here first. Without a file (always, in
-//! production) the answer is a plain `false`.
+//! Partitioning the loopback interface needs privileges, so outgoing connections
+//! consult this module instead. Without a file, as in production, nothing is
+//! partitioned.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,67 +11,74 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const REREAD: Duration = Duration::from_millis(50);
+const REREAD_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Default)]
-struct Known {
-    read: Option<Instant>,
-    addresses: Vec<SocketAddr>,
-    /// Addresses whose connections fell silent, and when.
-    silent: HashMap<SocketAddr, Instant>,
+struct Cached {
+    read_at: Option<Instant>,
+    unreachable: Vec<SocketAddr>,
+    /// With the time since which open connections are unresponsive.
+    unresponsive: HashMap<SocketAddr, Instant>,
 }
 
-const SILENT: &str = "silent ";
+const UNRESPONSIVE_PREFIX: &str = "silent ";
 
-impl Known {
-    fn take_in(&mut self, text: &str, now: Instant) {
+impl Cached {
+    fn update(&mut self, text: &str, now: Instant) {
         let lines = || text.lines().map(str::trim);
-        self.addresses = lines().filter_map(|line| line.parse().ok()).collect();
-        let silent = lines().filter_map(|line| line.strip_prefix(SILENT)?.parse().ok());
-        let silent: Vec<SocketAddr> = silent.collect();
-        self.silent.retain(|address, _| silent.contains(address));
-        silent.into_iter().for_each(|address| {
-            self.silent.entry(address).or_insert(now);
+        self.unreachable = lines().filter_map(|line| line.parse().ok()).collect();
+        let listed =
+            lines().filter_map(|line| line.strip_prefix(UNRESPONSIVE_PREFIX)?.parse().ok());
+        let listed: Vec<SocketAddr> = listed.collect();
+        self.unresponsive.retain(|address, _| listed.contains(address));
+        listed.into_iter().for_each(|address| {
+            self.unresponsive.entry(address).or_insert(now);
         });
-        self.read = Some(now);
+        self.read_at = Some(now);
     }
 }
 
-/// Addresses that count as unreachable.
+/// Addresses that a test has partitioned off.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedPartition {
     file: Option<PathBuf>,
-    known: Arc<Mutex<Known>>,
+    cached: Arc<Mutex<Cached>>,
 }
 
 impl SimulatedPartition {
-    /// Cuts as `file` lists them, one address a line, `silent ` before it where only the
-    /// connections that are open go silent; none without a file.
+    /// Reads partitions from `file`, which may change at any time: one address a
+    /// line, with the prefix `silent ` if only its open connections are affected.
+    /// Nothing is partitioned if `file` is `None`.
     pub fn new(file: Option<PathBuf>) -> SimulatedPartition {
-        SimulatedPartition { file, known: Arc::default() }
+        SimulatedPartition { file, cached: Arc::default() }
     }
 
-    /// Whether `address` is cut off now.
+    /// Whether `address` is unreachable at present.
     pub fn is_unreachable(&self, address: SocketAddr, now: Instant) -> bool {
-        self.look(now, |known| known.addresses.contains(&address))
+        self.check(now, |cached| cached.unreachable.contains(&address))
     }
 
-    /// Whether a connection to `address` that was opened at `opened` is silent for good.
+    /// Whether a connection to `address` opened at `opened` no longer responds.
     pub fn is_unresponsive(&self, address: SocketAddr, opened: Instant, now: Instant) -> bool {
-        self.look(now, |known| known.silent.get(&address).is_some_and(|since| opened < *since))
+        self.check(now, |cached| {
+            cached.unresponsive.get(&address).is_some_and(|since| opened < *since)
+        })
     }
 
-    fn look(&self, now: Instant, at: impl FnOnce(&Known) -> bool) -> bool {
+    fn check(&self, now: Instant, is_affected: impl FnOnce(&Cached) -> bool) -> bool {
         let Some(file) = &self.file else {
             return false;
         };
-        let Ok(mut known) = self.known.lock() else {
+        let Ok(mut cached) = self.cached.lock() else {
             return false;
         };
-        if known.read.is_none_or(|read| now.saturating_duration_since(read) >= REREAD) {
+        if cached
+            .read_at
+            .is_none_or(|read_at| now.saturating_duration_since(read_at) >= REREAD_INTERVAL)
+        {
             let text = std::fs::read_to_string(file).unwrap_or_default();
-            known.take_in(&text, now);
+            cached.update(&text, now);
         }
-        at(&known)
+        is_affected(&cached)
     }
 }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,10 +1,9 @@
-//! HTTP connections that this instance accepts, on one thread.
+//! Single-threaded HTTP server of the gateway.
 //!
-//! Unlike [`crate::http`], which serves the product's own interface, this one
-//! leaves the whole answer to its handler: any status and headers, bodies that
-//! break off, and connections that close without an answer. A caller that goes
-//! away drops the handler's future or the receiving end of its body, and that
-//! is how the handler learns of it.
+//! Unlike [`crate::http`], it gives handlers full control of the response: any
+//! status and headers, aborted bodies, and connections closed without a response.
+//! If the caller disconnects, the handler's future or the receiving half of its
+//! body channel is dropped.
 
 use bytes::Bytes;
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
@@ -21,39 +20,38 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// Pause after an accept that failed (out of descriptors, mostly).
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Pieces of a streamed body between its maker and the socket. A few are enough
-/// to keep the socket busy; more would only hide a caller that doesn't read.
-const PIECES: usize = 8;
+/// Avoids a busy loop while the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Small, so that a caller that doesn't read is noticed by backpressure.
+const BODY_CHANNEL_CAPACITY: usize = 8;
 
-/// Why an answer broke off after its head was sent.
+/// The response was aborted, or the request's body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyAborted;
 
 impl std::fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "the answer broke off")
+        write!(f, "body aborted")
     }
 }
 
 impl std::error::Error for BodyAborted {}
 
-/// Where the pieces of a streamed body are put.
+/// Sends the chunks of a streamed body; an error aborts the response.
 pub type BodySender = mpsc::Sender<Result<Bytes, BodyAborted>>;
 
-/// The body of an answer.
+/// Body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// All of it.
+    /// The complete body, with a known length.
     Full(Bytes),
-    /// Pieces as they come; an error closes the connection.
+    /// Chunks of a streamed body; an error closes the connection.
     Stream(mpsc::Receiver<Result<Bytes, BodyAborted>>),
 }
 
-/// A body whose pieces are put into the sender.
+/// Creates a streamed body and the sender of its chunks.
 pub fn body_channel() -> (BodySender, Body) {
-    let (sender, receiver) = mpsc::channel(PIECES);
+    let (sender, receiver) = mpsc::channel(BODY_CHANNEL_CAPACITY);
     (sender, Body::Stream(receiver))
 }
 
@@ -68,8 +66,8 @@
         match &mut *self {
             Body::Full(bytes) if bytes.is_empty() => Poll::Ready(None),
             Body::Full(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Body::Stream(pieces) => {
-                pieces.poll_recv(cx).map(|piece| piece.map(|result| result.map(Frame::data)))
+            Body::Stream(chunks) => {
+                chunks.poll_recv(cx).map(|chunk| chunk.map(|result| result.map(Frame::data)))
             }
         }
     }
@@ -86,19 +84,19 @@
     }
 }
 
-/// What answers requests.
+/// Handles the requests of a server.
 pub trait Handler: 'static {
-    /// Answers one request; an error closes the connection without an answer.
+    /// Handles one request; an error closes the connection without a response.
     fn handle(
         self: Rc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Result<Response<Body>, BodyAborted>>;
 
-    /// Most bytes of a request's head.
+    /// Maximum size of a request head in bytes; at least 16 KiB are allowed.
     fn max_head_bytes(&self) -> usize;
 }
 
-/// Serves until `stop`, then lets each connection finish its exchange.
+/// Serves until `stop` is cancelled; open connections complete their request in progress.
 pub async fn serve<H: Handler>(listener: TcpListener, handler: Rc<H>, stop: CancellationToken) {
     loop {
         let accepted = tokio::select! {
@@ -107,16 +105,16 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(connection(stream, handler.clone(), stop.clone()));
+                tokio::task::spawn_local(serve_connection(stream, handler.clone(), stop.clone()));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-async fn connection<H: Handler>(stream: TcpStream, handler: Rc<H>, stop: CancellationToken) {
+async fn serve_connection<H: Handler>(stream: TcpStream, handler: Rc<H>, stop: CancellationToken) {
     if stream.set_nodelay(true).is_err() {
-        return; // The caller has gone already.
+        return; // The caller has disconnected already.
     }
     let max_head_bytes = handler.max_head_bytes();
     let service = service_fn(move |request| handler.clone().handle(request));
@@ -124,35 +122,37 @@
         .max_buf_size(max_head_bytes.max(16 << 10))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    // How a caller's connection ended is the handler's business: it sees its
-    // future or its body dropped.
+    // Errors are ignored: the handler notices that its future or body is dropped.
     tokio::select! {
-        _ended = connection.as_mut() => return,
+        _result = connection.as_mut() => return,
         () = stop.cancelled() => {}
     }
     connection.as_mut().graceful_shutdown();
-    let _ended = connection.await;
+    let _result = connection.await;
 }
 
-/// Reads a whole body of at most `limit` bytes; `None` when it is longer.
+/// Reads a complete body; `None` if it exceeds `max_bytes`.
 ///
 /// # Errors
 ///
-/// The caller broke off.
-pub async fn read_body(body: &mut Incoming, limit: usize) -> Result<Option<Bytes>, BodyAborted> {
+/// The caller disconnected before the end of the body.
+pub async fn read_body(
+    body: &mut Incoming,
+    max_bytes: usize,
+) -> Result<Option<Bytes>, BodyAborted> {
     use http_body_util::BodyExt;
-    if body.size_hint().lower() > limit as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Ok(None);
     }
-    let mut whole = bytes::BytesMut::new();
+    let mut buffer = bytes::BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| BodyAborted)?.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > limit {
+        if buffer.len() + data.len() > max_bytes {
             return Ok(None);
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    Ok(Some(whole.freeze()))
+    Ok(Some(buffer.freeze()))
 }
--- a/crates/transport/src/sse.rs
+++ b/crates/transport/src/sse.rs
@@ -1,11 +1,11 @@
-//! Server-sent events, as far as chat completions use them.
+//! Decodes the server-sent events of chat completions.
 
 use std::collections::VecDeque;
 
-/// Most bytes of one event; a target that sends more is at fault.
-const MAX_EVENT: usize = 1 << 20;
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Splits bytes into the data of events.
+/// Extracts the data of events from a byte stream; each `data` field must hold
+/// the whole data of its event.
 #[derive(Debug, Default)]
 pub struct DataParser {
     buffer: Vec<u8>,
@@ -13,22 +13,22 @@
 }
 
 impl DataParser {
-    /// Takes in bytes; `false` when an event is longer than any may be.
+    /// Appends received bytes; returns `false` if a line exceeds 1 MiB.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
         while let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = self.buffer.drain(..=end).collect();
-            self.line(&line);
+            self.on_line(&line);
         }
-        self.buffer.len() <= MAX_EVENT
+        self.buffer.len() <= MAX_LINE_BYTES
     }
 
-    /// The data of the next event, if one is whole.
+    /// Removes and returns the data of the next event, if it is complete.
     pub fn next_data(&mut self) -> Option<String> {
         self.ready.pop_front()
     }
 
-    fn line(&mut self, line: &[u8]) {
+    fn on_line(&mut self, line: &[u8]) {
         let text = String::from_utf8_lossy(line);
         if let Some(data) = text.trim_end().strip_prefix("data:") {
             self.ready.push_back(data.trim_start().to_owned());
