--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -1,8 +1,8 @@
-//! Calls between daemons over capnp-rpc.
+//! Calls between instances over capnp-rpc.
 //!
-//! capnp-rpc is single-threaded, so this is a duty on a thread of its own with
-//! a `LocalSet`; other duties reach it through a ring. Connections are kept for
-//! the few members that are spoken to, and dropped at the first fault.
+//! capnp-rpc is single-threaded: it runs on a worker thread with a `LocalSet`, which
+//! other threads reach through a channel. Connections are pooled, and closed when a
+//! call fails.
 
 mod codec;
 mod connection;
@@ -16,30 +16,33 @@
 use coordination::membership::{Member, Update};
 use std::future::Future;
 
-/// Configuration entries and, for one far behind, the whole document.
+/// Configuration entries or, if the peer lacks more than the log holds, the document.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Entries {
-    /// Generation in force at the daemon that answers.
+    /// Generation in force at the instance that replies.
     pub head: u64,
-    /// Entries after the one asked for, encoded.
+    /// Encoded entries after the requested generation.
     pub entries: Vec<Vec<u8>>,
-    /// The whole document, encoded; empty when the entries suffice.
+    /// Encoded document; empty if the entries suffice.
     pub document: Vec<u8>,
 }
 
-/// What a daemon does when a peer calls.
+/// Handles calls from other instances.
 pub trait Handler: Clone + 'static {
-    /// A heartbeat with news; answers with oneself and news for the sender.
-    fn ping(&self, from: Member, notes: Vec<Update>)
-    -> impl Future<Output = (Member, Vec<Update>)>;
-    /// A command to a shard, encoded.
+    /// Handles a heartbeat with updates; returns this member and updates for the sender.
+    fn ping(
+        &self,
+        from: Member,
+        updates: Vec<Update>,
+    ) -> impl Future<Output = (Member, Vec<Update>)>;
+    /// Runs an encoded command on a shard; returns the encoded reply.
     fn command(&self, shard: u32, body: Vec<u8>) -> impl Future<Output = Vec<u8>>;
-    /// Configuration entries after a generation.
+    /// Returns the configuration entries after a generation.
     fn entries(&self, after: u64) -> impl Future<Output = Entries>;
-    /// A peer's online requests at a target.
+    /// Records the number of online requests that instance `from` has at a target.
     fn pressure(&self, from: u64, target: String, online: u32) -> impl Future<Output = ()>;
-    /// A message of the gateway, encoded; answers with its reply, encoded.
+    /// Handles an encoded gateway request; returns the encoded reply.
     fn ask(&self, body: Vec<u8>) -> impl Future<Output = Vec<u8>>;
-    /// All members known.
+    /// Returns all known members.
     fn members(&self) -> impl Future<Output = Vec<Member>>;
 }
--- a/crates/transport/src/peer/codec.rs
+++ b/crates/transport/src/peer/codec.rs
@@ -1,11 +1,11 @@
-//! Members and news as messages.
+//! Conversion of members and updates to and from capnp messages.
 
 use crate::peer_capnp::{leaving, member, note};
 use coordination::leaving::Source;
 use coordination::membership::{Member, State, Update};
 use std::net::SocketAddr;
 
-/// Writes a member.
+/// Writes a member into a message.
 pub fn write_member(mut to: member::Builder<'_>, from: &Member) {
     to.set_id(from.id);
     to.set_peer(from.peer.to_string());
@@ -21,11 +21,11 @@
     });
 }
 
-/// Reads a member.
+/// Reads a member from a message.
 ///
 /// # Errors
 ///
-/// What is wrong with the message.
+/// The message is malformed.
 pub fn read_member(from: member::Reader<'_>) -> Result<Member, capnp::Error> {
     let state = match from.get_state()? {
         member::State::Alive => State::Alive,
@@ -44,8 +44,8 @@
     })
 }
 
-fn write_witness(witness: Source) -> leaving::Witness {
-    match witness {
+fn write_source(source: Source) -> leaving::Witness {
+    match source {
         Source::Target => leaving::Witness::Target,
         Source::Platform => leaving::Witness::Platform,
         Source::Operator => leaving::Witness::Operator,
@@ -53,8 +53,8 @@
     }
 }
 
-fn read_witness(witness: leaving::Witness) -> Source {
-    match witness {
+fn read_source(source: leaving::Witness) -> Source {
+    match source {
         leaving::Witness::Target => Source::Target,
         leaving::Witness::Platform => Source::Platform,
         leaving::Witness::Operator => Source::Operator,
@@ -64,21 +64,21 @@
 
 fn read_address(text: capnp::text::Reader<'_>) -> Result<SocketAddr, capnp::Error> {
     let text = text.to_str()?;
-    text.parse().map_err(|_| capnp::Error::failed(format!("not an address: {text}")))
+    text.parse().map_err(|_| capnp::Error::failed(format!("invalid address: {text}")))
 }
 
-/// Writes news.
-pub fn write_notes(mut to: capnp::struct_list::Builder<'_, note::Owned>, from: &[Update]) {
-    for (index, note) in from.iter().enumerate() {
+/// Writes updates into a message.
+pub fn write_updates(mut to: capnp::struct_list::Builder<'_, note::Owned>, from: &[Update]) {
+    for (index, update) in from.iter().enumerate() {
         let mut slot = to.reborrow().get(index as u32);
-        match note {
+        match update {
             Update::Member(member) => write_member(slot.init_member(), member),
-            Update::Leaving { target, stamp: since, leaving, source: witness } => {
-                let mut word = slot.init_leaving();
-                word.set_target(target);
-                word.set_since(*since);
-                word.set_leaving(*leaving);
-                word.set_witness(write_witness(*witness));
+            Update::Leaving { target, stamp, leaving, source } => {
+                let mut notice = slot.init_leaving();
+                notice.set_target(target);
+                notice.set_since(*stamp);
+                notice.set_leaving(*leaving);
+                notice.set_witness(write_source(*source));
             }
             Update::JobCancelled(job) => slot.set_cancel(job),
             Update::Generation(generation) => slot.set_generation(*generation),
@@ -91,27 +91,27 @@
     }
 }
 
-/// Reads news.
+/// Reads updates from a message.
 ///
 /// # Errors
 ///
-/// What is wrong with the message.
-pub fn read_notes(
+/// The message is malformed.
+pub fn read_updates(
     from: capnp::struct_list::Reader<'_, note::Owned>,
 ) -> Result<Vec<Update>, capnp::Error> {
-    from.iter().map(read_note).collect()
+    from.iter().map(read_update).collect()
 }
 
-fn read_note(note: note::Reader<'_>) -> Result<Update, capnp::Error> {
-    match note.which()? {
+fn read_update(update: note::Reader<'_>) -> Result<Update, capnp::Error> {
+    match update.which()? {
         note::Which::Member(member) => Ok(Update::Member(read_member(member?)?)),
-        note::Which::Leaving(word) => {
-            let word = word?;
+        note::Which::Leaving(notice) => {
+            let notice = notice?;
             Ok(Update::Leaving {
-                target: word.get_target()?.to_string()?,
-                stamp: word.get_since(),
-                leaving: word.get_leaving(),
-                source: read_witness(word.get_witness()?),
+                target: notice.get_target()?.to_string()?,
+                stamp: notice.get_since(),
+                leaving: notice.get_leaving(),
+                source: read_source(notice.get_witness()?),
             })
         }
         note::Which::Cancel(job) => Ok(Update::JobCancelled(job?.to_string()?)),
--- a/crates/transport/src/peer/connection.rs
+++ b/crates/transport/src/peer/connection.rs
@@ -1,4 +1,4 @@
-//! A connection between two daemons, with its bytes counted.
+//! A capnp-rpc connection between two instances that counts its bytes.
 
 use capnp_rpc::{rpc_twoparty_capnp, twoparty};
 use futures_util::AsyncReadExt;
@@ -7,22 +7,24 @@
 use tokio::net::TcpStream;
 use tokio_util::compat::TokioAsyncReadCompatExt;
 
-/// Bytes moved between daemons, for metrics.
+/// Bytes exchanged with other instances, for metrics.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Bytes sent.
+    /// Bytes sent since the start of the process.
     pub sent: AtomicU64,
-    /// Bytes received.
+    /// Bytes received since the start of the process.
     pub received: AtomicU64,
 }
 
-/// One end of a connection as capnp-rpc sees it.
+/// One end of a capnp-rpc connection.
 pub type Network = twoparty::VatNetwork<
-    futures_util::io::BufReader<futures_util::io::ReadHalf<tokio_util::compat::Compat<Counted>>>,
+    futures_util::io::BufReader<
+        futures_util::io::ReadHalf<tokio_util::compat::Compat<CountedStream>>,
+    >,
 >;
 
-/// Makes one end; `None` when the connection has closed already.
-pub fn network(stream: Counted, side: rpc_twoparty_capnp::Side) -> Option<Network> {
+/// Wraps a stream for capnp-rpc; `None` if it is closed already.
+pub fn network(stream: CountedStream, side: rpc_twoparty_capnp::Side) -> Option<Network> {
     stream.stream.set_nodelay(true).ok()?;
     let (read, write) = stream.compat().split();
     let read = futures_util::io::BufReader::new(read);
@@ -30,15 +32,15 @@
     Some(twoparty::VatNetwork::new(read, write, side, capnp::message::ReaderOptions::new()))
 }
 
-/// A connection that counts its bytes.
-pub struct Counted {
-    /// The connection.
+/// A TCP stream that counts its bytes.
+pub struct CountedStream {
+    /// The underlying stream.
     pub stream: TcpStream,
-    /// Where its bytes are counted.
+    /// Counters, shared by all connections.
     pub traffic: Arc<Traffic>,
 }
 
-impl tokio::io::AsyncRead for Counted {
+impl tokio::io::AsyncRead for CountedStream {
     fn poll_read(
         mut self: std::pin::Pin<&mut Self>,
         cx: &mut std::task::Context<'_>,
@@ -52,7 +54,7 @@
     }
 }
 
-impl tokio::io::AsyncWrite for Counted {
+impl tokio::io::AsyncWrite for CountedStream {
     fn poll_write(
         mut self: std::pin::Pin<&mut Self>,
         cx: &mut std::task::Context<'_>,
--- a/crates/transport/src/peer/serve.rs
+++ b/crates/transport/src/peer/serve.rs
@@ -1,8 +1,8 @@
-//! Serves peers.
+//! Server for calls from other instances.
 
 use super::Handler;
-use super::codec::{read_member, read_notes, write_member, write_notes};
-use super::connection::{Counted, Traffic, network};
+use super::codec::{read_member, read_updates, write_member, write_updates};
+use super::connection::{CountedStream, Traffic, network};
 use crate::peer_capnp::peer;
 use capnp::capability::Rc;
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp};
@@ -22,11 +22,11 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let from = read_member(params.get_from()?)?;
-        let notes = read_notes(params.get_notes()?)?;
-        let (me, news) = self.handler.ping(from, notes).await;
-        let mut answer = results.get();
-        write_member(answer.reborrow().init_self(), &me);
-        write_notes(answer.init_notes(news.len() as u32), &news);
+        let updates = read_updates(params.get_notes()?)?;
+        let (local, outgoing) = self.handler.ping(from, updates).await;
+        let mut reply = results.get();
+        write_member(reply.reborrow().init_self(), &local);
+        write_updates(reply.init_notes(outgoing.len() as u32), &outgoing);
         Ok(())
     }
 
@@ -37,8 +37,8 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let body = params.get_body()?.to_vec();
-        let answer = self.handler.command(params.get_shard(), body).await;
-        results.get().set_body(&answer);
+        let reply = self.handler.command(params.get_shard(), body).await;
+        results.get().set_body(&reply);
         Ok(())
     }
 
@@ -48,10 +48,10 @@
         mut results: peer::EntriesResults,
     ) -> Result<(), capnp::Error> {
         let found = self.handler.entries(params.get()?.get_after()).await;
-        let mut answer = results.get();
-        answer.set_head(found.head);
-        answer.set_document(&found.document);
-        let mut list = answer.init_entries(found.entries.len() as u32);
+        let mut reply = results.get();
+        reply.set_head(found.head);
+        reply.set_document(&found.document);
+        let mut list = reply.init_entries(found.entries.len() as u32);
         for (index, entry) in found.entries.iter().enumerate() {
             list.set(index as u32, entry);
         }
@@ -75,8 +75,8 @@
         mut results: peer::AskResults,
     ) -> Result<(), capnp::Error> {
         let body = params.get()?.get_body()?.to_vec();
-        let answer = self.handler.ask(body).await;
-        results.get().set_body(&answer);
+        let reply = self.handler.ask(body).await;
+        results.get().set_body(&reply);
         Ok(())
     }
 
@@ -94,7 +94,8 @@
     }
 }
 
-/// Serves peers until `stop`. Runs inside a `LocalSet`.
+/// Serves calls from other instances until `stop` is cancelled. Must be called inside
+/// a `LocalSet`.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     handler: H,
@@ -111,15 +112,15 @@
         };
         let server = Server { handler: handler.clone() };
         let client: peer::Client = capnp_rpc::new_client(server);
-        let counted = Counted { stream, traffic: traffic.clone() };
+        let counted = CountedStream { stream, traffic: traffic.clone() };
         if let Some(network) = network(counted, rpc_twoparty_capnp::Side::Server) {
             let system = RpcSystem::new(Box::new(network), Some(client.client));
-            tokio::task::spawn_local(until(system, stop.clone()));
+            tokio::task::spawn_local(run_until(system, stop.clone()));
         }
     }
 }
 
-async fn until(system: RpcSystem<rpc_twoparty_capnp::Side>, stop: CancellationToken) {
+async fn run_until(system: RpcSystem<rpc_twoparty_capnp::Side>, stop: CancellationToken) {
     tokio::select! {
         _ = system => {}
         () = stop.cancelled() => {}
