--- a/crates/transport/src/target.rs
+++ b/crates/transport/src/target.rs
@@ -1,4 +1,4 @@
-//! Calls to targets: model engines and plain services.
+//! HTTP client for targets: model engines and plain services.
 
 use crate::partition::SimulatedPartition;
 use crate::sse::DataParser;
@@ -15,112 +15,116 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Set by a target that refuses because it is leaving.
+/// Response header set by a target that rejects a request because it is leaving.
 pub const LEAVING: &str = "gatespool-leaving";
 
-/// How a try ended that gave no whole answer.
+/// Why an attempt gave no complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptError {
-    /// What that means for trying again.
+    /// Whether the request may have run, which decides on a retry.
     pub failure: Failure,
-    /// Whether the target says that it is leaving.
+    /// Whether the target reported that it is leaving.
     pub leaving: bool,
-    /// Whether no answer came in time, rather than a bad one.
+    /// Whether the target did not respond in time.
     pub is_timeout: bool,
-    /// The reason.
+    /// Human-readable cause.
     pub message: String,
 }
 
 impl AttemptError {
-    /// A fault for the reason `message`.
+    /// Creates an error that is neither a timeout nor due to a leaving target.
     pub fn new(failure: Failure, message: impl Into<String>) -> AttemptError {
         AttemptError { failure, leaving: false, is_timeout: false, message: message.into() }
     }
 
-    fn silence(limit: Duration) -> AttemptError {
-        let message = format!("no answer in {limit:?}");
+    fn timeout(timeout: Duration) -> AttemptError {
+        let message = format!("no response within {timeout:?}");
         AttemptError { is_timeout: true, ..AttemptError::new(Failure::Unknown, message) }
     }
 }
 
-/// What goes along with a request.
+/// Metadata sent to the target with a request.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptMeta {
-    /// Id of this attempt.
+    /// Id of the attempt.
     pub attempt: u64,
-    /// Key of the request, for the target's own record.
+    /// Idempotency key of the request; may be empty.
     pub key: String,
-    /// 0 is online, 1 is batch.
+    /// 0 for online, 1 for batch.
     pub priority: u8,
-    /// Time left for the caller.
+    /// Time remaining until the caller's deadline.
     pub timeout: Duration,
 }
 
-/// What a target reports of itself.
+/// Load and state that a target reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Online requests running or waiting.
+    /// Number of running or queued online requests.
     pub online: u32,
-    /// Batch requests running or waiting.
+    /// Number of running or queued batch requests.
     pub batch: u32,
-    /// Whether it is leaving.
+    /// Whether the target is leaving.
     pub leaving: bool,
-    /// Model version loaded.
+    /// Loaded model version; empty if there is none.
     #[serde(default)]
     pub version: String,
-    /// Adapters loaded.
+    /// Loaded adapters.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// Whether an order is being carried out.
+    /// Whether the target is executing an order.
     #[serde(default)]
     pub busy: bool,
 }
 
-/// An order to a target.
+/// An order to a target: what to load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Model version to run.
+    /// Model version to load.
     pub version: String,
-    /// Adapters to hold.
+    /// Adapters to keep loaded.
     pub adapters: Vec<String>,
 }
 
-/// One piece of a streamed answer.
+/// One item of a streamed response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
     /// Text of one token.
     Token(String),
-    /// The answer is whole; this is why it ended.
+    /// End of a complete response, with its finish reason.
     End(String),
 }
 
-/// A client for all targets.
+/// HTTP client shared by all targets.
 #[derive(Clone)]
 pub struct Client {
     http: Http<HttpConnector, Full<Bytes>>,
     partition: SimulatedPartition,
-    idle: Duration,
+    idle_timeout: Duration,
 }
 
 impl Client {
-    /// A client that gives up on a connection after `connect`, and on a silent
-    /// stream after `idle`.
-    pub fn new(connect: Duration, idle: Duration, partition: SimulatedPartition) -> Client {
+    /// Creates a client. `idle_timeout` is the maximum time between two chunks of a
+    /// stream.
+    pub fn new(
+        connect_timeout: Duration,
+        idle_timeout: Duration,
+        partition: SimulatedPartition,
+    ) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(connect));
+        connector.set_connect_timeout(Some(connect_timeout));
         let http = Http::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(Duration::from_secs(30))
             .build(connector);
-        Client { http, partition, idle }
+        Client { http, partition, idle_timeout }
     }
 
     /// Starts a streamed chat completion.
     ///
     /// # Errors
     ///
-    /// How the try ended, when no stream began.
+    /// No stream was started.
     pub async fn chat(
         &self,
         to: SocketAddr,
@@ -132,22 +136,22 @@
         let builder = self.builder(to, Method::POST, "/v1/chat/completions", meta);
         let builder = builder.header("content-type", "application/json");
         let response = self.send(to, builder.body(Full::from(body)), meta.timeout).await?;
-        check(&response)?;
+        check_status(&response)?;
         Ok(Stream {
             body: response.into_body(),
             parser: DataParser::default(),
-            idle: self.idle,
-            finish: None,
+            idle_timeout: self.idle_timeout,
+            finish_reason: None,
             partition: self.partition.clone(),
             from: to,
         })
     }
 
-    /// Makes one call of a plain service.
+    /// Calls a plain service; returns the status, content type and body.
     ///
     /// # Errors
     ///
-    /// How the try ended, when no whole answer came.
+    /// There was no complete response, or the target rejected the request.
     pub async fn plain(
         &self,
         to: SocketAddr,
@@ -155,60 +159,60 @@
         meta: &AttemptMeta,
     ) -> Result<(StatusCode, String, Bytes), AttemptError> {
         let mut builder = self.builder(to, call.method, &call.path, meta);
-        if let Some(kind) = call.headers.get("content-type") {
-            builder = builder.header("content-type", kind);
+        if let Some(content_type) = call.headers.get("content-type") {
+            builder = builder.header("content-type", content_type);
         }
         let response = self.send(to, builder.body(Full::new(call.body)), meta.timeout).await?;
-        if is_refusal(&response) {
-            check(&response)?;
+        if is_rejection(&response) {
+            check_status(&response)?;
         }
         let status = response.status();
-        let kind = text(response.headers(), "content-type");
+        let content_type = header_text(response.headers(), "content-type");
         let body = tokio::time::timeout(meta.timeout, response.into_body().collect()).await;
         let body =
-            body.map_err(|_| AttemptError::new(Failure::Unknown, "no whole answer in time"))?;
+            body.map_err(|_| AttemptError::new(Failure::Unknown, "response body timed out"))?;
         let body = body.map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))?;
-        Ok((status, kind, body.to_bytes()))
+        Ok((status, content_type, body.to_bytes()))
     }
 
-    /// Asks a target how it is.
+    /// Fetches the load report of a target.
     ///
     /// # Errors
     ///
-    /// How the call failed.
+    /// The request failed, or the report is malformed.
     pub async fn load_report(
         &self,
         to: SocketAddr,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<LoadReport, AttemptError> {
-        let meta = AttemptMeta { timeout: limit, ..AttemptMeta::default() };
+        let meta = AttemptMeta { timeout, ..AttemptMeta::default() };
         let builder = self.builder(to, Method::GET, "/load", &meta);
-        let response = self.send(to, builder.body(Full::default()), limit).await?;
-        let body = tokio::time::timeout(limit, response.into_body().collect()).await;
-        let body = body.map_err(|_| AttemptError::silence(limit))?;
+        let response = self.send(to, builder.body(Full::default()), timeout).await?;
+        let body = tokio::time::timeout(timeout, response.into_body().collect()).await;
+        let body = body.map_err(|_| AttemptError::timeout(timeout))?;
         let body = body.map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))?;
         serde_json::from_slice(&body.to_bytes())
             .map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))
     }
 
-    /// Gives a target an order under a fencing number.
+    /// Sends an order to a target.
     ///
     /// # Errors
     ///
-    /// How the call failed; a refusal means that the number is old.
+    /// The request failed; [`Failure::Refused`] if the fencing token is outdated.
     pub async fn order(
         &self,
         to: SocketAddr,
         order: &Order,
-        fence: u64,
-        limit: Duration,
+        fencing_token: u64,
+        timeout: Duration,
     ) -> Result<(), AttemptError> {
-        let meta = AttemptMeta { timeout: limit, ..AttemptMeta::default() };
+        let meta = AttemptMeta { timeout, ..AttemptMeta::default() };
         let body = serde_json::to_vec(order).unwrap_or_default();
         let builder = self.builder(to, Method::POST, "/order", &meta);
-        let builder = builder.header(header::FENCING_TOKEN, fence.to_string());
-        let response = self.send(to, builder.body(Full::from(body)), limit).await?;
-        check(&response)
+        let builder = builder.header(header::FENCING_TOKEN, fencing_token.to_string());
+        let response = self.send(to, builder.body(Full::from(body)), timeout).await?;
+        check_status(&response)
     }
 
     fn builder(
@@ -231,97 +235,100 @@
         &self,
         to: SocketAddr,
         request: hyper::http::Result<Request<Full<Bytes>>>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response<Incoming>, AttemptError> {
         let request = request.map_err(|e| AttemptError::new(Failure::NotSent, e.to_string()))?;
         if self.partition.is_unreachable(to, Instant::now()) {
-            return Err(AttemptError::new(Failure::NotSent, "cut off"));
+            return Err(AttemptError::new(Failure::NotSent, "unreachable (simulated partition)"));
         }
-        match tokio::time::timeout(limit, self.http.request(request)).await {
+        match tokio::time::timeout(timeout, self.http.request(request)).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if error.is_connect() => {
                 Err(AttemptError::new(Failure::NotSent, error.to_string()))
             }
             Ok(Err(error)) => Err(AttemptError::new(Failure::Unknown, error.to_string())),
-            Err(_) => Err(AttemptError::silence(limit)),
+            Err(_) => Err(AttemptError::timeout(timeout)),
         }
     }
 }
 
-/// A call to a plain service.
+/// A request to a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainCall {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers of the caller.
+    /// Headers of the caller; only `content-type` is forwarded.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete request body.
     pub body: Bytes,
 }
 
-fn text(headers: &HeaderMap, name: &str) -> String {
+fn header_text(headers: &HeaderMap, name: &str) -> String {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
 }
 
-/// A target's own word that it didn't run the request.
-fn is_refusal<B>(response: &Response<B>) -> bool {
+/// Whether the target reports that it didn't run the request.
+fn is_rejection<B>(response: &Response<B>) -> bool {
     let status = response.status();
     status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS
 }
 
-fn check<B>(response: &Response<B>) -> Result<(), AttemptError> {
+fn check_status<B>(response: &Response<B>) -> Result<(), AttemptError> {
     let status = response.status();
     if status.is_success() {
         return Ok(());
     }
-    let refused = is_refusal(response) || status == StatusCode::CONFLICT;
-    let failure = if refused { Failure::Refused } else { Failure::Unknown };
+    let rejected = is_rejection(response) || status == StatusCode::CONFLICT;
+    let failure = if rejected { Failure::Refused } else { Failure::Unknown };
     let leaving = response.headers().contains_key(LEAVING);
-    let message = format!("the target answered {status}");
+    let message = format!("the target responded with {status}");
     Err(AttemptError { leaving, ..AttemptError::new(failure, message) })
 }
 
-/// A streamed answer.
+/// A streamed response.
 #[derive(Debug)]
 pub struct Stream {
     body: Incoming,
     parser: DataParser,
-    idle: Duration,
-    finish: Option<String>,
+    idle_timeout: Duration,
+    finish_reason: Option<String>,
     partition: SimulatedPartition,
     from: SocketAddr,
 }
 
 impl Stream {
-    /// The next piece. An answer is whole only when its reason *and* the closing
-    /// event came; a connection that ends before that is a fault, however
-    /// complete the text looks.
+    /// Returns the next item. A response is complete only after a finish reason and
+    /// the terminating event; a connection that closes earlier is an error, even if
+    /// the text looks complete.
     ///
     /// # Errors
     ///
-    /// How the stream broke off.
+    /// The stream was interrupted.
     pub async fn next(&mut self) -> Result<StreamItem, AttemptError> {
         loop {
             while let Some(data) = self.parser.next_data() {
-                if let Some(piece) = self.read(&data)? {
-                    return Ok(piece);
+                if let Some(item) = self.decode(&data)? {
+                    return Ok(item);
                 }
             }
             if self.partition.is_unreachable(self.from, Instant::now()) {
-                return Err(AttemptError::new(Failure::Unknown, "cut off"));
+                return Err(AttemptError::new(
+                    Failure::Unknown,
+                    "unreachable (simulated partition)",
+                ));
             }
-            self.fill().await?;
+            self.read_frame().await?;
         }
     }
 
-    fn read(&mut self, data: &str) -> Result<Option<StreamItem>, AttemptError> {
+    fn decode(&mut self, data: &str) -> Result<Option<StreamItem>, AttemptError> {
         if data == DONE {
-            let finish = self.finish.take();
-            let finish =
-                finish.ok_or_else(|| AttemptError::new(Failure::Unknown, "no finish reason"))?;
-            return Ok(Some(StreamItem::End(finish)));
+            let finish_reason = self.finish_reason.take();
+            let finish_reason = finish_reason
+                .ok_or_else(|| AttemptError::new(Failure::Unknown, "no finish reason"))?;
+            return Ok(Some(StreamItem::End(finish_reason)));
         }
         let chunk: Chunk = serde_json::from_str(data)
             .map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))?;
@@ -329,22 +336,29 @@
             return Ok(None);
         };
         if choice.finish_reason.is_some() {
-            self.finish = choice.finish_reason;
+            self.finish_reason = choice.finish_reason;
         }
         Ok(choice.delta.content.filter(|text| !text.is_empty()).map(StreamItem::Token))
     }
 
-    async fn fill(&mut self) -> Result<(), AttemptError> {
-        let frame = tokio::time::timeout(self.idle, self.body.frame()).await;
+    async fn read_frame(&mut self) -> Result<(), AttemptError> {
+        let frame = tokio::time::timeout(self.idle_timeout, self.body.frame()).await;
         let frame = frame.map_err(|_| {
-            AttemptError::new(Failure::Unknown, format!("silent for {:?}", self.idle))
+            AttemptError::new(Failure::Unknown, format!("no data for {:?}", self.idle_timeout))
         })?;
         let Some(frame) = frame else {
-            return Err(AttemptError::new(Failure::Unknown, "the stream ended early"));
+            return Err(AttemptError::new(
+                Failure::Unknown,
+                "the stream ended before its last event",
+            ));
         };
         let frame =
             frame.map_err(|error| AttemptError::new(Failure::Unknown, error.to_string()))?;
-        let fits = frame.data_ref().is_none_or(|bytes| self.parser.push(bytes));
-        if fits { Ok(()) } else { Err(AttemptError::new(Failure::Unknown, "an event is too long")) }
+        let is_within_limit = frame.data_ref().is_none_or(|bytes| self.parser.push(bytes));
+        if is_within_limit {
+            Ok(())
+        } else {
+            Err(AttemptError::new(Failure::Unknown, "an event is too long"))
+        }
     }
 }
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -1,13 +1,11 @@
-//! HTTP connections that this instance opens, one exchange at a time on each.
+//! HTTP/1 client pool for targets and the platform.
 //!
-//! For targets and for the platform alike. What it gives over a ready client
-//! pool is certainty about what was sent: a [`SendError`] says whether a byte of
-//! the request can have left, an exchange that is dropped resets its connection
-//! at once (which is how a target learns that nobody waits any more, and what is
-//! still on its way is dropped with it), and a
-//! connection is used again only after a whole answer with nothing behind it.
+//! Unlike general-purpose pools, it tells exactly what was sent: a [`SendError`]
+//! says whether any byte of the request may have left, a dropped exchange resets
+//! its connection at once, discarding unsent data, and a connection is reused
+//! only after a complete response.
 //!
-//! It doesn't retry and doesn't choose; it lives inside a `LocalSet`.
+//! It doesn't retry, and must be used inside a `LocalSet`.
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), transport::upstream::SendError> {
@@ -41,17 +39,17 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// How connections are opened and kept.
+/// Settings of a connection pool.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Longest wait for a connection to come up.
+    /// Maximum time to open a connection.
     pub connect_timeout: Duration,
-    /// Longest rest of a connection whose peer doesn't tell when it closes it.
+    /// Maximum idle time of a connection whose server announces no `Keep-Alive` timeout.
     pub idle_timeout: Duration,
-    /// How much earlier than the peer's own time a resting connection is given
-    /// up, so that a request doesn't cross the peer's close.
+    /// Subtracted from the server's `Keep-Alive` timeout, so that a request isn't sent
+    /// while the server closes the connection.
     pub idle_margin: Duration,
-    /// Most connections kept at rest for each address.
+    /// Maximum number of idle connections per address.
     pub max_idle_per_host: usize,
 }
 
@@ -66,12 +64,12 @@
     }
 }
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// The request left, at least in part, and no answer came.
+    /// The request was sent at least in part, but there is no response.
     OutcomeUnknown(String),
 }
 
@@ -79,29 +77,28 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             SendError::NotSent(text) => write!(f, "not sent: {text}"),
-            SendError::OutcomeUnknown(text) => write!(f, "sent, no answer: {text}"),
+            SendError::OutcomeUnknown(text) => write!(f, "sent, no response: {text}"),
         }
     }
 }
 
 impl std::error::Error for SendError {}
 
-/// What an attempt to connect says of a target.
+/// Result of a TCP connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It takes connections.
+    /// A connection was established.
     Listening,
-    /// Its machine answers that nobody listens there: the process is gone.
+    /// The connection was refused: no process listens on the address.
     Refused,
-    /// Nothing tells: no answer in time, or another failure.
+    /// The attempt timed out or failed otherwise.
     Unknown,
 }
 
-/// A task that ends with its owner; here, the task that drives a connection.
 #[derive(Debug)]
-struct Driver(JoinHandle<()>);
+struct AbortOnDrop(JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -110,53 +107,53 @@
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    // Held so that dropping the connection closes its socket.
-    _driver: Driver,
+    // Owns the socket; dropping the connection closes it.
+    _driver: AbortOnDrop,
 }
 
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    expires: Instant,
 }
 
-type Shelf = Rc<RefCell<HashMap<SocketAddr, Vec<Resting>>>>;
+type IdleConnections = Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>;
 
-/// Connections by address.
+/// Pool of connections by address; clones share it.
 #[derive(Clone, Debug)]
 pub struct Pool {
     settings: Settings,
-    shelf: Shelf,
+    idle: IdleConnections,
     opened: Rc<Cell<u64>>,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(settings: Settings) -> Pool {
-        Pool { settings, shelf: Shelf::default(), opened: Rc::default() }
+        Pool { settings, idle: IdleConnections::default(), opened: Rc::default() }
     }
 
-    /// Connections opened so far.
+    /// Number of connections opened since the pool was created.
     pub fn connections_opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Closes the connections at rest to addresses that `keep` refuses.
+    /// Closes idle connections to addresses for which `keep` returns `false`.
     pub fn retain_idle(&self, keep: impl Fn(SocketAddr) -> bool) {
-        self.shelf.borrow_mut().retain(|address, _| keep(*address));
+        self.idle.borrow_mut().retain(|address, _| keep(*address));
     }
 
-    /// Closes the connections at rest to an address: another process listens there now.
+    /// Closes idle connections to an address, such as after a restart of its process.
     pub fn close_idle(&self, address: SocketAddr) {
-        self.shelf.borrow_mut().remove(&address);
+        self.idle.borrow_mut().remove(&address);
     }
 
-    /// Sends a request and waits for the head of its answer. Dropping the
-    /// future, or the exchange that it gives, resets the connection.
+    /// Sends a request and waits for the head of its response. Dropping the
+    /// future or the returned exchange resets the connection.
     ///
     /// # Errors
     ///
-    /// Whether the request can have left.
+    /// There is no response; the variant says whether the request may have been sent.
     pub async fn send(
         &self,
         to: SocketAddr,
@@ -164,9 +161,9 @@
     ) -> Result<Exchange, SendError> {
         let mut request = request;
         loop {
-            let rested = self.take(to, clock::now());
-            let is_rested = rested.is_some();
-            let mut connection = match rested {
+            let idle = self.take_idle(to, clock::now());
+            let is_reused = idle.is_some();
+            let mut connection = match idle {
                 Some(connection) => connection,
                 None => self.open(to).await?,
             };
@@ -174,12 +171,12 @@
                 Ok(response) => {
                     let (head, body) = response.into_parts();
                     let pool = self.clone();
-                    let kept = Some(connection);
-                    return Ok(Exchange { to, head, body, kept, pool, ended: false });
+                    let connection = Some(connection);
+                    return Ok(Exchange { to, head, body, connection, pool, is_at_end: false });
                 }
                 Err(mut error) => match error.take_message() {
-                    // The peer closed it while it rested; nothing left.
-                    Some(back) if is_rested => request = back,
+                    // The server closed the idle connection; nothing was sent.
+                    Some(unsent) if is_reused => request = unsent,
                     Some(_) => return Err(SendError::NotSent(error.error().to_string())),
                     None => return Err(SendError::OutcomeUnknown(error.error().to_string())),
                 },
@@ -187,31 +184,31 @@
         }
     }
 
-    fn take(&self, to: SocketAddr, now: Instant) -> Option<Connection> {
-        let mut shelf = self.shelf.borrow_mut();
-        let resting = shelf.get_mut(&to)?;
-        while let Some(last) = resting.pop() {
-            if now < last.until && last.connection.sender.is_ready() {
+    fn take_idle(&self, to: SocketAddr, now: Instant) -> Option<Connection> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&to)?;
+        while let Some(last) = connections.pop() {
+            if now < last.expires && last.connection.sender.is_ready() {
                 return Some(last.connection);
             }
         }
         None
     }
 
-    fn put(&self, to: SocketAddr, connection: Connection, headers: &HeaderMap, now: Instant) {
-        let Some(rest) = rest(headers, self.settings) else {
+    fn put_idle(&self, to: SocketAddr, connection: Connection, headers: &HeaderMap, now: Instant) {
+        let Some(idle_timeout) = idle_timeout(headers, self.settings) else {
             return;
         };
-        let mut shelf = self.shelf.borrow_mut();
-        let resting = shelf.entry(to).or_default();
-        resting.retain(|old| now < old.until && !old.connection.sender.is_closed());
-        if resting.len() < self.settings.max_idle_per_host {
-            resting.push(Resting { connection, until: now + rest });
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(to).or_default();
+        connections.retain(|old| now < old.expires && !old.connection.sender.is_closed());
+        if connections.len() < self.settings.max_idle_per_host {
+            connections.push(IdleConnection { connection, expires: now + idle_timeout });
         }
     }
 
-    /// Whether anybody listens at `to`; a connection that comes up rests for the next
-    /// request.
+    /// Checks whether a process listens on an address. An established connection is
+    /// kept for the next request.
     pub async fn probe(&self, to: SocketAddr) -> ProbeResult {
         let stream = match self.connect(to).await {
             Ok(stream) => stream,
@@ -220,9 +217,9 @@
             }
             Err(_) => return ProbeResult::Unknown,
         };
-        match self.establish(stream).await {
+        match self.handshake(stream).await {
             Ok(connection) => {
-                self.put(to, connection, &HeaderMap::new(), clock::now());
+                self.put_idle(to, connection, &HeaderMap::new(), clock::now());
                 ProbeResult::Listening
             }
             Err(_) => ProbeResult::Unknown,
@@ -232,86 +229,85 @@
     async fn connect(&self, to: SocketAddr) -> std::io::Result<TcpStream> {
         let connect = tokio::time::timeout(self.settings.connect_timeout, TcpStream::connect(to));
         connect.await.unwrap_or_else(|_| {
-            Err(std::io::Error::new(ErrorKind::TimedOut, "took no connection in time"))
+            Err(std::io::Error::new(ErrorKind::TimedOut, "connection timed out"))
         })
     }
 
     async fn open(&self, to: SocketAddr) -> Result<Connection, SendError> {
         match self.connect(to).await {
-            Ok(stream) => self.establish(stream).await,
+            Ok(stream) => self.handshake(stream).await,
             Err(error) => Err(SendError::NotSent(format!("{to}: {error}"))),
         }
     }
 
-    async fn establish(&self, stream: TcpStream) -> Result<Connection, SendError> {
+    async fn handshake(&self, stream: TcpStream) -> Result<Connection, SendError> {
         stream.set_nodelay(true).map_err(|error| SendError::NotSent(error.to_string()))?;
-        // Closing resets. An orderly close has the system deliver what was sent, for
-        // as long as a cut lasts: a request that was given up, and even promised not
-        // to run any more, reached its target 5.7 s later in a replay of such a cut.
+        // Close with a reset: an orderly close would still deliver buffered data, so an
+        // abandoned request could reach its target after a network partition.
         stream.set_zero_linger().map_err(|error| SendError::NotSent(error.to_string()))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|error| SendError::NotSent(error.to_string()))?;
         self.opened.set(self.opened.get() + 1);
         let driver = tokio::task::spawn_local(async move {
-            // How the connection ended shows in the exchange that used it.
-            let _ended = connection.await;
+            // The exchange that uses the connection reports errors.
+            let _result = connection.await;
         });
-        Ok(Connection { sender, _driver: Driver(driver) })
+        Ok(Connection { sender, _driver: AbortOnDrop(driver) })
     }
 }
 
-/// How long a connection may rest after an answer with these headers; `None`
-/// when the peer closes it.
-fn rest(headers: &HeaderMap, settings: Settings) -> Option<Duration> {
+/// Idle timeout of a connection after a response with these headers; `None` if the
+/// server closes it.
+fn idle_timeout(headers: &HeaderMap, settings: Settings) -> Option<Duration> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let closes = |value: &str| value.split(',').any(|p| p.trim().eq_ignore_ascii_case("close"));
     if text("connection").is_some_and(closes) {
         return None;
     }
-    let told = text("keep-alive").and_then(|value| {
+    let keep_alive = text("keep-alive").and_then(|value| {
         let parts = value.split(',').filter_map(|part| part.trim().split_once('='));
         let mut timeout = parts.filter(|(key, _)| key.eq_ignore_ascii_case("timeout"));
         timeout.next().and_then(|(_, seconds)| seconds.trim().parse::<u64>().ok())
     });
-    match told {
+    match keep_alive {
         None => Some(settings.idle_timeout),
         Some(seconds) => Duration::from_secs(seconds).checked_sub(settings.idle_margin),
     }
 }
 
-/// One answer as it comes.
+/// A request in progress whose response head has been received.
 #[derive(Debug)]
 pub struct Exchange {
     to: SocketAddr,
     head: Parts,
     body: Incoming,
-    kept: Option<Connection>,
+    connection: Option<Connection>,
     pool: Pool,
-    ended: bool,
+    is_at_end: bool,
 }
 
 impl Exchange {
-    /// Status and headers of the answer.
+    /// Status and headers of the response.
     pub fn head(&self) -> &Parts {
         &self.head
     }
 
-    /// Whether the end of the body can be told from a connection that closes early.
+    /// Whether the end of the body is distinguishable from a connection closed early.
     pub fn has_body_framing(&self) -> bool {
         let headers = &self.head.headers;
         headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
     }
 
-    /// The next piece of the body; `None` at its end, after which the
-    /// connection rests for the next request.
+    /// Returns the next chunk of the body, or `None` at its end, when the connection
+    /// is returned to the pool.
     ///
     /// # Errors
     ///
-    /// How the answer broke off.
+    /// The response was interrupted.
     pub async fn next(&mut self) -> Result<Option<Bytes>, String> {
         loop {
-            if self.ended {
+            if self.is_at_end {
                 return Ok(None);
             }
             match self.body.frame().await {
@@ -320,33 +316,33 @@
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if data.is_empty() => {}
                     Ok(data) => return Ok(Some(data)),
-                    // Trailers say nothing here.
+                    // Trailers are ignored.
                     Err(_) => {}
                 },
             }
         }
     }
 
-    /// The rest of the body, of at most `limit` bytes.
+    /// Reads the rest of the body.
     ///
     /// # Errors
     ///
-    /// How the answer broke off, or that it is too long.
-    pub async fn read_to_end(&mut self, limit: usize) -> Result<Bytes, String> {
-        let mut whole = bytes::BytesMut::new();
-        while let Some(piece) = self.next().await? {
-            if whole.len() + piece.len() > limit {
-                return Err(format!("the answer is over {limit} bytes"));
+    /// The response was interrupted, or the rest exceeds `max_bytes`.
+    pub async fn read_to_end(&mut self, max_bytes: usize) -> Result<Bytes, String> {
+        let mut buffer = bytes::BytesMut::new();
+        while let Some(chunk) = self.next().await? {
+            if buffer.len() + chunk.len() > max_bytes {
+                return Err(format!("the response exceeds {max_bytes} bytes"));
             }
-            whole.extend_from_slice(&piece);
+            buffer.extend_from_slice(&chunk);
         }
-        Ok(whole.freeze())
+        Ok(buffer.freeze())
     }
 
     fn finish(&mut self) {
-        self.ended = true;
-        if let Some(connection) = self.kept.take() {
-            self.pool.put(self.to, connection, &self.head.headers, clock::now());
+        self.is_at_end = true;
+        if let Some(connection) = self.connection.take() {
+            self.pool.put_idle(self.to, connection, &self.head.headers, clock::now());
         }
     }
 }
--- a/crates/transport/tests/clock.rs
+++ b/crates/transport/tests/clock.rs
@@ -1,25 +1,25 @@
-//! The clock that counts suspensions.
+//! The clock that includes suspensions.
 
 use std::time::{Duration, Instant};
 use transport::clock;
 
-/// One test: what is pretended holds for the whole process.
+// The only test in this file, as a simulated suspension affects the whole process.
 #[test]
-fn the_clock_counts_what_was_slept_and_never_runs_back() {
+fn clock_is_monotonic_and_includes_simulated_suspension() {
     let file = std::env::temp_dir().join(format!("gatespool-clock-{}", std::process::id()));
-    std::fs::write(&file, "0").expect("a file");
+    std::fs::write(&file, "0").expect("write suspension file");
     clock::simulate_suspension(file.clone());
-    let (steady, counting) = (Instant::now(), clock::now());
-    let mut last = counting;
+    let (monotonic, start) = (Instant::now(), clock::now());
+    let mut last = start;
     for _ in 0..1_000 {
         let now = clock::now();
         assert!(now >= last);
         last = now;
     }
-    std::fs::write(&file, "20000").expect("a file");
+    std::fs::write(&file, "20000").expect("write suspension file");
     std::thread::sleep(Duration::from_millis(50));
-    let asleep = clock::since(counting).saturating_sub(steady.elapsed());
-    assert!(asleep > Duration::from_millis(19_900), "{asleep:?}");
-    assert!(asleep < Duration::from_millis(20_100), "{asleep:?}");
-    std::fs::remove_file(&file).expect("the file is there");
+    let suspended = clock::since(start).saturating_sub(monotonic.elapsed());
+    assert!(suspended > Duration::from_millis(19_900), "{suspended:?}");
+    assert!(suspended < Duration::from_millis(20_100), "{suspended:?}");
+    std::fs::remove_file(&file).expect("remove suspension file");
 }
--- a/crates/transport/tests/upstream.rs
+++ b/crates/transport/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to targets and to the platform, as their other end sees them.
+//! The client pool as seen from the server's end of a connection.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -8,45 +8,44 @@
 use tokio::task::LocalSet;
 use transport::upstream::{Pool, Settings};
 
-/// Longest wait of the other end.
-const LIMIT: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs `client` on a thread of its own kind, as the pool needs it.
+/// Runs `client` inside a `LocalSet`, as the pool requires.
 fn block_on(client: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), client);
+    LocalSet::new().block_on(&runtime.expect("create runtime"), client);
 }
 
-/// Reads the head of a request.
-fn read_head(connection: &mut TcpStream) {
-    connection.set_read_timeout(Some(LIMIT)).expect("a time limit");
+fn read_request_head(connection: &mut TcpStream) {
+    connection.set_read_timeout(Some(READ_TIMEOUT)).expect("set read timeout");
     let mut head = Vec::new();
     let mut byte = [0_u8];
     while !head.ends_with(b"\r\n\r\n") {
-        connection.read_exact(&mut byte).expect("a request");
+        connection.read_exact(&mut byte).expect("read request head");
         head.push(byte[0]);
     }
 }
 
-/// Regression: a request that was given up lay in the system's send queue during a
-/// cut and reached its target seconds after the promise that it wouldn't run.
+/// Regression test: after a network partition, the socket's send buffer delivered an
+/// abandoned request that had been reported as not run.
 #[test]
-fn a_request_that_is_given_up_is_reset_with_all_that_is_on_its_way() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+fn connection_is_reset_when_request_is_abandoned() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind listener");
+    let address = listener.local_addr().expect("local address");
     let target = std::thread::spawn(move || {
-        let (mut connection, _) = listener.accept().expect("a connection");
-        read_head(&mut connection);
+        let (mut connection, _) = listener.accept().expect("accept connection");
+        read_request_head(&mut connection);
         connection.read(&mut [0_u8; 16]).map_err(|error| error.kind())
     });
     block_on(async move {
         let pool = Pool::new(Settings::default());
-        let request = hyper::Request::get("/slow").body(Full::new(Bytes::new())).expect("one");
-        let sent = pool.send(address, request);
-        let given_up = tokio::time::timeout(Duration::from_millis(100), sent).await;
-        assert!(given_up.is_err(), "no answer was sent");
-        // Its driver's task ends at the next turn.
+        let request =
+            hyper::Request::get("/slow").body(Full::new(Bytes::new())).expect("build request");
+        let response = pool.send(address, request);
+        let abandoned = tokio::time::timeout(Duration::from_millis(100), response).await;
+        assert!(abandoned.is_err(), "the target sent no response");
+        // Lets the connection's driver task end.
         tokio::time::sleep(Duration::from_millis(50)).await;
     });
-    assert_eq!(target.join().expect("the target"), Err(ErrorKind::ConnectionReset));
+    assert_eq!(target.join().expect("target thread"), Err(ErrorKind::ConnectionReset));
 }
