--- a/crates/daemon/examples/trial.rs
+++ b/crates/daemon/examples/trial.rs
@@ -45,7 +45,7 @@
         let settings = Settings {
             data_centre: centre.into(),
             platform_address: platform.address,
-            platform_rate: 1000.0,
+            platform_calls_per_second: 1000.0,
             seeds: daemons.iter().map(|daemon| daemon.peer).collect(),
             stop_grace: Duration::from_millis(200),
             ..Settings::default()
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -250,14 +250,14 @@
     while !stop.is_cancelled() {
         if shared.settings.is_guard_disabled("revert") {
             drop(read_unguarded(&shared).await);
-            tokio::time::sleep(shared.settings.platform_poll).await;
+            tokio::time::sleep(shared.settings.platform_poll_interval).await;
             continue;
         }
         if !shared.is_watcher() {
             tokio::time::sleep(REST).await;
             continue;
         }
-        let poll = shared.settings.platform_poll;
+        let poll = shared.settings.platform_poll_interval;
         // A watch may be silent and dead, so the head is read as well.
         if polled.is_none_or(|at| at.elapsed() >= poll) {
             polled = Some(Instant::now());
@@ -291,7 +291,8 @@
 /// Reads the platform's list of leaving targets until `stop`.
 async fn follow_list(shared: Arc<Shared>, stop: CancellationToken) {
     while !stop.is_cancelled() {
-        let wait = shared.settings.platform_poll.mul_f64(0.75 + rand::random::<f64>() / 2.0);
+        let wait =
+            shared.settings.platform_poll_interval.mul_f64(0.75 + rand::random::<f64>() / 2.0);
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
             () = stop.cancelled() => return,
@@ -315,7 +316,7 @@
 async fn follow_targets(shared: Arc<Shared>, client: Client, stop: CancellationToken) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(shared.settings.target_poll) => {}
+            () = tokio::time::sleep(shared.settings.target_poll_interval) => {}
             () = stop.cancelled() => return,
         }
         let view = shared.view();
--- a/crates/daemon/src/front/chat.rs
+++ b/crates/daemon/src/front/chat.rs
@@ -36,7 +36,7 @@
 ) -> Result<Response, Error> {
     let arrived = Instant::now();
     let settings = &front.shared.settings;
-    let body = http::read_body(&mut body, settings.body_limit, settings.body_timeout).await?;
+    let body = http::read_body(&mut body, settings.max_body_bytes, settings.body_timeout).await?;
     let request: Request = serde_json::from_slice(&body)
         .map_err(|error| Error::new(Kind::Malformed, format!("body: {error}")))?;
     let (service, wanted) = parse_model(&request);
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -157,7 +157,7 @@
         self.digest.update(b"\n");
         self.digest.update(line);
         let over = self.bytes + line.len() > object_key::MAX_VALUE_BYTES / 2;
-        if over || self.chunk.items.len() >= self.shared.settings.chunk_items {
+        if over || self.chunk.items.len() >= self.shared.settings.max_chunk_items {
             self.flush().await?;
         }
         if self.chunk.items.is_empty() {
--- a/crates/daemon/src/front/plain.rs
+++ b/crates/daemon/src/front/plain.rs
@@ -26,7 +26,7 @@
     mut body: B,
 ) -> Result<Response, Error> {
     let settings = &front.shared.settings;
-    let body = http::read_body(&mut body, settings.body_limit, settings.body_timeout).await?;
+    let body = http::read_body(&mut body, settings.max_body_bytes, settings.body_timeout).await?;
     let (service, repeatable, deadline) = {
         let view = front.shared.view();
         let bound = view.plain(&head.path);
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -287,7 +287,7 @@
 }
 
 fn byte_limit(node: &Node, ratio: f64) -> usize {
-    (node.settings.value_bytes as f64 * ratio) as usize
+    (node.settings.max_value_bytes as f64 * ratio) as usize
 }
 
 /// Splits a list into runs whose encoded form has at most `max_bytes` bytes each. A larger
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -54,7 +54,7 @@
     let mut reload = signal(SignalKind::hangup()).context("SIGHUP")?;
     let front = bind(settings.front_address)?;
     let ready = settings.ready_address.map(bind).transpose()?;
-    let metrics = settings.metrics_listen.map(bind).transpose()?;
+    let metrics = settings.metrics_listen_address.map(bind).transpose()?;
     let peer = bind(settings.peer_address)?;
     let me = start::member(&settings, front.local_addr()?, peer.local_addr()?);
     let partition = SimulatedPartition::new(settings.partition_file.clone());
@@ -121,7 +121,7 @@
     node.stopping.cancel();
     node.members.borrow_mut().leave();
     node.membership_changed.notify_one();
-    let bound = node.settings.stop_bound.saturating_sub(STOP_MARGIN);
+    let bound = node.settings.max_stop_duration.saturating_sub(STOP_MARGIN);
     let plan = Plan { grace: node.settings.stop_grace, max_duration: bound };
     let over = spawn_local({
         let node = node.clone();
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -48,7 +48,7 @@
 impl PlatformStore {
     /// Connects to the platform named in the settings.
     pub fn new(settings: &Settings, log: Logger) -> PlatformStore {
-        let min_outage = settings.entry_heartbeat.mul_f64(EXPIRY_HEARTBEATS);
+        let min_outage = settings.entry_heartbeat_interval.mul_f64(EXPIRY_HEARTBEATS);
         PlatformStore {
             store: Store::new(settings.platform_address, settings.platform_timeout),
             calls: RefCell::default(),
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -67,7 +67,7 @@
     let (store, platform) = store::duty(store::Config {
         address: settings.platform_address,
         timeout: settings.platform_timeout,
-        rate: settings.platform_rate,
+        rate: settings.platform_calls_per_second,
         partition: partition.clone(),
     });
     let (shards, items) = shards::duty(&settings);
@@ -194,7 +194,7 @@
     /// Waits for a planned stop and goes through its phases.
     pub fn join(self) {
         let settings = &self.shared.settings;
-        let plan = Plan { grace: settings.stop_grace, max_duration: settings.stop_bound };
+        let plan = Plan { grace: settings.stop_grace, max_duration: settings.max_stop_duration };
         loop {
             std::thread::sleep(STOP_LOOK);
             let Some(since) = *lock(&self.shared.stopping) else {
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -81,7 +81,7 @@
     /// `[front] ready`: separate address for readiness checks, if any.
     pub ready_address: Option<SocketAddr>,
     /// `[front] body_limit`: maximum size of an online request in bytes.
-    pub body_limit: usize,
+    pub max_body_bytes: usize,
     /// `[front] body_timeout_ms`: maximum time in which a caller sends a body.
     pub body_timeout: Duration,
     /// `[front] threads`: number of threads that serve callers.
@@ -102,13 +102,13 @@
     pub platform_timeout: Duration,
     /// `[platform] entry_heartbeat_ms`: time between the writes with which a target
     /// renews its registry entry; the entry expires after three missed writes.
-    pub entry_heartbeat: Duration,
+    pub entry_heartbeat_interval: Duration,
     /// `[platform] value_bytes`: maximum size in bytes of an object on the platform.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// `[platform] calls_per_second`: rate limit of this instance's calls to the platform.
-    pub platform_rate: f64,
+    pub platform_calls_per_second: f64,
     /// `[platform] poll_ms`: time between reads of the configuration head.
-    pub platform_poll: Duration,
+    pub platform_poll_interval: Duration,
     /// `[log] shards`: number of shards of the durable log; equal on all instances.
     pub shards: u32,
     /// `[log] commit_ms`: minimum time between two commits of a shard.
@@ -118,7 +118,7 @@
     /// `[log] snapshot_entries`: number of entries between snapshots of a shard.
     pub snapshot_entries: u64,
     /// `[batch] chunk_items`: maximum number of items in a chunk.
-    pub chunk_items: usize,
+    pub max_chunk_items: usize,
     /// `[batch] claim_ms`: time without a progress report after which a chunk is reassigned.
     pub claim_timeout: Duration,
     /// `[batch] report_ms`: time between progress reports of a chunk.
@@ -132,7 +132,7 @@
     /// `[targets] subset`: maximum number of targets that this instance polls.
     pub max_polled_targets: usize,
     /// `[targets] poll_ms`: time between polls of a target's load.
-    pub target_poll: Duration,
+    pub target_poll_interval: Duration,
     /// `[targets] connect_ms`: timeout for a connection to a target.
     pub connect_timeout: Duration,
     /// `[targets] idle_ms`: time without data after which a stream counts as interrupted.
@@ -144,9 +144,9 @@
     /// `[stop] grace_ms`: time from SIGTERM until new requests are rejected.
     pub stop_grace: Duration,
     /// `[stop] bound_ms`, or `bound_s` in seconds: maximum time from SIGTERM to exit.
-    pub stop_bound: Duration,
+    pub max_stop_duration: Duration,
     /// `[metrics] listen`: address on which metrics are served as text over HTTP.
-    pub metrics_listen: Option<SocketAddr>,
+    pub metrics_listen_address: Option<SocketAddr>,
     /// `[metrics] address`: address to which metrics are sent over UDP.
     pub metrics_address: Option<SocketAddr>,
     /// `[log_lines] level`: `debug`, `info`, `warning` or `error`.
@@ -173,7 +173,7 @@
             data_dir: None,
             front_address: ephemeral_port,
             ready_address: None,
-            body_limit: 1 << 20,
+            max_body_bytes: 1 << 20,
             body_timeout: Duration::from_secs(10),
             front_threads: 2,
             admin: true,
@@ -183,29 +183,29 @@
             suspect_timeout: Duration::from_secs(3),
             platform_address: SocketAddr::from(([127, 0, 0, 1], 7700)),
             platform_timeout: Duration::from_secs(2),
-            entry_heartbeat: Duration::from_millis(1_200),
-            value_bytes: 1 << 20,
-            platform_rate: 100.0,
-            platform_poll: Duration::from_secs(2),
+            entry_heartbeat_interval: Duration::from_millis(1_200),
+            max_value_bytes: 1 << 20,
+            platform_calls_per_second: 100.0,
+            platform_poll_interval: Duration::from_secs(2),
             shards: 8,
             commit_interval: Duration::from_millis(50),
             retention: Duration::from_secs(86_400),
             snapshot_entries: 256,
-            chunk_items: 256,
+            max_chunk_items: 256,
             claim_timeout: Duration::from_secs(15),
             report_interval: Duration::from_secs(2),
             max_attempts: 3,
             reserved_slots: 0,
             batch_enabled: true,
             max_polled_targets: 64,
-            target_poll: Duration::from_millis(500),
+            target_poll_interval: Duration::from_millis(500),
             connect_timeout: Duration::from_millis(500),
             stream_idle_timeout: Duration::from_secs(5),
             controller_lease: Duration::from_secs(6),
             order_lifetime: Duration::from_secs(2),
             stop_grace: Duration::from_secs(2),
-            stop_bound: Duration::from_secs(30),
-            metrics_listen: None,
+            max_stop_duration: Duration::from_secs(30),
+            metrics_listen_address: None,
             metrics_address: None,
             log_level: String::from("info"),
             policy: Policy::default(),
@@ -258,7 +258,7 @@
         source.read_option("instance", "data", "a path", &mut self.data_dir)?;
         source.read_value("front", "listen", "an IP address and port", &mut self.front_address)?;
         source.read_option("front", "ready", "an IP address and port", &mut self.ready_address)?;
-        source.read_value("front", "body_limit", "a number of bytes", &mut self.body_limit)?;
+        source.read_value("front", "body_limit", "a number of bytes", &mut self.max_body_bytes)?;
         source.read_millis("front", "body_timeout_ms", &mut self.body_timeout)?;
         source.read_value("front", "threads", "a number of threads", &mut self.front_threads)?;
         source.read_value("front", "admin", "true or false", &mut self.admin)?;
@@ -278,15 +278,25 @@
             &mut self.platform_address,
         )?;
         source.read_millis("platform", "timeout_ms", &mut self.platform_timeout)?;
-        source.read_millis("platform", "entry_heartbeat_ms", &mut self.entry_heartbeat)?;
-        source.read_value("platform", "value_bytes", "a whole number", &mut self.value_bytes)?;
-        source.read_value("platform", "calls_per_second", "a number", &mut self.platform_rate)?;
-        source.read_millis("platform", "poll_ms", &mut self.platform_poll)?;
+        source.read_millis("platform", "entry_heartbeat_ms", &mut self.entry_heartbeat_interval)?;
+        source.read_value(
+            "platform",
+            "value_bytes",
+            "a whole number",
+            &mut self.max_value_bytes,
+        )?;
+        source.read_value(
+            "platform",
+            "calls_per_second",
+            "a number",
+            &mut self.platform_calls_per_second,
+        )?;
+        source.read_millis("platform", "poll_ms", &mut self.platform_poll_interval)?;
         source.read_option(
             "metrics",
             "listen",
             "an IP address and port",
-            &mut self.metrics_listen,
+            &mut self.metrics_listen_address,
         )?;
         source.read_option(
             "metrics",
@@ -318,7 +328,12 @@
     }
 
     fn read_batch_and_targets(&mut self, source: &mut Source) -> Result<(), SettingsError> {
-        source.read_value("batch", "chunk_items", "a number of items", &mut self.chunk_items)?;
+        source.read_value(
+            "batch",
+            "chunk_items",
+            "a number of items",
+            &mut self.max_chunk_items,
+        )?;
         source.read_millis("batch", "claim_ms", &mut self.claim_timeout)?;
         source.read_millis("batch", "report_ms", &mut self.report_interval)?;
         source.read_value("batch", "attempts", "a number of attempts", &mut self.max_attempts)?;
@@ -330,25 +345,25 @@
             "a number of targets",
             &mut self.max_polled_targets,
         )?;
-        source.read_millis("targets", "poll_ms", &mut self.target_poll)?;
+        source.read_millis("targets", "poll_ms", &mut self.target_poll_interval)?;
         source.read_millis("targets", "connect_ms", &mut self.connect_timeout)?;
         source.read_millis("targets", "idle_ms", &mut self.stream_idle_timeout)?;
         source.read_millis("orders", "lease_ms", &mut self.controller_lease)?;
         source.read_millis("orders", "lifetime_ms", &mut self.order_lifetime)?;
         source.read_millis("stop", "grace_ms", &mut self.stop_grace)?;
-        source.read_millis("stop", "bound_ms", &mut self.stop_bound)?;
-        source.read_seconds("stop", "bound_s", &mut self.stop_bound)
+        source.read_millis("stop", "bound_ms", &mut self.max_stop_duration)?;
+        source.read_seconds("stop", "bound_s", &mut self.max_stop_duration)
     }
 
     fn validate(&self, file: &str) -> Result<(), SettingsError> {
         let rules = [
             (self.cpu_cores > 0.0, "instance", "processor", "above 0"),
             (self.shards >= 1, "log", "shards", "at least 1"),
-            (self.chunk_items >= 1, "batch", "chunk_items", "at least 1"),
+            (self.max_chunk_items >= 1, "batch", "chunk_items", "at least 1"),
             (self.max_attempts >= 1, "batch", "attempts", "at least 1"),
             (self.front_threads >= 1, "front", "threads", "at least 1"),
-            (self.platform_rate > 0.0, "platform", "calls_per_second", "above 0"),
-            (self.value_bytes >= 1_000, "platform", "value_bytes", "at least 1000"),
+            (self.platform_calls_per_second > 0.0, "platform", "calls_per_second", "above 0"),
+            (self.max_value_bytes >= 1_000, "platform", "value_bytes", "at least 1000"),
             (
                 self.claim_timeout > self.report_interval * 2,
                 "batch",
@@ -356,7 +371,7 @@
                 "over twice report_ms",
             ),
             (self.controller_lease > self.order_lifetime, "orders", "lease_ms", "over lifetime_ms"),
-            (self.stop_bound > self.stop_grace, "stop", "bound_ms", "over grace_ms"),
+            (self.max_stop_duration > self.stop_grace, "stop", "bound_ms", "over grace_ms"),
             (self.suspect_timeout > self.heartbeat_interval, "peers", "suspect_ms", "over ping_ms"),
         ];
         let failed = rules.iter().find(|(met, ..)| !met);
