--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -211,7 +211,7 @@
     let interrupted = |error: &str| RunEnd::Stopped(LeaseOutcome::Interrupted, error.to_owned());
     let mut splitter = EventSplitter::default();
     loop {
-        let chunk = match tokio::time::timeout(IDLE_TIMEOUT, exchange.next()).await {
+        let chunk = match tokio::time::timeout(IDLE_TIMEOUT, exchange.next_chunk()).await {
             Err(_) => return RunEnd::Stopped(LeaseOutcome::Unresponsive, String::from("idle")),
             Ok(Err(error)) => return interrupted(&error),
             Ok(Ok(None)) if !splitter.is_empty() => return interrupted("ended inside an event"),
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -176,7 +176,7 @@
                 return StreamEnd::DeadlineExceeded;
             }
             let chunk = tokio::select! {
-                chunk = exchange.next() => chunk,
+                chunk = exchange.next_chunk() => chunk,
                 () = self.sender.closed() => return StreamEnd::CallerGone,
                 () = tokio::time::sleep(remaining) => return StreamEnd::DeadlineExceeded,
                 () = tokio::time::sleep(max_gap), if !is_overdue => {
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -170,10 +170,10 @@
         items,
     };
     let waiting = node.jobs.waiting_tokens(node, &route.name);
-    if terms.waiting_tokens > 0 && waiting + job.tokens() > terms.waiting_tokens {
+    if terms.max_queued_tokens > 0 && waiting + job.tokens() > terms.max_queued_tokens {
         slog::info!(node.log, "submission exceeds the token limit";
             "job" => id, "waiting" => waiting,
-            "tokens" => job.tokens(), "most" => terms.waiting_tokens);
+            "tokens" => job.tokens(), "most" => terms.max_queued_tokens);
         return check_stored(node, id).await;
     }
     create(node, job, until).await
--- a/crates/protocol/src/routing.rs
+++ b/crates/protocol/src/routing.rs
@@ -44,7 +44,8 @@
     #[serde(rename = "give_up")]
     pub expire_after: Duration,
     /// Maximum number of queued tokens on the route over all instances; 0 for no limit.
-    pub waiting_tokens: u64,
+    #[serde(rename = "waiting_tokens")]
+    pub max_queued_tokens: u64,
 }
 
 /// Maps requests of a host and path prefix to services.
@@ -140,7 +141,8 @@
     /// Path of the health check of its targets.
     pub health_path: String,
     /// Maximum number of connections to one target from all clients together.
-    pub connections: u32,
+    #[serde(rename = "connections")]
+    pub max_connections: u32,
     /// Maximum number of concurrent requests at one target; 0 if unspecified.
     pub slots: u32,
 }
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -305,7 +305,7 @@
     /// # Errors
     ///
     /// The response was interrupted.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, String> {
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, String> {
         loop {
             if self.is_at_end {
                 return Ok(None);
@@ -330,7 +330,7 @@
     /// The response was interrupted, or the rest exceeds `max_bytes`.
     pub async fn read_to_end(&mut self, max_bytes: usize) -> Result<Bytes, String> {
         let mut buffer = bytes::BytesMut::new();
-        while let Some(chunk) = self.next().await? {
+        while let Some(chunk) = self.next_chunk().await? {
             if buffer.len() + chunk.len() > max_bytes {
                 return Err(format!("the response exceeds {max_bytes} bytes"));
             }
