--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -46,7 +46,7 @@
 struct History {
     crashes: BTreeMap<TargetStart, Crash>,
     trials: usize,
-    trialled: Option<Instant>,
+    last_trial: Option<Instant>,
 }
 
 impl History {
@@ -54,7 +54,7 @@
         self.crashes.iter().filter(|(_, crash)| !crash.is_cleared)
     }
 
-    fn last(&self) -> Option<Instant> {
+    fn last_crash(&self) -> Option<Instant> {
         self.crashes.values().map(|crash| crash.at).max()
     }
 }
@@ -199,7 +199,7 @@
         let extra_trials = history.trials.saturating_sub(self.policy.unreported_trials);
         let level = extra_crashes.max(extra_trials);
         let duration = self.policy.durations[level.min(self.policy.durations.len() - 1)];
-        let since = history.last().max(history.trialled).unwrap_or(now);
+        let since = history.last_crash().max(history.last_trial).unwrap_or(now);
         let remaining = (since + duration).saturating_duration_since(now);
         if remaining.is_zero() { Decision::TrialDue } else { Decision::Quarantined(remaining) }
     }
@@ -212,7 +212,7 @@
         }
         if let Some(history) = self.histories.get_mut(&fingerprint) {
             history.trials += 1;
-            history.trialled = Some(now);
+            history.last_trial = Some(now);
         }
         true
     }
@@ -225,7 +225,7 @@
 
     /// The reports that the digest covers, for an instance that is out of date.
     pub fn crash_reports(&self, now: Instant) -> Vec<CrashReport> {
-        self.shared()
+        self.with_several_reports()
             .map(|(fingerprint, start, crash)| to_report(fingerprint, start, crash, now))
             .collect()
     }
@@ -241,10 +241,12 @@
         crashes.map(|(start, crash)| to_report(fingerprint, start, crash, now)).collect()
     }
 
-    fn shared(&self) -> impl Iterator<Item = (RequestFingerprint, &TargetStart, &Crash)> {
+    fn with_several_reports(
+        &self,
+    ) -> impl Iterator<Item = (RequestFingerprint, &TargetStart, &Crash)> {
         let histories = self.histories.iter().filter(|(_, history)| history.crashes.len() > 1);
         histories.flat_map(|(fingerprint, history)| {
-            history.crashes.iter().map(|(start, e)| (*fingerprint, start, e))
+            history.crashes.iter().map(|(start, crash)| (*fingerprint, start, crash))
         })
     }
 
@@ -282,7 +284,7 @@
 
     fn evict_lowest(&mut self) -> bool {
         let rank = |(id, history): (&RequestFingerprint, &History)| {
-            (history.uncleared().count(), history.last(), *id)
+            (history.uncleared().count(), history.last_crash(), *id)
         };
         let mut ranks: Vec<(usize, Option<Instant>, RequestFingerprint)> =
             self.histories.iter().map(rank).collect();
--- a/crates/coordination/src/route.rs
+++ b/crates/coordination/src/route.rs
@@ -67,16 +67,16 @@
 }
 
 fn eligible(candidates: &[Candidate]) -> Vec<usize> {
-    let free = |i: &usize| candidates[*i].free > 0;
+    let may_send = |i: &usize| candidates[*i].free > 0;
     let has_slot = |i: &usize| candidates[*i].online < candidates[*i].slots;
-    let all: Vec<usize> = (0..candidates.len()).filter(free).collect();
+    let all: Vec<usize> = (0..candidates.len()).filter(may_send).collect();
     let local: Vec<usize> = all.iter().copied().filter(|i| candidates[*i].local).collect();
     if local.iter().any(has_slot) {
         return local;
     }
-    let open: Vec<usize> = all.iter().copied().filter(has_slot).collect();
-    if !open.is_empty() {
-        return open;
+    let with_slot: Vec<usize> = all.iter().copied().filter(has_slot).collect();
+    if !with_slot.is_empty() {
+        return with_slot;
     }
     if local.is_empty() { all } else { local }
 }
