--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -50,7 +50,7 @@
 
 impl CallerRequest {
     /// What it asks for, the same each time that it comes.
-    pub fn content(&self) -> RequestFingerprint {
+    pub fn fingerprint(&self) -> RequestFingerprint {
         hash::request_fingerprint(self.method.as_str(), &self.host, &self.target, &self.body)
     }
 
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -44,8 +44,8 @@
     let started = clock::now();
     held.first_started.borrow_mut().entry(item.id.clone()).or_insert(started);
     let target = lease.grant.target.clone();
-    let content = fingerprint_of(&held, &item);
-    if let Admission::Held(remaining) = quarantine::admit(&node, || content).await {
+    let fingerprint = fingerprint_of(&held, &item);
+    if let Admission::Quarantined(remaining) = quarantine::admit(&node, || fingerprint).await {
         lease.end(LeaseOutcome::Unused);
         withhold(&node, &held, &item, remaining).await;
         return;
@@ -69,7 +69,7 @@
         RunEnd::Failed(failure) => ("failed", format!("{failure:?}")),
         RunEnd::Stopped(_, error) => ("stopped", error.clone()),
     };
-    slog::info!(node.log, "item run"; "item" => &item.id, "content" => hex(content),
+    slog::info!(node.log, "item run"; "item" => &item.id, "content" => hex(fingerprint),
         "job" => &held.state.borrow().job().id, "target" => target, "how" => how,
         "fault" => &error, "events" => partial.events.len(), "resumed_at" => before,
         "registry" => lease.registry,
@@ -106,7 +106,7 @@
                 crash::on_interrupted(
                     &node,
                     &lease.grant,
-                    BrokenRequest { id: item.id.clone(), content },
+                    BrokenRequest { id: item.id.clone(), fingerprint },
                 );
             }
             lease.end(end);
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -205,13 +205,14 @@
     /// framed by the end of its connection may have been truncated by a crash.
     pub fn on_end(&self, is_framed: bool) {
         if is_framed {
-            quarantine::on_success(&self.node, || self.call.content());
+            quarantine::on_success(&self.node, || self.call.fingerprint());
         }
     }
 
     /// Starts a crash check after a response was interrupted.
     pub fn on_interrupted(&self, grant: &Grant) {
-        let broken = BrokenRequest { id: self.call.id.clone(), content: self.call.content() };
+        let broken =
+            BrokenRequest { id: self.call.id.clone(), fingerprint: self.call.fingerprint() };
         crash::on_interrupted(&self.node, grant, broken);
     }
 
@@ -242,7 +243,7 @@
                 Err(reason) => reason,
             };
             slog::info!(self.node.log, "try failed"; "request" => &self.call.id,
-                "content" => hex(self.call.content()),
+                "content" => hex(self.call.fingerprint()),
                 "target" => &target, "how" => reason.name(), "text" => reason.text(),
                 "sent" => self.attempts, "attempts" => self.route.max_attempts,
                 "registry" => self.registry,
@@ -304,15 +305,15 @@
 
     /// Acquires a lease, unless the request is quarantined.
     async fn acquire_admitted(&self, last_event: Option<u64>) -> Result<Lease, AcquireError> {
-        let content = || self.call.content();
-        let admission = quarantine::admit(&self.node, content).await;
-        if let Admission::Held(remaining) = admission {
+        let fingerprint = || self.call.fingerprint();
+        let admission = quarantine::admit(&self.node, fingerprint).await;
+        if let Admission::Quarantined(remaining) = admission {
             return Err(AcquireError::Quarantined(remaining));
         }
         let lease = self.acquire_lease(last_event).await?;
         // Equal requests may have crashed further targets during the wait.
-        match quarantine::held_for(&self.node, content) {
-            Some(remaining) if admission == Admission::Free => {
+        match quarantine::remaining_quarantine(&self.node, fingerprint) {
+            Some(remaining) if admission == Admission::Allowed => {
                 Err(AcquireError::Quarantined(remaining))
             }
             _ => Ok(lease),
@@ -346,7 +347,7 @@
         let is_repeatable = self.route.is_repeatable();
         self.node.metrics.record_request(&self.route.name, false, clock::now());
         slog::info!(self.node.log, "request failed"; "request" => &call.id, "cause" => cause,
-            "content" => hex(call.content()),
+            "content" => hex(call.fingerprint()),
             "status" => status, "route" => &self.route.name, "service" => &self.service,
             "config" => self.version, "registry" => self.registry, "sent" => self.attempts,
             "avoided" => ?self.excluded,
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -1,8 +1,9 @@
-//! Keeps requests that crash their targets from further ones, on all instances.
+//! Quarantines requests that crash their targets, on all instances.
 //!
-//! [`super::crash`] sees crashes; each gives a strike to what ran on that target. Strikes
-//! are told to all instances, and [`coordination::quarantine`] decides by them. What is
-//! held also lies on the platform: the memory of all instances may go at one moment.
+//! [`super::crash`] detects crashes. Each produces a crash report for every request that ran on
+//! that target. The reports are sent to all instances, and [`coordination::quarantine`] decides
+//! by them. Those of quarantined requests are also stored on the platform, in case all instances
+//! restart at once.
 
 use super::broadcast;
 use super::call_reason::CallReason;
@@ -23,159 +24,166 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
-/// Longest wait for the owner's word on a trial.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(100);
-/// When to ask again whose owner granted no trial: another one goes on, or it can't tell.
+/// Quarantine after a trial was not granted: another trial is in progress, or the owner can't be
+/// reached.
 const TRIAL_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// Crashes from which a request that others saw gets a line: all that ran on a target that
-/// crashed has one.
+/// Number of crashes from which a request is logged when its reports come from other instances,
+/// since every request that ran on a crashed target has one report.
 const MIN_LOGGED_CRASHES: usize = 2;
-/// Time between looks for what is held and not written down: a write may have failed, or
-/// the instance gone that was to make it.
+/// Time between checks for quarantined requests that are not stored: a write may have failed, or
+/// the owner may have changed.
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is kept of a held request.
+/// The stored form of a quarantined request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Entry {
-    /// When it was written: the strikes' ages are as of then.
+    /// Time of the write, to which the ages of the crash reports refer.
     written: Millis,
-    strikes: Vec<CrashReport>,
+    #[serde(rename = "strikes")]
+    crash_reports: Vec<CrashReport>,
 }
 
 /// Whether a request may be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
-    Free,
-    /// It may, once: its answer decides whether it goes on being held.
+    /// It is not quarantined.
+    Allowed,
+    /// It may be sent once; the outcome decides whether it stays quarantined.
     Trial,
-    /// It is held for so long.
-    Held(Duration),
+    /// It is quarantined for this much longer.
+    Quarantined(Duration),
 }
 
-/// Requests ran on a target as it crashed.
-pub fn on_crash(node: &Rc<Node>, boot: &TargetStart, contents: &[RequestFingerprint]) {
-    let strikes: Vec<CrashReport> =
-        contents.iter().map(|content| CrashReport::new(*content, boot.clone())).collect();
-    let news = on_crash_reports(node, strikes, "own");
-    tell(node, news);
+/// Records and broadcasts that requests ran on a target when it crashed.
+pub fn on_crash(node: &Rc<Node>, start: &TargetStart, fingerprints: &[RequestFingerprint]) {
+    let reports: Vec<CrashReport> = fingerprints
+        .iter()
+        .map(|fingerprint| CrashReport::new(*fingerprint, start.clone()))
+        .collect();
+    let new_reports = on_crash_reports(node, reports, "own");
+    broadcast_reports(node, new_reports);
 }
 
-/// A request came to its end on a target.
-pub fn on_success(node: &Rc<Node>, content: impl FnOnce() -> RequestFingerprint) {
+/// Clears a request that was completed by a target.
+pub fn on_success(node: &Rc<Node>, fingerprint: impl FnOnce() -> RequestFingerprint) {
     if node.quarantine.borrow().is_empty() {
         return;
     }
-    let content = content();
+    let fingerprint = fingerprint();
     let now = clock::now();
-    let was_held = node.quarantine.borrow().decide(content, now) != Decision::Allowed;
-    let acquitted = node.quarantine.borrow_mut().on_success(content, now);
-    if acquitted.is_empty() {
+    let was_quarantined = node.quarantine.borrow().decide(fingerprint, now) != Decision::Allowed;
+    let cleared = node.quarantine.borrow_mut().on_success(fingerprint, now);
+    if cleared.is_empty() {
         return;
     }
-    slog::info!(node.log, "request acquitted"; "content" => hex(content),
-        "strikes" => acquitted.len(), "was_held" => was_held);
-    tell(node, acquitted);
-    if was_held {
-        spawn_local(erase(node.clone(), content));
+    slog::info!(node.log, "request cleared"; "content" => hex(fingerprint),
+        "strikes" => cleared.len(), "was_held" => was_quarantined);
+    broadcast_reports(node, cleared);
+    if was_quarantined {
+        spawn_local(delete(node.clone(), fingerprint));
     }
 }
 
-/// Takes in strikes; gives those that were news.
-pub fn on_crash_reports(node: &Node, strikes: Vec<CrashReport>, from: &str) -> Vec<CrashReport> {
+/// Records crash reports; returns those that were new. `from` is the source to log.
+pub fn on_crash_reports(node: &Node, reports: Vec<CrashReport>, from: &str) -> Vec<CrashReport> {
     let now = clock::now();
     let mut table = node.quarantine.borrow_mut();
-    let news: Vec<CrashReport> =
-        strikes.into_iter().filter(|strike| table.on_crash_report(strike.clone(), now)).collect();
-    for strike in &news {
-        let crashes = table.crashes(strike.fingerprint);
+    let new_reports: Vec<CrashReport> =
+        reports.into_iter().filter(|report| table.on_crash_report(report.clone(), now)).collect();
+    for report in &new_reports {
+        let crashes = table.crashes(report.fingerprint);
         if crashes < MIN_LOGGED_CRASHES && from != "own" {
             continue;
         }
-        let verdict = table.decide(strike.fingerprint, now);
-        slog::info!(node.log, "request struck"; "content" => hex(strike.fingerprint),
-            "target" => &strike.start.target, "born" => strike.start.started_at,
-            "acquitted" => strike.is_cleared, "age_ms" => strike.age_ms, "from" => from,
-            "crashes" => crashes, "verdict" => ?verdict);
+        let decision = table.decide(report.fingerprint, now);
+        slog::info!(node.log, "request struck"; "content" => hex(report.fingerprint),
+            "target" => &report.start.target, "born" => report.start.started_at,
+            "acquitted" => report.is_cleared, "age_ms" => report.age_ms, "from" => from,
+            "crashes" => crashes, "verdict" => ?decision);
     }
-    if !news.is_empty() {
+    if !new_reports.is_empty() {
         node.crash_reports_changed.notify_one();
     }
-    news
+    new_reports
 }
 
-fn tell(node: &Rc<Node>, strikes: Vec<CrashReport>) {
-    if !strikes.is_empty() {
-        broadcast::send(node, Update::CrashReports(strikes));
+fn broadcast_reports(node: &Rc<Node>, reports: Vec<CrashReport>) {
+    if !reports.is_empty() {
+        broadcast::send(node, Update::CrashReports(reports));
     }
 }
 
-/// Whether a request may be sent; one whose trial is due asks its owner.
-pub async fn admit(node: &Node, content: impl FnOnce() -> RequestFingerprint) -> Admission {
+/// Whether a request may be sent. A due trial is requested from the owner of the request.
+pub async fn admit(node: &Node, fingerprint: impl FnOnce() -> RequestFingerprint) -> Admission {
     if node.quarantine.borrow().quarantined() == 0 {
-        return Admission::Free;
+        return Admission::Allowed;
     }
-    let content = content();
-    let verdict = node.quarantine.borrow().decide(content, clock::now());
-    match verdict {
-        Decision::Allowed => Admission::Free,
-        Decision::Quarantined(left) => Admission::Held(left),
-        Decision::TrialDue if is_granted(node, content).await => {
-            slog::info!(node.log, "trial of a held request"; "content" => hex(content));
+    let fingerprint = fingerprint();
+    let decision = node.quarantine.borrow().decide(fingerprint, clock::now());
+    match decision {
+        Decision::Allowed => Admission::Allowed,
+        Decision::Quarantined(remaining) => Admission::Quarantined(remaining),
+        Decision::TrialDue if request_trial(node, fingerprint).await => {
+            slog::info!(node.log, "trial of a quarantined request"; "content" => hex(fingerprint));
             Admission::Trial
         }
-        Decision::TrialDue => Admission::Held(TRIAL_RETRY_DELAY),
+        Decision::TrialDue => Admission::Quarantined(TRIAL_RETRY_DELAY),
     }
 }
 
-/// For how much longer a request is held that waited for a slot meanwhile.
-pub fn held_for(node: &Node, content: impl FnOnce() -> RequestFingerprint) -> Option<Duration> {
+/// How much longer a request is quarantined; checked again after it has waited for a slot.
+pub fn remaining_quarantine(
+    node: &Node,
+    fingerprint: impl FnOnce() -> RequestFingerprint,
+) -> Option<Duration> {
     let table = node.quarantine.borrow();
     if table.quarantined() == 0 {
         return None;
     }
-    match table.decide(content(), clock::now()) {
+    match table.decide(fingerprint(), clock::now()) {
         Decision::Allowed => None,
-        Decision::Quarantined(left) => Some(left),
+        Decision::Quarantined(remaining) => Some(remaining),
         Decision::TrialDue => Some(TRIAL_RETRY_DELAY),
     }
 }
 
-/// The instance that decides on the trials of a request, and writes it down.
-fn owner(node: &Node, content: RequestFingerprint) -> Option<Member> {
+/// The instance that grants the trials of a request and stores it while quarantined.
+fn owner(node: &Node, fingerprint: RequestFingerprint) -> Option<Member> {
     let members = node.members.borrow();
     let ids = members.workers().map(|member| member.id);
-    let id = hash::owner(&content.to_le_bytes(), ids)?;
+    let id = hash::owner(&fingerprint.to_le_bytes(), ids)?;
     members.workers().find(|member| member.id == id).cloned()
 }
 
-fn is_own(node: &Node, content: RequestFingerprint) -> bool {
-    owner(node, content).is_some_and(|owner| owner.id == node.id())
+fn is_owner(node: &Node, fingerprint: RequestFingerprint) -> bool {
+    owner(node, fingerprint).is_some_and(|owner| owner.id == node.id())
 }
 
-async fn is_granted(node: &Node, content: RequestFingerprint) -> bool {
-    match owner(node, content) {
+async fn request_trial(node: &Node, fingerprint: RequestFingerprint) -> bool {
+    match owner(node, fingerprint) {
         Some(owner) if owner.id != node.id() => {
-            let reply = node.request(owner.peer, &PeerRequest::Trial(content), TRIAL_TIMEOUT).await;
+            let reply =
+                node.request(owner.peer, &PeerRequest::Trial(fingerprint), TRIAL_TIMEOUT).await;
             matches!(reply, Ok(PeerReply::Trial(true)))
         }
-        Some(_) => on_trial(node, content),
+        Some(_) => on_trial(node, fingerprint),
         None => false,
     }
 }
 
-/// Another instance asks for a trial.
-pub fn on_trial(node: &Node, content: RequestFingerprint) -> bool {
-    node.quarantine.borrow_mut().on_trial(content, clock::now())
+/// Handles a request for a trial; `true` grants it.
+pub fn on_trial(node: &Node, fingerprint: RequestFingerprint) -> bool {
+    node.quarantine.borrow_mut().on_trial(fingerprint, clock::now())
 }
 
-/// All strikes of requests that have several, for an instance that knows others.
+/// All crash reports of requests with several crashes, for other instances.
 pub fn crash_reports(node: &Node) -> Vec<CrashReport> {
     node.quarantine.borrow().crash_reports(clock::now())
 }
 
-/// Writes down what is held, until `stop`.
-pub async fn keep(node: Rc<Node>, stop: CancellationToken) {
+/// Stores the quarantined requests that this instance owns on the platform, until `stop`.
+pub async fn persist(node: Rc<Node>, stop: CancellationToken) {
     let mut written: HashMap<RequestFingerprint, usize> = HashMap::new();
     loop {
         tokio::select! {
@@ -183,25 +191,25 @@
             () = tokio::time::sleep(WRITE_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
-        let held = node.quarantine.borrow().quarantined_requests();
-        written.retain(|content, _| held.iter().any(|(id, _)| id == content));
-        for (content, crashes) in held {
-            let is_known = written.get(&content).is_some_and(|known| *known >= crashes);
-            if is_known || !is_own(&node, content) {
+        let quarantined = node.quarantine.borrow().quarantined_requests();
+        written.retain(|fingerprint, _| quarantined.iter().any(|(id, _)| id == fingerprint));
+        for (fingerprint, crashes) in quarantined {
+            let is_known = written.get(&fingerprint).is_some_and(|known| *known >= crashes);
+            if is_known || !is_owner(&node, fingerprint) {
                 continue;
             }
-            if write(&node, content).await {
-                written.insert(content, crashes);
+            if write(&node, fingerprint).await {
+                written.insert(fingerprint, crashes);
             }
         }
     }
 }
 
-/// Writes down what is known of a held request.
-async fn write(node: &Node, content: RequestFingerprint) -> bool {
-    let strikes = node.quarantine.borrow().crash_reports_of(content, clock::now());
-    let entry = Entry { written: unix_millis(), strikes };
-    let name = hex(content);
+/// Stores a quarantined request; returns whether it succeeded.
+async fn write(node: &Node, fingerprint: RequestFingerprint) -> bool {
+    let crash_reports = node.quarantine.borrow().crash_reports_of(fingerprint, clock::now());
+    let entry = Entry { written: unix_millis(), crash_reports };
+    let name = hex(fingerprint);
     let created = node.store.create(CallReason::Quarantine, KIND, &name, &entry).await;
     let result = match created {
         Err(StoreError::Conflict(_)) => {
@@ -209,34 +217,34 @@
         }
         result => result,
     };
-    slog::info!(node.log, "held request written down"; "content" => &name,
-        "strikes" => entry.strikes.len(), "fault" => result.as_ref().err().map(StoreError::to_string));
+    slog::info!(node.log, "quarantined request stored"; "content" => &name,
+        "strikes" => entry.crash_reports.len(), "fault" => result.as_ref().err().map(StoreError::to_string));
     result.is_ok()
 }
 
-/// A request that was written down isn't held any more. A word that is lost here has it
-/// held once more after all instances were gone, until its trial.
-async fn erase(node: Rc<Node>, content: RequestFingerprint) {
-    let name = hex(content);
-    if let Err(fault) = node.store.delete(CallReason::Quarantine, KIND, &name, None).await {
-        slog::info!(node.log, "held request not erased"; "content" => &name, "fault" => %fault);
+/// Deletes a stored request that is no longer quarantined. If this fails, the request is
+/// quarantined again after a restart of all instances, until its trial.
+async fn delete(node: Rc<Node>, fingerprint: RequestFingerprint) {
+    let name = hex(fingerprint);
+    if let Err(error) = node.store.delete(CallReason::Quarantine, KIND, &name, None).await {
+        slog::info!(node.log, "deleting quarantined request failed"; "content" => &name, "fault" => %error);
     }
 }
 
-/// Held requests were read from the platform.
+/// Records the quarantined requests read from the platform.
 pub fn on_objects(node: &Rc<Node>, objects: &[Object]) {
     let now = unix_millis();
-    let mut strikes = Vec::new();
+    let mut reports = Vec::new();
     for object in objects {
         match serde_json::from_str::<Entry>(object.spec.get()) {
             Ok(entry) => {
-                let passed = now.saturating_sub(entry.written);
-                strikes.extend(entry.strikes.into_iter().map(|strike| strike.aged(passed)));
+                let elapsed = now.saturating_sub(entry.written);
+                reports.extend(entry.crash_reports.into_iter().map(|report| report.aged(elapsed)));
             }
-            Err(error) => slog::warn!(node.log, "held request not understood";
+            Err(error) => slog::warn!(node.log, "quarantined request is malformed";
                 "content" => &object.name, "error" => %error),
         }
     }
-    let news = on_crash_reports(node, strikes, "platform");
-    tell(node, news);
+    let new_reports = on_crash_reports(node, reports, "platform");
+    broadcast_reports(node, new_reports);
 }
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -76,7 +76,7 @@
     spawn_local(leases::report(node.clone(), stop.clone()));
     spawn_local(items::run(node.clone(), stop.clone()));
     spawn_local(takeover::run(node.clone(), stop.clone()));
-    spawn_local(quarantine::keep(node.clone(), stop.clone()));
+    spawn_local(quarantine::persist(node.clone(), stop.clone()));
     spawn_local(job_scan::run(node.clone(), stop.clone()));
     for listener in ready.into_iter().chain(metrics) {
         let handler = Rc::new(StatusHandler { node: node.clone() });
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -106,7 +106,7 @@
                 return self.abort(&target, &error).await;
             }
             slog::info!(self.forward.node.log, "resuming interrupted stream";
-                "request" => &self.call().id, "content" => hex(self.call().content()),
+                "request" => &self.call().id, "content" => hex(self.call().fingerprint()),
                 "target" => &target, "fault" => &error, "after" => self.last_event,
                 "sent" => self.forward.attempts);
             let next = tokio::select! {
@@ -272,7 +272,7 @@
         let is_good = error.is_empty() && is_in_time && self.stats.slowest <= route.max_event_gap;
         node.metrics.record_request(&route.name, is_good, clock::now());
         slog::info!(node.log, "{}", event; "request" => &call.id, "target" => target,
-            "content" => hex(call.content()),
+            "content" => hex(call.fingerprint()),
             "route" => &self.forward.route.name, "config" => self.forward.version,
             "registry" => self.forward.registry,
             "fault" => error, "pieces" => self.stats.chunks, "sent" => self.forward.attempts,
