--- a/crates/daemon/src/gateway/call_reason.rs
+++ b/crates/daemon/src/gateway/call_reason.rs
@@ -1,38 +1,38 @@
-//! Why a call of the platform was made: each is paid for, so each is counted by cause.
+//! Reasons for calls of the platform. Calls are billed, so they are counted by reason.
 
-/// Why a call was made.
+/// Why a call of the platform was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallReason {
-    /// A list of what is watched, or a watch.
+    /// A watch, or the list that it starts from.
     Watch,
-    /// A sign of life, at a tenth of a call's price.
+    /// A probe whether the platform responds; billed at a tenth of other calls.
     Probe,
-    /// This instance's address, or those of others.
+    /// Writes this instance's address, or reads those of others.
     Address,
-    /// A job is accepted, or looked for because it may have been.
+    /// Stores a submitted job, or checks whether it was stored.
     Submission,
-    /// What has happened to a held job is written.
+    /// Writes the progress of a held job.
     Progress,
-    /// A held job is looked at: it may have been taken over or ended elsewhere.
+    /// Checks whether a held job was taken over or ended elsewhere.
     Verify,
-    /// A caller asks for a job whose holder can't be asked.
+    /// Reads a job for a caller because its holder can't be reached.
     Lookup,
-    /// A caller ends a job whose holder can't be asked.
+    /// Ends a job for a caller because its holder can't be reached.
     End,
-    /// A job is taken over.
+    /// Takes over a job.
     Takeover,
-    /// A look through all jobs.
+    /// Scans all jobs.
     Sweep,
-    /// A job past its retention is deleted.
+    /// Deletes a job past its retention.
     Expiry,
-    /// A machine is told empty.
+    /// Reports that a machine to be decommissioned is empty.
     Retirement,
-    /// A request that crashes its targets is written down, or those that were are read.
+    /// Reads or writes quarantined requests.
     Quarantine,
 }
 
 impl CallReason {
-    /// Its name in logs and metrics.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             CallReason::Watch => "watch",
--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -1,4 +1,5 @@
-//! Callers' requests: which route they take, and which call they are.
+//! The HTTP front end for callers: reads requests, matches routes, and dispatches to online
+//! requests, batch submissions and job calls.
 
 use super::node::{Config, Node};
 use super::{jobs, online, submit};
@@ -15,54 +16,52 @@
 use std::time::{Duration, Instant};
 use transport::server::{self, Body, BodyAborted, Handler};
 
-/// Head limit before a configuration tells one.
+/// Limit on request heads until a configuration is in force.
 const DEFAULT_MAX_HEAD_BYTES: usize = 64 << 10;
-/// Time after a start in which requests are held until there are a configuration and
-/// targets. They come from the platform or from another instance, within some 0.3 s; of
-/// the requests that came meanwhile, 786 were refused after a fleet had lost all power.
+/// Time after the start for which requests wait for the configuration and the targets, instead of
+/// being rejected at once.
 const STARTUP_WAIT: Duration = Duration::from_secs(1);
-/// Time between looks whether there is one.
 const CONFIG_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Longest time in which a body must be in, when the caller tells none.
+/// Timeout for reading a request body; callers can send a shorter one.
 const MAX_BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One call as it was read.
+/// A request as read from its caller.
 pub struct CallerRequest {
-    /// Its id; the caller chose it.
+    /// Request id chosen by the caller; may be empty.
     pub id: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query as received.
     pub target: String,
-    /// Host, without a port.
+    /// Host header without the port.
     pub host: String,
-    /// Headers that are passed on.
+    /// Headers to be forwarded, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
-    /// Whether the caller seems to come again: it waits less long than others.
+    /// Whether the request is assumed to be a retry, since its timeout is shorter than usual.
     pub is_retry: bool,
-    /// When its head was read.
+    /// When the head was read.
     pub started: Instant,
-    /// Until when the caller waits, or the route lets it be held.
+    /// Deadline: the end of the caller's timeout or the route's, whichever is earlier.
     pub until: Instant,
 }
 
 impl CallerRequest {
-    /// What it asks for, the same each time that it comes.
+    /// Fingerprint of method, host, target and body; equal for retries.
     pub fn fingerprint(&self) -> RequestFingerprint {
         hash::request_fingerprint(self.method.as_str(), &self.host, &self.target, &self.body)
     }
 
-    /// Time left.
+    /// Time until the deadline; zero afterwards.
     pub fn remaining(&self, now: Instant) -> Duration {
         self.until.saturating_duration_since(now)
     }
 }
 
-/// Serves callers.
+/// Handles the HTTP requests of callers.
 pub struct HttpHandler {
-    /// The instance.
+    /// The instance that serves them.
     pub node: Rc<Node>,
 }
 
@@ -119,10 +118,10 @@
         };
     };
     let route = route.clone();
-    let wait = header::millis(&parts.headers, header::DEADLINE_MS);
-    let until = started + wait.unwrap_or(route.timeout).min(route.timeout);
+    let timeout = header::millis(&parts.headers, header::DEADLINE_MS);
+    let until = started + timeout.unwrap_or(route.timeout).min(route.timeout);
     let limit = config.table.limits.body_bytes;
-    let body_timeout = wait.unwrap_or(MAX_BODY_TIMEOUT).min(MAX_BODY_TIMEOUT);
+    let body_timeout = timeout.unwrap_or(MAX_BODY_TIMEOUT).min(MAX_BODY_TIMEOUT);
     let body = match tokio::time::timeout(body_timeout, server::read_body(&mut body, limit)).await {
         Ok(read) => read?,
         Err(_) => {
@@ -139,14 +138,14 @@
     };
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
     let headers = header::end_to_end(&parts.headers);
-    let is_retry = wait.is_some_and(|wait| node.is_retry(&route.name, wait));
+    let is_retry = timeout.is_some_and(|timeout| node.is_retry(&route.name, timeout));
     let method = parts.method;
     let call = CallerRequest { id, method, target, host, headers, body, is_retry, started, until };
     serve(node, &config, route, call).await
 }
 
-/// The configuration in force; an instance that has just started is about to have one,
-/// and to know targets.
+/// The configuration in force. Waits up to [`STARTUP_WAIT`] after the start until the instance is
+/// initialized.
 async fn config(node: &Node) -> Option<Rc<Config>> {
     while !node.is_initialized() && clock::since(node.started) < STARTUP_WAIT {
         tokio::time::sleep(CONFIG_POLL_INTERVAL).await;
@@ -171,7 +170,7 @@
     host.split_once(':').map_or(host, |(name, _)| name)
 }
 
-/// The answer that the table of errors gives, for the request `id`.
+/// The response to request `id` for an error of the gateway.
 pub fn error_response(node: &Node, id: &str, error: &Error) -> Response<Body> {
     let status = error.kind.properties().status;
     node.metrics.count(&format!("refused.{status}"));
@@ -186,14 +185,14 @@
     response
 }
 
-/// An answer of our own.
+/// A plain-text response of the gateway itself.
 pub fn text_response(status: u16, message: &str) -> Response<Body> {
     let mut response = Response::new(Body::Full(Bytes::from(format!("{message}\n"))));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
     response
 }
 
-/// Sets a header; one that can't be sent is left out.
+/// Sets a header; a value that is invalid in HTTP is left out.
 pub fn set_header(response: &mut Response<Body>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -1,7 +1,6 @@
 //! Counters and latency histograms, served as text.
 //!
-//! They are written through `cadence`, as everywhere in the program; the sink
-//! sums them up instead of sending them, and whoever asks reads the sums.
+//! They are recorded with `cadence`, whose sink aggregates them in memory until they are read.
 
 use super::node::Node;
 use crate::clock;
@@ -20,13 +19,11 @@
 use std::time::{Duration, Instant};
 use transport::server::{Body, BodyAborted, Handler};
 
-/// Longest time that a histogram tells apart, in milliseconds.
+/// Largest time that a histogram resolves; longer ones are clamped.
 const MAX_HISTOGRAM_MS: u64 = 120_000;
-/// Significant digits of a histogram.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Quantiles that are told.
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
-/// Most names that are summed up; more would be a fault of the program.
+/// Limit on distinct metric names; further ones are dropped.
 const MAX_NAMES: usize = 512;
 
 #[derive(Default)]
@@ -66,10 +63,10 @@
     }
 }
 
-/// Share of requests that must be within their objective, by which the burn of a
-/// route's error budget is told. A project default: routes don't tell theirs.
+/// Share of requests that must meet their objective; the rest is the error budget of a route, by
+/// which its burn rate is computed.
 const GOOD_RATIO: f64 = 0.99;
-/// Routes whose burn is told.
+/// Limit on routes with a burn rate.
 const MAX_ROUTES: usize = 256;
 
 /// The counters and histograms of one instance.
@@ -88,24 +85,24 @@
 }
 
 impl Metrics {
-    /// Counts one event.
+    /// Increments a counter.
     pub fn count(&self, name: &str) {
-        // The sink sums in memory: it has no fault to tell.
+        // The sink aggregates in memory and never fails.
         let _recorded = self.client.count(name, 1_u64);
     }
 
-    /// Records a time.
+    /// Records a time in a histogram, in milliseconds.
     pub fn time(&self, name: &str, time: Duration) {
         let _recorded = self.client.time(name, time);
     }
 
-    /// Notes a request of a route against its objective.
-    pub fn record_request(&self, route: &str, is_good: bool, now: Instant) {
-        let mut burn = self.burn_rates.borrow_mut();
-        if burn.len() >= MAX_ROUTES && !burn.contains_key(route) {
-            burn.clear(); // Routes come and go; those in use are back at once.
+    /// Records whether a request of a route met its objective, for the burn rate.
+    pub fn record_request(&self, route: &str, is_within_objective: bool, now: Instant) {
+        let mut burn_rates = self.burn_rates.borrow_mut();
+        if burn_rates.len() >= MAX_ROUTES && !burn_rates.contains_key(route) {
+            burn_rates.clear(); // Forgets removed routes; those in use return at once.
         }
-        burn.entry(route.to_owned()).or_default().record(is_good, now);
+        burn_rates.entry(route.to_owned()).or_default().record(is_within_objective, now);
     }
 
     fn burn_rate_text(&self, now: Instant) -> String {
@@ -117,8 +114,8 @@
                 // Writing to a string can't fail.
                 let _written = writeln!(text, "gatespool_good{labels} {}", count.good);
                 let _written = writeln!(text, "gatespool_all{labels} {}", count.all);
-                let burn = count.burn(GOOD_RATIO);
-                let _written = writeln!(text, "gatespool_burn{labels} {burn:.3}");
+                let rate = count.burn(GOOD_RATIO);
+                let _written = writeln!(text, "gatespool_burn{labels} {rate:.3}");
             }
         }
         text
@@ -149,7 +146,7 @@
 
 /// Serves readiness and metrics.
 pub struct StatusHandler {
-    /// The instance.
+    /// The instance whose status is served.
     pub node: Rc<Node>,
 }
 
@@ -184,7 +181,7 @@
     text.push_str(&node.metrics.burn_rate_text(clock::now()));
     let counts = node.store.without_breaker().counts();
     let [online, batch] = node.leases.in_use();
-    // Never answered counts as silent for as long as a gauge can say.
+    // A platform that never responded is reported with the largest value of a gauge.
     let silence = node.store.idle_time(clock::now()).map_or(u64::MAX, |t| t.as_millis() as u64);
     let gauges = [
         ("gatespool.platform.reads", counts.reads.get()),
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! Brings a gateway up, and takes it down again.
+//! Starts a gateway, and stops it gracefully.
 
 use super::front::HttpHandler;
 use super::metrics::StatusHandler;
@@ -27,17 +27,16 @@
 use transport::peer::{Pool, Traffic, serve};
 use transport::{http, server};
 
-/// Time between looks whether a stop is done.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How much earlier than its bound the process ends, so that it isn't killed
-/// in the middle of its last words.
+/// How much earlier than its time limit a stop ends, so that the process isn't killed while it
+/// writes its last log lines.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
 
 /// Runs a gateway until a signal stops it.
 ///
 /// # Errors
 ///
-/// When an address can't be bound or a signal can't be handled.
+/// Returns an error if an address can't be bound or a signal handler can't be installed.
 pub fn run(settings: Settings, file: &Path, log: Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
@@ -96,24 +95,23 @@
     Ok(())
 }
 
-/// Reads the settings again. New seeds are used from now on. Addresses and bounds
-/// are bound to the process, so what else has changed takes effect at the next
-/// start; a file with a fault is told now rather than then.
+/// Reads the settings again and applies new seeds; other changes take effect at the next start.
+/// An invalid file is logged.
 fn reload_settings(node: &Node, file: &Path) {
     match Settings::read(file) {
         Ok(settings) => {
             let has_new_seeds = *node.seeds.borrow() != settings.seeds;
             node.seeds.borrow_mut().clone_from(&settings.seeds);
-            let rest = Settings { seeds: node.settings.seeds.clone(), ..settings };
+            let others = Settings { seeds: node.settings.seeds.clone(), ..settings };
             slog::info!(node.log, "reload"; "new_seeds" => has_new_seeds,
-                "takes_effect_at_next_start" => rest != node.settings);
+                "takes_effect_at_next_start" => others != node.settings);
         }
-        Err(fault) => slog::error!(node.log, "reload"; "fault" => %fault),
+        Err(error) => slog::error!(node.log, "reload"; "fault" => %error),
     }
 }
 
-/// A planned stop: not ready any more, jobs handed over, answers brought to
-/// their end.
+/// Stops gracefully: reports not ready, hands off jobs, and completes requests in flight, within
+/// the time limit of the settings.
 async fn drain(node: &Rc<Node>, front: &CancellationToken) {
     let since = clock::now();
     slog::info!(node.log, "stop ordered"; "running" => node.in_flight.get(),
@@ -123,15 +121,15 @@
     node.membership_changed.notify_one();
     let bound = node.settings.max_stop_duration.saturating_sub(STOP_MARGIN);
     let plan = Plan { grace: node.settings.stop_grace, max_duration: bound };
-    let over = spawn_local({
+    let handoff = spawn_local({
         let node = node.clone();
         async move { items::hand_off_jobs(&node).await }
     });
     loop {
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
-        let left = node.in_flight.get() + usize::from(!over.is_finished());
+        let remaining = node.in_flight.get() + usize::from(!handoff.is_finished());
         let is_closed = front.is_cancelled();
-        match drain::phase(plan, since, left, is_closed, clock::now()) {
+        match drain::phase(plan, since, remaining, is_closed, clock::now()) {
             Phase::Exit => break,
             Phase::Grace => {}
             Phase::Draining => front.cancel(),
--- a/crates/daemon/src/gateway/suspension.rs
+++ b/crates/daemon/src/gateway/suspension.rs
@@ -1,8 +1,7 @@
-//! Notices that the machine was suspended, and has what was believed before looked at anew.
+//! Detects that the machine was suspended, and refreshes state that may be outdated.
 //!
-//! Decisions that depend on time are right by themselves, since [`crate::clock`] counts the
-//! time asleep. What is left are timers, which fire late by it: watches that wait,
-//! comparisons, the rest of an account that has taken over.
+//! Decisions by time are correct without it, since [`crate::clock`] counts suspended time. Timers,
+//! however, fire late: those of watches, of anti-entropy, and of an allocator that is settling.
 
 use super::anti_entropy;
 use super::node::Node;
@@ -12,12 +11,11 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
-/// Time between looks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Shortest suspension that anything is done about: watches and members bear as much.
+/// Shorter suspensions are ignored; watches and membership tolerate them.
 const MIN_SUSPENSION: Duration = Duration::from_millis(200);
 
-/// Looks for suspensions until `stop`.
+/// Checks for suspensions until `stop`.
 pub async fn run(node: Rc<Node>, stop: CancellationToken) {
     loop {
         tokio::select! {
@@ -28,8 +26,8 @@
     }
 }
 
-/// Whoever decides by how long others have been silent looks first: the machine may have
-/// woken in this moment, and have heard nobody because it slept.
+/// Checks for a suspension now. To be called before deciding that others are unresponsive, since
+/// the machine may have resumed just now.
 pub fn check(node: &Rc<Node>) {
     let total = clock::suspended_for();
     let last = total.saturating_sub(node.suspended_for.get());
