--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -86,7 +86,7 @@
         due: job,
         items: chunks * 256,
         starts: (0..chunks).map(|chunk| chunk * 256).collect(),
-        at: job,
+        accepted_at: job,
     }
 }
 
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -54,7 +54,7 @@
     }
     loop {
         let next = lock(&shared.chain).generation() + 1;
-        let Some(found) = shared.store.get(&object_key::config(next)).await? else {
+        let Some(found) = shared.store.get(&object_key::config_entry(next)).await? else {
             return Ok(());
         };
         let entry: ConfigEntry = serde_json::from_slice(&found.bytes)
@@ -88,7 +88,7 @@
 /// whoever has a generation in force knows the entry that brought it.
 async fn heal(shared: &Shared) -> Result<(), StoreError> {
     let generation = lock(&shared.chain).generation();
-    if generation == 0 || shared.store.get(&object_key::config(generation)).await?.is_some() {
+    if generation == 0 || shared.store.get(&object_key::config_entry(generation)).await?.is_some() {
         return Ok(());
     }
     let entries: Vec<ConfigEntry> = lock(&shared.chain).history().cloned().collect();
@@ -96,7 +96,7 @@
         let bytes = serde_json::to_vec(&entry).unwrap_or_default().into();
         match shared
             .store
-            .put(&object_key::config(entry.generation), bytes, Condition::Absent)
+            .put(&object_key::config_entry(entry.generation), bytes, Condition::Absent)
             .await
         {
             Ok(_) => slog::warn!(shared.log, "configuration entry put back";
@@ -138,7 +138,7 @@
 
 async fn settle(shared: &Shared, entry: ConfigEntry) -> Result<Generation, Error> {
     let append = Append::new(entry.generation, entry.token.clone());
-    let key = object_key::config(entry.generation);
+    let key = object_key::config_entry(entry.generation);
     let value = bytes::Bytes::from(serde_json::to_vec(&entry).unwrap_or_default());
     let token = |bytes: &[u8]| {
         serde_json::from_slice::<ConfigEntry>(bytes).map(|entry| entry.token).unwrap_or_default()
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -136,7 +136,7 @@
             due: header.due,
             items: self.items,
             starts: self.starts.clone(),
-            at: clock::millis(),
+            accepted_at: clock::millis(),
         })
     }
 
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -340,7 +340,8 @@
 async fn register(node: &Rc<Node>) -> bool {
     let name = &node.settings.name;
     let peer = node.as_holder().address;
-    let entry = instance::Entry { peer, data_centre: node.data_centre().clone() };
+    let entry =
+        instance::Registration { peer_address: peer, data_centre: node.data_centre().clone() };
     match node.store.create(CallReason::Address, instance::KIND, name, &entry).await {
         Ok(_) | Err(StoreError::Conflict(_)) => true,
         Err(error) => {
@@ -360,5 +361,5 @@
         }
     };
     let read = |object: &Object| instance::decode(object.spec.get()).ok();
-    objects.iter().filter_map(read).map(|entry| entry.peer).collect()
+    objects.iter().filter_map(read).map(|entry| entry.peer_address).collect()
 }
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -118,7 +118,7 @@
         if shared.settings.is_guard_disabled("lease") {
             return true;
         }
-        let key = object_key::lease(&node.target.name);
+        let key = object_key::target_lease(&node.target.name);
         if !self.lease.hold(shared, &key).await {
             return false;
         }
@@ -181,7 +181,7 @@
             slot.release(shared, &object_key::load_slot(&node.target.service, number)).await;
         }
         if self.lease.held.is_some() {
-            self.lease.release(shared, &object_key::lease(&node.target.name)).await;
+            self.lease.release(shared, &object_key::target_lease(&node.target.name)).await;
         }
     }
 }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -306,7 +306,10 @@
     /// seed; `false` when that has to be tried again.
     async fn register(&self) -> bool {
         let peer = lock(&self.shared.table).me().peer;
-        let entry = instance::Entry { peer, data_centre: self.shared.settings.data_centre.clone() };
+        let entry = instance::Registration {
+            peer_address: peer,
+            data_centre: self.shared.settings.data_centre.clone(),
+        };
         let registered = self.shared.store.register(&peer.to_string(), entry).await;
         if let Err(fault) = &registered {
             slog::info!(self.shared.log, "not registered"; "fault" => %fault);
--- a/crates/daemon/src/shards/commit/housekeeping.rs
+++ b/crates/daemon/src/shards/commit/housekeeping.rs
@@ -67,7 +67,9 @@
         let Some(loaded) = &self.loaded else {
             return;
         };
-        if loaded.shard.next_position() < loaded.head.next + self.shared.settings.snapshot_entries {
+        if loaded.shard.next_position()
+            < loaded.head.next_position + self.shared.settings.snapshot_entries
+        {
             return;
         }
         match self.write_snapshot(loaded).await {
@@ -89,7 +91,7 @@
         let shard = &loaded.shard;
         let name = format!("{:012}-{:016x}", shard.next_position(), self.shared.id);
         let mut segments = retained_segments(&loaded.head.segments, self.oldest());
-        let fresh = shard.keys().finished_since(loaded.head.next);
+        let fresh = shard.keys().finished_since(loaded.head.next_position);
         if !fresh.is_empty() {
             let newest = fresh.iter().map(|(_, f)| f.issued).max().unwrap_or(0);
             let bytes = Bytes::from(serde_json::to_vec(&fresh).unwrap_or_default());
@@ -104,7 +106,7 @@
         }
         let swept = loaded.head.deleted_before;
         let head = Head {
-            next: shard.next_position(),
+            next_position: shard.next_position(),
             name,
             parts: parts.len(),
             segments,
@@ -138,7 +140,7 @@
         loaded.head.deleted_before = sweep::entries(
             &self.store,
             self.id,
-            loaded.head.deleted_before..loaded.head.next,
+            loaded.head.deleted_before..loaded.head.next_position,
             oldest,
         )
         .await;
--- a/crates/daemon/src/shards/load.rs
+++ b/crates/daemon/src/shards/load.rs
@@ -64,7 +64,7 @@
             decode(&need(store, &object_key::segment(id, &segment.name)).await?)?;
         finished.extend(keys);
     }
-    let shard = body.restore(id, policy, head.next, finished, now);
+    let shard = body.restore(id, policy, head.next_position, finished, now);
     Ok(Loaded { shard, head, version: Some(version) })
 }
 
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -69,7 +69,7 @@
     Watch(String, Option<Revision>, Duration, ReplySender<Result<Changes, StoreError>>),
     Targets(ReplySender<Result<Vec<Listed>, StoreError>>),
     Instances(ReplySender<Result<Vec<SocketAddr>, StoreError>>),
-    Register(String, instance::Entry, ReplySender<Result<(), StoreError>>),
+    Register(String, instance::Registration, ReplySender<Result<(), StoreError>>),
 }
 
 /// The store, for the other duties.
@@ -186,7 +186,11 @@
     /// # Errors
     ///
     /// How the call failed.
-    pub async fn register(&self, name: &str, entry: instance::Entry) -> Result<(), StoreError> {
+    pub async fn register(
+        &self,
+        name: &str,
+        entry: instance::Registration,
+    ) -> Result<(), StoreError> {
         self.ask(self.limit, |answer| Call::Register(name.into(), entry, answer)).await
     }
 }
@@ -318,7 +322,7 @@
     async fn instances(&self) -> Result<Vec<SocketAddr>, StoreError> {
         let objects = self.keyed.store().list_all(instance::KIND).await?.objects;
         let read = |object: &platform::store::Object| match instance::decode(object.spec.get()) {
-            Ok(entry) => Some(entry.peer),
+            Ok(entry) => Some(entry.peer_address),
             Err(error) => {
                 slog::warn!(self.log, "entry of an instance not understood";
                         "instance" => &object.name, "error" => %error);
@@ -328,7 +332,7 @@
         Ok(objects.iter().filter_map(read).collect())
     }
 
-    async fn register(&self, name: &str, entry: &instance::Entry) -> Result<(), StoreError> {
+    async fn register(&self, name: &str, entry: &instance::Registration) -> Result<(), StoreError> {
         let store = self.keyed.store();
         match store.create(instance::KIND, name, entry).await {
             // An earlier start of this instance, perhaps at another address.
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -34,7 +34,8 @@
     /// Number of items among `done` that failed.
     pub failed: u64,
     /// Number of chunk assignments, repeated ones included.
-    pub claims: u64,
+    #[serde(rename = "claims")]
+    pub assignments: u64,
     /// Its chunks; empty once the job is archived.
     pub chunks: Vec<Chunk>,
     /// Whether the index object holds the locations of the results.
@@ -44,7 +45,15 @@
 impl Job {
     fn new(spec: JobSpec) -> Job {
         let chunks = vec![Chunk::default(); spec.starts.len()];
-        Job { spec, phase: Phase::Running, done: 0, failed: 0, claims: 0, chunks, archived: false }
+        Job {
+            spec,
+            phase: Phase::Running,
+            done: 0,
+            failed: 0,
+            assignments: 0,
+            chunks,
+            archived: false,
+        }
     }
 
     /// Status as the public API reports it.
@@ -57,7 +66,7 @@
             done: self.done,
             failed: self.failed,
             due: self.spec.due,
-            claims: self.claims,
+            claims: self.assignments,
         }
     }
 
@@ -241,7 +250,7 @@
         };
         entry.attempt = attempt;
         entry.holder = Some(holder);
-        found.claims += 1;
+        found.assignments += 1;
         self.remove_unassigned(job, chunk);
         self.assigned.insert((job.to_owned(), chunk), now);
     }
@@ -303,7 +312,7 @@
     /// Removes archived jobs that were accepted before `before`, and returns them
     /// so that the caller can delete their objects.
     pub fn expire(&mut self, before: Millis) -> Vec<Job> {
-        let is_old = |job: &Job| job.archived && job.spec.at < before;
+        let is_old = |job: &Job| job.archived && job.spec.accepted_at < before;
         let old: Vec<JobId> =
             self.jobs.values().filter(|job| is_old(job)).map(|job| job.spec.job.clone()).collect();
         old.iter().filter_map(|id| self.jobs.remove(id)).collect()
@@ -339,5 +348,5 @@
 
 fn due_order(spec: &JobSpec) -> (Millis, Millis, JobId) {
     let due = if spec.due == 0 { Millis::MAX } else { spec.due };
-    (due, spec.at, spec.job.clone())
+    (due, spec.accepted_at, spec.job.clone())
 }
--- a/crates/state/src/object_key.rs
+++ b/crates/state/src/object_key.rs
@@ -47,7 +47,7 @@
 }
 
 /// Configuration change that led to `generation`.
-pub fn config(generation: Generation) -> String {
+pub fn config_entry(generation: Generation) -> String {
     format!("config/e/{generation:012}")
 }
 
@@ -58,7 +58,7 @@
 pub const CONFIG_PREFIX: &str = "config/e/";
 
 /// Lease of the instance that controls a target.
-pub fn lease(target: &str) -> String {
+pub fn target_lease(target: &str) -> String {
     format!("lease/target/{target}")
 }
 
--- a/crates/state/src/record.rs
+++ b/crates/state/src/record.rs
@@ -69,7 +69,8 @@
     /// Index of the first item of each chunk; chunk `i` ends where `i + 1` starts.
     pub starts: Vec<u64>,
     /// When the job was accepted.
-    pub at: Millis,
+    #[serde(rename = "at")]
+    pub accepted_at: Millis,
 }
 
 /// One state change of a shard.
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -25,7 +25,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// Position of the first log entry that the snapshot doesn't include.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_position: u64,
     /// Name of the parts within [`crate::object_key::snapshot_part`].
     pub name: String,
     /// Number of parts; joined in order they hold a [`Body`].
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -58,7 +58,7 @@
             due: 0,
             items: ITEMS,
             starts: (0..ITEMS).step_by(CHUNK as usize).collect(),
-            at: 0,
+            accepted_at: 0,
         };
         let accepted = world.submit(0, WriteResult::Written, &Command::Accept(spec));
         assert_eq!(accepted, Some(Ok(Reply::Recorded)));
