--- a/crates/state/src/progress.rs
+++ b/crates/state/src/progress.rs
@@ -15,7 +15,7 @@
 //! let mut state = JobState::new(job, Progress::default(), 3);
 //! assert_eq!(state.start_next().map(|item| item.id.clone()), Some("a".into()));
 //! state.on_done("a", Outcome { item: "a".into(), is_complete: true, text: "x".into() });
-//! assert!(state.durable_results().is_empty(), "a result is listed only once it is durable");
+//! assert!(state.durable_results().is_empty(), "results are durable only once written");
 //! let progress = state.next_write().unwrap();
 //! state.on_written(&progress);
 //! assert_eq!(state.durable_results().len(), 1);
--- a/crates/state/tests/model/main.rs
+++ b/crates/state/tests/model/main.rs
@@ -38,11 +38,14 @@
 
 fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        3 => (0..KEYS, any::<bool>()).prop_map(|(key, is_released)| Action::Send { key, is_released }),
+        3 => (0..KEYS, any::<bool>())
+            .prop_map(|(key, is_released)| Action::Send { key, is_released }),
         1 => (0..KEYS).prop_map(|key| Action::Finish { key }),
         3 => (1..4u64).prop_map(|holder| Action::Claim { holder }),
         5 => (0..6usize, 0..3usize, any::<bool>())
-            .prop_map(|(assignment, items, releases)| Action::Report { assignment, items, releases }),
+            .prop_map(|(assignment, items, releases)| {
+                Action::Report { assignment, items, releases }
+            }),
         1 => Just(Action::Cancel),
         3 => (1..30_000u64).prop_map(|millis| Action::Wait { millis }),
         2 => Just(Action::CatchUp),
@@ -51,7 +54,11 @@
 }
 
 fn write_result() -> impl Strategy<Value = WriteResult> {
-    prop_oneof![6 => Just(WriteResult::Written), 1 => Just(WriteResult::ResponseLost), 1 => Just(WriteResult::NotWritten)]
+    prop_oneof![
+        6 => Just(WriteResult::Written),
+        1 => Just(WriteResult::ResponseLost),
+        1 => Just(WriteResult::NotWritten),
+    ]
 }
 
 fn run(policy: Policy, cases: u32) -> Result<(), String> {
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -87,7 +87,7 @@
             }
             let decision = shard.decide(&mut Batch::default(), command, self.now);
             let (records, reply) = match decision {
-                Decision::Reply(answer) => return Some(answer),
+                Decision::Reply(reply) => return Some(reply),
                 Decision::Defer => return None,
                 Decision::Commit(records, reply) => (records, reply),
             };
@@ -152,8 +152,8 @@
             }
             Action::Cancel => {
                 let command = Command::Cancel { job: "job-1".into() };
-                let answer = self.submit(owner, write_result, &command);
-                if let Some(Ok(Reply::Status(status))) = answer {
+                let reply = self.submit(owner, write_result, &command);
+                if let Some(Ok(Reply::Status(status))) = reply {
                     self.cancelled |= status.phase == Phase::Cancelled;
                 }
                 Ok(())
@@ -193,8 +193,8 @@
             deadline: self.now + 5_000,
             issued: 1_000_000,
         };
-        let answer = self.submit(owner, write_result, &command);
-        if matches!(answer, Some(Ok(Reply::Proceed))) && !is_released {
+        let reply = self.submit(owner, write_result, &command);
+        if matches!(reply, Some(Ok(Reply::Proceed))) && !is_released {
             let sent = self.sent.entry(key).or_insert(0);
             *sent += 1;
             if *sent > 1 {
@@ -202,7 +202,7 @@
             }
             return Ok(());
         }
-        if answer.is_none() || is_released {
+        if reply.is_none() || is_released {
             // The attempt was never sent: any owner can release it.
             let key = format!("k{key}");
             let release = Command::Release { key, attempt, issued: 1_000_000 };
@@ -219,8 +219,8 @@
         let outcome = StoredOutcome::Chat(chat::Outcome { text, finish: "stop".into(), tokens: 1 });
         let command =
             Command::Finish { key: format!("k{key}"), digest: 7, issued: 1_000_000, outcome };
-        let answer = self.submit(owner, write_result, &command);
-        let position = match answer {
+        let reply = self.submit(owner, write_result, &command);
+        let position = match reply {
             Some(Ok(Reply::Recorded)) => self.owners[owner].next_position() - 1,
             Some(Ok(Reply::Duplicate { position })) => position,
             _ => return Ok(()),
@@ -329,22 +329,22 @@
         for owner in 0..OWNERS {
             self.catch_up(owner);
         }
-        let mut fresh = Shard::new(0, self.policy);
+        let mut replayed = Shard::new(0, self.policy);
         for entry in &self.log {
-            fresh.apply(entry.clone(), self.now);
+            replayed.apply(entry.clone(), self.now);
         }
         let done = |shard: &Shard| shard.jobs().get("job-1").map(|job| job.done);
-        if done(&fresh) != Some(self.recorded.len() as u64) {
+        if done(&replayed) != Some(self.recorded.len() as u64) {
             return Err(format!(
                 "{:?} outcomes counted, {} are",
-                done(&fresh),
+                done(&replayed),
                 self.recorded.len()
             ));
         }
         let agree = self
             .owners
             .iter()
-            .all(|owner| owner.keys() == fresh.keys() && done(owner) == done(&fresh));
+            .all(|owner| owner.keys() == replayed.keys() && done(owner) == done(&replayed));
         if agree { Ok(()) } else { Err("owners disagree on the same log".into()) }
     }
 }
--- a/crates/state/tests/progress.rs
+++ b/crates/state/tests/progress.rs
@@ -36,7 +36,7 @@
 }
 
 /// Regression: preempted items resumed in list order, and nearly complete ones
-/// stayed back until the job was expired.
+/// were completed too late.
 #[test]
 fn preempted_item_with_most_events_resumes_first() {
     let mut state = JobState::new(Job::example("j", &["a", "b", "c"]), Progress::default(), 3);
@@ -140,7 +140,7 @@
     proptest::collection::vec(step, 1..60)
 }
 
-fn write(worker: &mut Worker, store: &mut Store, is_answer_lost: bool) {
+fn write(worker: &mut Worker, store: &mut Store, is_response_lost: bool) {
     let progress = worker.state.to_progress();
     if store.revision != worker.revision {
         let found = store.progress.clone();
@@ -154,7 +154,7 @@
     }
     store.progress = progress.clone();
     store.revision += 1;
-    if !is_answer_lost {
+    if !is_response_lost {
         worker.revision = store.revision;
         worker.state.on_written(&progress);
     }
@@ -213,19 +213,19 @@
 /// permanently at the previous one.
 #[test]
 fn handoff_spares_the_next_holder_repeated_runs() {
-    let job = || Job::example("j", &["never", "done", "begun", "failed"]);
+    let job = || Job::example("j", &["never", "done", "preempted", "failed"]);
     let mut first = JobState::new(job(), Progress::default(), 3);
     while first.start_next().is_some() {}
     first.on_failed("never", Failure::Permanent);
     first.on_done("done", outcome("done", "first"));
     let partial = PartialOutput { last_event_id: Some(3), events: vec!["x".into(); 3] };
-    first.on_stopped("begun", partial.clone());
+    first.on_stopped("preempted", partial.clone());
     first.on_failed("failed", Failure::Retryable);
     first.on_failed("failed", Failure::Retryable);
     let mut second = JobState::new(job(), Progress::default(), 3);
     second.merge_handoff(first.handoff());
     assert_eq!(second.runnable(), 2, "neither the completed nor the failed item");
-    assert_eq!(second.partial("begun"), partial);
+    assert_eq!(second.partial("preempted"), partial);
     second.on_failed("failed", Failure::Retryable);
     assert_eq!(second.runnable(), 1, "no run after the third failure");
     let results = second.next_write().expect("results").outcomes;
