--- a/crates/daemon/src/gateway/front.rs
+++ b/crates/daemon/src/gateway/front.rs
@@ -44,7 +44,7 @@
     /// When the head was read.
     pub started: Instant,
     /// Deadline: the end of the caller's timeout or the route's, whichever is earlier.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 impl CallerRequest {
@@ -55,7 +55,7 @@
 
     /// Time until the deadline; zero afterwards.
     pub fn remaining(&self, now: Instant) -> Duration {
-        self.until.saturating_duration_since(now)
+        self.deadline.saturating_duration_since(now)
     }
 }
 
@@ -75,7 +75,7 @@
         let result = handle(node, request, started).await;
         let mut response = match result {
             Ok(response) => response,
-            Err(broken) => return Err(broken),
+            Err(aborted) => return Err(aborted),
         };
         if node.is_stopping() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -96,7 +96,7 @@
     started: Instant,
 ) -> Result<Response<Body>, BodyAborted> {
     let (parts, mut body) = request.into_parts();
-    let Some(config) = config(node).await else {
+    let Some(config) = wait_for_config(node).await else {
         let error = Error::new(Kind::NotReady, "no configuration yet");
         return Ok(error_response(node, "", &error));
     };
@@ -119,7 +119,7 @@
     };
     let route = route.clone();
     let timeout = header::millis(&parts.headers, header::DEADLINE_MS);
-    let until = started + timeout.unwrap_or(route.timeout).min(route.timeout);
+    let deadline = started + timeout.unwrap_or(route.timeout).min(route.timeout);
     let limit = config.table.limits.body_bytes;
     let body_timeout = timeout.unwrap_or(MAX_BODY_TIMEOUT).min(MAX_BODY_TIMEOUT);
     let body = match tokio::time::timeout(body_timeout, server::read_body(&mut body, limit)).await {
@@ -140,13 +140,14 @@
     let headers = header::end_to_end(&parts.headers);
     let is_retry = timeout.is_some_and(|timeout| node.is_retry(&route.name, timeout));
     let method = parts.method;
-    let call = CallerRequest { id, method, target, host, headers, body, is_retry, started, until };
+    let call =
+        CallerRequest { id, method, target, host, headers, body, is_retry, started, deadline };
     serve(node, &config, route, call).await
 }
 
 /// The configuration in force. Waits up to [`STARTUP_WAIT`] after the start until the instance is
 /// initialized.
-async fn config(node: &Node) -> Option<Rc<Config>> {
+async fn wait_for_config(node: &Node) -> Option<Rc<Config>> {
     while !node.is_initialized() && clock::since(node.started) < STARTUP_WAIT {
         tokio::time::sleep(CONFIG_POLL_INTERVAL).await;
     }
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -108,7 +108,7 @@
     }
 
     /// Number of leases that this instance holds.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.active.borrow().len()
     }
 
--- a/crates/daemon/src/gateway/leases/batch.rs
+++ b/crates/daemon/src/gateway/leases/batch.rs
@@ -74,11 +74,11 @@
     } else {
         node.request(address, &PeerRequest::Slots(request), wait + REPLY_TIMEOUT * 4).await.ok()?
     };
-    let PeerReply::Slots(grants, span) = reply else {
+    let PeerReply::Slots(grants, run_time) = reply else {
         return None;
     };
-    node.jobs.run_time.borrow_mut().merge(span);
-    let granted = grants.len();
+    node.jobs.run_time.borrow_mut().merge(run_time);
+    let grant_count = grants.len();
     let lease = |grant| {
         if is_local {
             return Some(activate(node, grant, Purpose::Batch, Grantor::Local));
@@ -87,6 +87,6 @@
     };
     let leases: Vec<Lease> = grants.into_iter().filter_map(lease).collect();
     // All grants were on unusable targets: the caller retries later.
-    let is_outdated = granted > 0 && leases.is_empty();
+    let is_outdated = grant_count > 0 && leases.is_empty();
     (!is_outdated).then_some(leases)
 }
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -125,20 +125,20 @@
         let totals = crate::fleet::lock(&self.sink.0);
         let mut text = String::new();
         for (name, value) in &totals.counters {
-            line(&mut text, name, "", *value);
+            write_line(&mut text, name, "", *value);
         }
         for (name, times) in &totals.times {
-            line(&mut text, name, "_count", times.len());
+            write_line(&mut text, name, "_count", times.len());
             for quantile in QUANTILES {
                 let suffix = format!("_ms{{quantile=\"{quantile}\"}}");
-                line(&mut text, name, &suffix, times.value_at_quantile(quantile));
+                write_line(&mut text, name, &suffix, times.value_at_quantile(quantile));
             }
         }
         text
     }
 }
 
-fn line(text: &mut String, name: &str, suffix: &str, value: u64) {
+fn write_line(text: &mut String, name: &str, suffix: &str, value: u64) {
     let name = name.replace('.', "_");
     // Writing to a string can't fail.
     let _written = writeln!(text, "{name}{suffix} {value}");
@@ -182,16 +182,16 @@
     let counts = node.store.without_breaker().counts();
     let [online, batch] = node.leases.in_use();
     // A platform that never responded is reported with the largest value of a gauge.
-    let silence = node.store.idle_time(clock::now()).map_or(u64::MAX, |t| t.as_millis() as u64);
+    let idle_time = node.store.idle_time(clock::now()).map_or(u64::MAX, |t| t.as_millis() as u64);
     let gauges = [
         ("gatespool.platform.reads", counts.reads.get()),
         ("gatespool.platform.writes", counts.writes.get()),
-        ("gatespool.platform.silence_ms", silence),
+        ("gatespool.platform.silence_ms", idle_time),
         ("gatespool.config.version", node.state_digest().config),
         ("gatespool.targets.revision", node.registry.borrow().revision()),
         ("gatespool.targets.connections", node.targets.connections_opened()),
         ("gatespool.members", node.others().len() as u64 + 1),
-        ("gatespool.leases.held", node.leases.held() as u64),
+        ("gatespool.leases.held", node.leases.held_count() as u64),
         ("gatespool.account.online", u64::from(online)),
         ("gatespool.account.batch", u64::from(batch)),
         ("gatespool.jobs.held", node.jobs.held_count() as u64),
@@ -199,7 +199,7 @@
         ("gatespool.running", node.in_flight.get() as u64),
     ];
     for (cause, calls) in node.store.calls() {
-        line(
+        write_line(
             &mut text,
             "gatespool.platform.calls",
             &format!("{{cause=\"{}\"}}", cause.name()),
@@ -207,7 +207,7 @@
         );
     }
     for (name, value) in gauges {
-        line(&mut text, name, "", value);
+        write_line(&mut text, name, "", value);
     }
     text
 }
--- a/crates/daemon/src/gateway/node.rs
+++ b/crates/daemon/src/gateway/node.rs
@@ -258,14 +258,14 @@
 
     /// Whether a request with this timeout is assumed to be a retry: callers of a route use
     /// the same timeout, and a retry has less of it remaining.
-    pub fn is_retry(&self, route: &str, wait: Duration) -> bool {
+    pub fn is_retry(&self, route: &str, timeout: Duration) -> bool {
         let mut longest_timeouts = self.longest_timeouts.borrow_mut();
         if longest_timeouts.len() >= MAX_ROUTES {
             longest_timeouts.clear();
         }
-        let longest = longest_timeouts.entry(route.to_owned()).or_insert(wait);
-        *longest = wait.max(*longest);
-        wait < longest.mul_f64(RETRY_TIMEOUT_RATIO)
+        let longest = longest_timeouts.entry(route.to_owned()).or_insert(timeout);
+        *longest = timeout.max(*longest);
+        timeout < longest.mul_f64(RETRY_TIMEOUT_RATIO)
     }
 
     /// Whether the peer at `address` recently failed to reply.
--- a/crates/daemon/src/gateway/online.rs
+++ b/crates/daemon/src/gateway/online.rs
@@ -285,7 +285,7 @@
     fn slot_deadlines(&self, is_resumed: bool, now: Instant) -> (Instant, Instant) {
         let route = &self.route;
         let start = self.call.started;
-        let deadline = self.call.until.min(start + route.timeout);
+        let deadline = self.call.deadline.min(start + route.timeout);
         let expires = |since: Instant| {
             route
                 .caller_idle_timeout
--- a/crates/daemon/src/gateway/run.rs
+++ b/crates/daemon/src/gateway/run.rs
@@ -119,8 +119,8 @@
     node.stopping.cancel();
     node.members.borrow_mut().leave();
     node.membership_changed.notify_one();
-    let bound = node.settings.max_stop_duration.saturating_sub(STOP_MARGIN);
-    let plan = Plan { grace: node.settings.stop_grace, max_duration: bound };
+    let max_duration = node.settings.max_stop_duration.saturating_sub(STOP_MARGIN);
+    let plan = Plan { grace: node.settings.stop_grace, max_duration };
     let handoff = spawn_local({
         let node = node.clone();
         async move { items::hand_off_jobs(&node).await }
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -95,7 +95,7 @@
         body: Bytes::copy_from_slice(body),
         is_retry: false,
         started: now,
-        until: now + FORWARD_TIMEOUT,
+        deadline: now + FORWARD_TIMEOUT,
     };
     accept(node, route, &call, now + FORWARD_TIMEOUT.mul_f64(0.8)).await
 }
