--- a/crates/daemon/src/gateway/discovery.rs
+++ b/crates/daemon/src/gateway/discovery.rs
@@ -102,18 +102,18 @@
 
 /// Closes connections to the previous process of a target that restarted under its id.
 fn record_start_times(node: &Node, applied: &[Change]) {
-    let mut births = node.start_times.borrow_mut();
+    let mut start_times = node.start_times.borrow_mut();
     for change in applied {
         match change {
             Change::Present(target) => {
-                let before = births.insert(target.id.clone(), target.started_at);
+                let before = start_times.insert(target.id.clone(), target.started_at);
                 if before.is_some_and(|before| before != target.started_at) {
                     slog::info!(node.log, "target restarted"; "target" => &target.id,
                         "born" => target.started_at, "before" => before);
                     node.targets.close_idle(target.address);
                 }
             }
-            Change::Gone { id, .. } => drop(births.remove(id)),
+            Change::Gone { id, .. } => drop(start_times.remove(id)),
         }
     }
 }
@@ -149,14 +149,14 @@
         .changes
         .iter()
         .enumerate()
-        .map(|(at, change)| (change.object.name.clone(), at))
+        .map(|(index, change)| (change.object.name.clone(), index))
         .collect();
-    for (at, change) in changes.changes.iter().enumerate() {
+    for (index, change) in changes.changes.iter().enumerate() {
         let name = &change.object.name;
         // Only the last change of each entry counts: the revision is that of the whole
         // response, so an earlier removal would override the new entry of a target that
         // came back.
-        if latest.get(name) != Some(&at) {
+        if latest.get(name) != Some(&index) {
             continue;
         }
         if change.removed {
@@ -169,8 +169,8 @@
             Err(revision) => mark_invalid(node, name, revision, &mut delta),
         }
     }
-    let unreadable = changes.undecodable.iter().filter_map(|found| found.name.as_ref());
-    for name in unreadable.filter(|name| !latest.contains_key(*name)) {
+    let undecodable = changes.undecodable.iter().filter_map(|found| found.name.as_ref());
+    for name in undecodable.filter(|name| !latest.contains_key(*name)) {
         mark_invalid(node, name, changes.revision, &mut delta);
     }
     on_delta(node, delta);
--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -40,7 +40,7 @@
 /// Runs an item unless it is quarantined.
 pub(super) async fn run_item(node: Rc<Node>, held: Rc<HeldJob>, item: Item, lease: Lease) {
     let mut partial = held.state.borrow().partial(&item.id);
-    let before = partial.events.len();
+    let events_before = partial.events.len();
     let started = clock::now();
     held.first_started.borrow_mut().entry(item.id.clone()).or_insert(started);
     let target = lease.grant.target.clone();
@@ -60,7 +60,7 @@
             RunEnd::Stopped(LeaseOutcome::Unused, String::from("job ended")),
     };
     let mut lease = lease;
-    let new_events = partial.events.len() - before.min(partial.events.len());
+    let new_events = partial.events.len() - events_before.min(partial.events.len());
     if new_events > 1 {
         lease.report.event_interval = Some(clock::since(started) / new_events as u32);
     }
@@ -71,7 +71,7 @@
     };
     slog::info!(node.log, "item run"; "item" => &item.id, "content" => hex(fingerprint),
         "job" => &held.state.borrow().job().id, "target" => target, "how" => how,
-        "fault" => &error, "events" => partial.events.len(), "resumed_at" => before,
+        "fault" => &error, "events" => partial.events.len(), "resumed_at" => events_before,
         "registry" => lease.registry,
         "ran_ms" => clock::since(started).as_millis() as u64);
     let mut pause = Duration::ZERO;
--- a/crates/daemon/src/gateway/job_store.rs
+++ b/crates/daemon/src/gateway/job_store.rs
@@ -190,16 +190,16 @@
     overflow: &[OverflowObject],
 ) -> Result<Vec<T>, LoadError> {
     let mut all = Vec::new();
-    for object in overflow {
+    for reference in overflow {
         let found = node
             .store
-            .get(reason, job::OVERFLOW_KIND, &object.name)
+            .get(reason, job::OVERFLOW_KIND, &reference.name)
             .await
             .map_err(LoadError::Store)?;
         let Some(object) = found else {
             return Err(LoadError::Malformed(format!(
                 "overflow object `{}` is missing",
-                object.name
+                reference.name
             )));
         };
         let mut part: Vec<T> = serde_json::from_str(object.spec.get())?;
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -56,14 +56,14 @@
 
 /// Starts the response to a streaming request; a separate task forwards the events.
 pub fn stream(
-    forward: ProxiedRequest,
+    request: ProxiedRequest,
     response: TargetResponse,
     in_flight: InFlightGuard,
 ) -> Response<Body> {
     let head = response_head(&response.exchange);
     let (sender, body) = server::body_channel();
     tokio::task::spawn_local(async move {
-        let mut stream = Stream { forward, last_event: None, sender, stats: EventStats::default() };
+        let mut stream = Stream { request, last_event: None, sender, stats: EventStats::default() };
         stream.run(response).await;
         drop(in_flight);
     });
@@ -71,7 +71,7 @@
 }
 
 struct Stream {
-    forward: ProxiedRequest,
+    request: ProxiedRequest,
     last_event: Option<u64>,
     sender: BodySender,
     stats: EventStats,
@@ -101,16 +101,16 @@
                 StreamEnd::Interrupted(error) => error,
                 StreamEnd::Idle => String::from("idle"),
             };
-            self.forward.excluded.push(target.clone());
-            if !self.forward.may_retry() {
+            self.request.excluded.push(target.clone());
+            if !self.request.may_retry() {
                 return self.abort(&target, &error).await;
             }
-            slog::info!(self.forward.node.log, "resuming interrupted stream";
+            slog::info!(self.request.node.log, "resuming interrupted stream";
                 "request" => &self.call().id, "content" => hex(self.call().fingerprint()),
                 "target" => &target, "fault" => &error, "after" => self.last_event,
-                "sent" => self.forward.attempts);
+                "sent" => self.request.attempts);
             let next = tokio::select! {
-                next = self.forward.forward(self.last_event) => next,
+                next = self.request.forward(self.last_event) => next,
                 () = self.sender.closed() => return self.log("caller disconnected", &target, ""),
             };
             response = match next {
@@ -146,8 +146,8 @@
         let is_framed = exchange.has_body_framing();
         drop(exchange);
         match end {
-            StreamEnd::Interrupted(_) => self.forward.on_interrupted(&lease.grant),
-            StreamEnd::Completed => self.forward.on_end(is_framed),
+            StreamEnd::Interrupted(_) => self.request.on_interrupted(&lease.grant),
+            StreamEnd::Completed => self.request.on_end(is_framed),
             StreamEnd::CallerGone | StreamEnd::DeadlineExceeded | StreamEnd::Idle => {}
         }
         lease.report.first_event = self.stats.first;
@@ -167,7 +167,7 @@
         lease: &Lease,
         splitter: &mut EventSplitter,
     ) -> StreamEnd {
-        let is_resumable = self.forward.route.resumable;
+        let is_resumable = self.request.route.resumable;
         let mut is_overdue = false;
         loop {
             let max_gap = self.max_gap();
@@ -182,7 +182,7 @@
                 () = tokio::time::sleep(max_gap), if !is_overdue => {
                     lease.report_overdue();
                     is_overdue = true;
-                    if self.forward.may_retry() {
+                    if self.request.may_retry() {
                         return StreamEnd::Idle;
                     }
                     continue;
@@ -241,16 +241,16 @@
     }
 
     fn max_gap(&self) -> Duration {
-        let route = &self.forward.route;
+        let route = &self.request.route;
         if self.stats.chunks == 0 { route.objective } else { route.max_event_gap * IDLE_GAP_FACTOR }
     }
 
     fn call(&self) -> &Rc<CallerRequest> {
-        &self.forward.call
+        &self.request.call
     }
 
     fn node(&self) -> &Rc<Node> {
-        &self.forward.node
+        &self.request.node
     }
 
     /// Aborts the response so that it can't be taken for a complete one.
@@ -265,7 +265,7 @@
         let node = self.node();
         let age = clock::since(call.started);
         node.metrics.time("stream.whole", age);
-        let route = &self.forward.route;
+        let route = &self.request.route;
         let first = self.stats.first_after(call.started);
         first.into_iter().for_each(|first| node.metrics.time("stream.first", first));
         let is_in_time = first.is_some_and(|first| first <= route.objective);
@@ -273,12 +273,12 @@
         node.metrics.record_request(&route.name, is_good, clock::now());
         slog::info!(node.log, "{}", event; "request" => &call.id, "target" => target,
             "content" => hex(call.fingerprint()),
-            "route" => &self.forward.route.name, "config" => self.forward.version,
-            "registry" => self.forward.registry,
-            "fault" => error, "pieces" => self.stats.chunks, "sent" => self.forward.attempts,
+            "route" => &self.request.route.name, "config" => self.request.version,
+            "registry" => self.request.registry,
+            "fault" => error, "pieces" => self.stats.chunks, "sent" => self.request.attempts,
             "first_ms" => self.stats.first_after(call.started).map(|at| at.as_millis() as u64),
             "slowest_ms" => self.stats.slowest.as_millis() as u64,
-            "slot_ms" => self.forward.slot_wait.get().as_millis() as u64,
+            "slot_ms" => self.request.slot_wait.get().as_millis() as u64,
             "again" => call.is_retry, "age_ms" => age.as_millis() as u64);
     }
 }
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -185,13 +185,13 @@
         // A single interrupted watch proves nothing; the list that follows does.
         return;
     }
-    let pause = coordination::retry::backoff(
+    let delay = coordination::retry::backoff(
         failures,
         RETRY_DELAY_BOUNDS[0],
         RETRY_DELAY_BOUNDS[1],
         rand::random(),
     );
-    tokio::time::sleep(pause).await;
+    tokio::time::sleep(delay).await;
 }
 
 /// Whether this instance watches a topic on behalf of others.
@@ -205,11 +205,11 @@
     /// Returns once other instances have been ranked first for a while. Continuing the
     /// watch would cost probes.
     async fn lost(&self) {
-        let mut held = clock::now();
-        while clock::since(held) < ROLE_LOSS_DELAY {
+        let mut last_held = clock::now();
+        while clock::since(last_held) < ROLE_LOSS_DELAY {
             tokio::time::sleep(POLL_INTERVAL).await;
             if is_watcher(&self.node, self.topic) && !self.node.is_stopping() {
-                held = clock::now();
+                last_held = clock::now();
             }
         }
     }
@@ -231,8 +231,8 @@
 
 /// Ids of members that are currently disconnected from the platform.
 fn disconnected_members(node: &Node, now: Instant) -> Vec<String> {
-    let lost = node.disconnected.borrow();
-    let recent = lost.iter().filter(|(_, until)| now < **until);
+    let disconnected = node.disconnected.borrow();
+    let recent = disconnected.iter().filter(|(_, until)| now < **until);
     recent.map(|(id, _)| format!("{id:x}")).collect()
 }
 
