--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -67,7 +67,7 @@
         self.document = document;
     }
 
-    /// Retained entries after `generation`, at limit `limit`.
+    /// Retained entries after `generation`, at most `limit`.
     pub fn since(&self, generation: Generation, limit: usize) -> Vec<ConfigEntry> {
         self.entries.range(generation + 1..).take(limit).map(|(_, entry)| entry.clone()).collect()
     }
--- a/crates/state/src/part.rs
+++ b/crates/state/src/part.rs
@@ -18,7 +18,7 @@
 pub struct ResultPart {
     /// Outcomes by item.
     pub outcomes: BTreeMap<u32, Outcome>,
-    /// Items that may run at max_tries once and are about to be sent.
+    /// Items that may run at most once and are about to be sent.
     pub started: Vec<u32>,
     /// Number of tries so far, for items without an outcome.
     pub tries: BTreeMap<u32, u32>,
@@ -36,7 +36,7 @@
 pub struct ChunkProgress {
     /// Outcomes by item; the first one of an item wins.
     pub outcomes: BTreeMap<u32, Outcome>,
-    /// Items that may run at max_tries once and were started.
+    /// Items that may run at most once and were started.
     pub started: Vec<u32>,
     /// Maximum number of tries reported for each item.
     pub tries: BTreeMap<u32, u32>,
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -346,8 +346,8 @@
             Record::Assigned { job, chunk, attempt, holder } => {
                 self.jobs.on_assigned(&job, chunk, attempt, holder, now);
             }
-            Record::Progressed { job, chunk, part, done, failed, disposition: after, .. } => {
-                self.jobs.on_progressed(&(job, chunk), part, (done, failed), after, now);
+            Record::Progressed { job, chunk, part, done, failed, disposition, .. } => {
+                self.jobs.on_progressed(&(job, chunk), part, (done, failed), disposition, now);
             }
             Record::Cancelled { job } => self.jobs.on_cancelled(&job),
             Record::Archived { job } => self.jobs.on_archived(&job),
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -46,7 +46,7 @@
     pub claims: HashMap<String, Claim>,
     /// Released attempts, with the issue time of their key.
     pub released: HashMap<u64, Millis>,
-    /// Jobs inside the retention window.
+    /// All jobs of the shard.
     pub jobs: Vec<Job>,
 }
 
--- a/crates/state/tests/model/world.rs
+++ b/crates/state/tests/model/world.rs
@@ -272,7 +272,7 @@
         let assignment = &self.assignments[index];
         let (chunk, attempt, part) = (assignment.chunk, assignment.attempt, assignment.parts);
         let done: Vec<u64> = assignment.items.iter().take(items).copied().collect();
-        let after = match (done.len() == assignment.items.len(), releases) {
+        let disposition = match (done.len() == assignment.items.len(), releases) {
             (true, _) => Disposition::Done,
             (false, true) => Disposition::Release,
             (false, false) => Disposition::Continue,
@@ -288,10 +288,10 @@
             part: written,
             done: done.len() as u32,
             failed: 0,
-            disposition: after,
+            disposition,
         };
         match self.submit(owner, write_result, &command) {
-            Some(Ok(Reply::Continue)) => self.on_recorded(index, &done, after),
+            Some(Ok(Reply::Continue)) => self.on_recorded(index, &done, disposition),
             Some(_) => {
                 self.assignments.remove(index);
                 Ok(())
@@ -304,7 +304,7 @@
         &mut self,
         index: usize,
         done: &[u64],
-        after: Disposition,
+        disposition: Disposition,
     ) -> Result<(), String> {
         let chunk = self.assignments[index].chunk;
         for item in done {
@@ -318,7 +318,7 @@
         let assignment = &mut self.assignments[index];
         assignment.items.drain(..done.len());
         assignment.parts += u32::from(!done.is_empty());
-        if after != Disposition::Continue {
+        if disposition != Disposition::Continue {
             self.assignments.remove(index);
         }
         Ok(())
