--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -159,7 +159,7 @@
             true => text_response(200, "ended"),
             false => unavailable(node, id),
         },
-        Location::Reply(PeerReply::Done) => text_response(200, "ended"),
+        Location::Reply(PeerReply::Acknowledged) => text_response(200, "ended"),
         Location::NotFound => text_response(404, "no such job"),
         Location::Reply(_) | Location::Stored(..) | Location::Unknown => {
             match end_stored(node, id).await {
@@ -366,7 +366,7 @@
 pub async fn on_end(node: &Rc<Node>, id: &str) -> PeerReply {
     match node.jobs.held_job(id) {
         None => PeerReply::NotOwner,
-        Some(held) if end_held(node, &held).await => PeerReply::Done,
+        Some(held) if end_held(node, &held).await => PeerReply::Acknowledged,
         Some(_) => PeerReply::Unavailable,
     }
 }
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -223,7 +223,8 @@
     #[serde(rename = "NotHere")]
     NotOwner,
     /// Acknowledges the request.
-    Done,
+    #[serde(rename = "Done")]
+    Acknowledged,
     /// What the sender of the request lacked.
     #[serde(rename = "News")]
     Sync {
@@ -264,7 +265,8 @@
     /// The limit of waiting tokens on the route would be exceeded.
     Full,
     /// Nothing was stored, nor will be.
-    Refused,
+    #[serde(rename = "Refused")]
+    Rejected,
     /// Whether the job is stored is unknown.
     Unknown,
     /// The submission is malformed.
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -81,42 +81,42 @@
         PeerRequest::Slots(request) => allocator::on_slot_request(node, request).await,
         PeerRequest::CancelSlots(from, id) => {
             allocator::on_cancelled(node, (from, id));
-            PeerReply::Done
+            PeerReply::Acknowledged
         }
         PeerRequest::Release(lease, report) => {
             allocator::on_release(node, lease, report);
-            PeerReply::Done
+            PeerReply::Acknowledged
         }
         PeerRequest::TargetOverdue(target) => {
             allocator::on_overdue(node, &target);
-            PeerReply::Done
+            PeerReply::Acknowledged
         }
         PeerRequest::LeaseReport(from, held) => {
             allocator::on_lease_report(node, from, &held);
-            PeerReply::Done
+            PeerReply::Acknowledged
         }
         PeerRequest::Revoke(lease) => {
             node.leases.on_revoked(lease);
-            PeerReply::Done
+            PeerReply::Acknowledged
         }
         PeerRequest::Sync { from, digest, connectivity } => sync(node, from, digest, connectivity),
         PeerRequest::Update(from, update) => {
             let node = node.clone();
             run_to_completion(async move { broadcast::on_update(&node, from, update).await }).await;
-            PeerReply::Done
+            PeerReply::Acknowledged
         }
         PeerRequest::RelayUpdate(from, update) => {
             let node = node.clone();
             run_to_completion(async move { broadcast::on_relayed(&node, from, update).await })
                 .await;
-            PeerReply::Done
+            PeerReply::Acknowledged
         }
         PeerRequest::Targets(digests) => {
             PeerReply::Targets(node.registry.borrow().changes_in_differing_buckets(&digests))
         }
         PeerRequest::Statuses(statuses) => {
             statuses.into_iter().for_each(|status| job_table::on_status(node, status));
-            PeerReply::Done
+            PeerReply::Acknowledged
         }
         PeerRequest::ListJobs(filter) => {
             PeerReply::Statuses(job_table::statuses_for(node, &filter))
@@ -133,7 +133,7 @@
             let node = node.clone();
             // Not awaited: the sender may be about to stop.
             spawn_local(async move { takeover::take_over_with_retry(&node, &job, handoff).await });
-            PeerReply::Done
+            PeerReply::Acknowledged
         }
         PeerRequest::Trial(content) => PeerReply::Trial(quarantine::on_trial(node, content)),
         PeerRequest::CrashReports => PeerReply::CrashReports(quarantine::crash_reports(node)),
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -43,8 +43,8 @@
 pub async fn submit(node: &Rc<Node>, route: &Route, call: &CallerRequest) -> Response<Body> {
     let until = call.started + call.remaining(call.started).mul_f64(CONFIRM_TIME_RATIO);
     let mut outcome = accept(node, route, call, until).await;
-    if outcome == SubmitOutcome::Refused && !node.is_stopping() || node.store.last_call_failed() {
-        let is_undecided = matches!(outcome, SubmitOutcome::Refused | SubmitOutcome::Unknown);
+    if outcome == SubmitOutcome::Rejected && !node.is_stopping() || node.store.last_call_failed() {
+        let is_undecided = matches!(outcome, SubmitOutcome::Rejected | SubmitOutcome::Unknown);
         if is_undecided {
             outcome = forward(node, call, outcome).await;
         }
@@ -64,7 +64,7 @@
     match outcome {
         SubmitOutcome::Accepted => text_response(202, "accepted"),
         SubmitOutcome::Full => retry_later(Kind::CallerLimit, "too many tokens wait on the route"),
-        SubmitOutcome::Refused => retry_later(Kind::PlatformUnavailable, "the platform is away"),
+        SubmitOutcome::Rejected => retry_later(Kind::PlatformUnavailable, "the platform is away"),
         SubmitOutcome::Unknown => text_response(502, "nobody can say whether the job is kept"),
         SubmitOutcome::Malformed => text_response(400, "the submission can't be understood"),
         SubmitOutcome::TooLong => text_response(413, "the platform can't keep an item that long"),
@@ -80,10 +80,10 @@
     body: &[u8],
 ) -> SubmitOutcome {
     let Some(config) = node.config() else {
-        return SubmitOutcome::Refused;
+        return SubmitOutcome::Rejected;
     };
     let Some(route) = config.table.route_for(host, path) else {
-        return SubmitOutcome::Refused;
+        return SubmitOutcome::Rejected;
     };
     let now = clock::now();
     let call = CallerRequest {
@@ -125,8 +125,8 @@
             "reply" => ?reply);
         match reply {
             Ok(PeerReply::Submitted(SubmitOutcome::Accepted)) => return SubmitOutcome::Accepted,
-            Ok(PeerReply::Submitted(SubmitOutcome::Refused)) => {}
-            Ok(PeerReply::Submitted(SubmitOutcome::Full)) if result == SubmitOutcome::Refused => {
+            Ok(PeerReply::Submitted(SubmitOutcome::Rejected)) => {}
+            Ok(PeerReply::Submitted(SubmitOutcome::Full)) if result == SubmitOutcome::Rejected => {
                 return SubmitOutcome::Full;
             }
             Err(transport::peer::PeerError::NotSent(_)) => {}
@@ -213,7 +213,7 @@
                 is_outcome_unknown = true;
             }
             Err(StoreError::Unavailable(_)) if !is_outcome_unknown => {
-                return SubmitOutcome::Refused;
+                return SubmitOutcome::Rejected;
             }
             Err(StoreError::Rejected(error)) => {
                 slog::warn!(node.log, "submission rejected by the platform";
