--- a/crates/daemon/src/gateway/items/run.rs
+++ b/crates/daemon/src/gateway/items/run.rs
@@ -74,7 +74,7 @@
         "fault" => &error, "events" => partial.events.len(), "resumed_at" => events_before,
         "registry" => lease.registry,
         "ran_ms" => clock::since(started).as_millis() as u64);
-    let mut pause = Duration::ZERO;
+    let mut delay = Duration::ZERO;
     match run_end {
         RunEnd::Completed => {
             let total =
@@ -111,13 +111,13 @@
             }
             lease.end(end);
             if end != LeaseOutcome::Unused {
-                pause = ITEM_RETRY_DELAY;
+                delay = ITEM_RETRY_DELAY;
             }
             held.state.borrow_mut().on_stopped(&item.id, partial);
         }
     }
     held.mark_dirty();
-    tokio::time::sleep(pause).await;
+    tokio::time::sleep(delay).await;
     node.jobs.wake();
 }
 
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -67,7 +67,7 @@
     pub fn mark_dirty(&self) {
         let now = clock::now();
         let state = self.state.borrow();
-        let since = |is_any: bool, known: Option<Instant>| is_any.then(|| known.unwrap_or(now));
+        let since = |is_any: bool, current: Option<Instant>| is_any.then(|| current.unwrap_or(now));
         self.oldest_unwritten.set(since(state.unwritten() > 0, self.oldest_unwritten.get()));
         self.oldest_failure.set(since(state.has_unwritten_failure(), self.oldest_failure.get()));
         self.dirty.notify_one();
@@ -109,8 +109,8 @@
     /// Records a reported status unless a later revision is known.
     pub fn on_status(&self, status: JobStatus) {
         let mut directory = self.directory.borrow_mut();
-        let known = directory.get(&status.job);
-        if known.is_none_or(|known| known.revision <= status.revision) {
+        let current = directory.get(&status.job);
+        if current.is_none_or(|current| current.revision <= status.revision) {
             directory.insert(status.job.clone(), status);
         }
     }
@@ -240,11 +240,13 @@
     let mut members = node.others();
     members.retain(|member| !node.is_unresponsive(member.peer, now));
     // One in another data centre and one in this one, where available.
-    let near = |member: &Member| member.data_centre == *node.data_centre();
+    let is_local = |member: &Member| member.data_centre == *node.data_centre();
     let id = held.state.borrow().job().id.clone();
     members.sort_by_key(|member| hash::weight(id.as_bytes(), member.id));
-    let witnesses =
-        [members.iter().find(|member| !near(member)), members.iter().find(|member| near(member))];
+    let witnesses = [
+        members.iter().find(|member| !is_local(member)),
+        members.iter().find(|member| is_local(member)),
+    ];
     let request = PeerRequest::Statuses(vec![status(node, held)]);
     let notify = |witness: Option<&Member>| {
         let (node, request) = (node.clone(), request.clone());
@@ -256,8 +258,8 @@
             }
         }
     };
-    let (far, near) = tokio::join!(notify(witnesses[0]), notify(witnesses[1]));
-    if !far && !near {
+    let (remote, local) = tokio::join!(notify(witnesses[0]), notify(witnesses[1]));
+    if !remote && !local {
         slog::info!(node.log, "no witness acknowledged the job"; "job" => id,
             "members" => members.len());
     }
--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -80,8 +80,8 @@
         // memory and wouldn't return those that others have read from the platform.
         while !held.released.is_cancelled() && time_to_write(&node, &held, clock::now()).is_zero() {
             if !write(&node, &held).await {
-                let pause = node.store.backoff_remaining(clock::now()).max(WRITE_RETRY_DELAY);
-                tokio::time::sleep(pause).await;
+                let delay = node.store.backoff_remaining(clock::now()).max(WRITE_RETRY_DELAY);
+                tokio::time::sleep(delay).await;
             }
         }
         if held.released.is_cancelled() {
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -116,9 +116,13 @@
         {
             let state = held.state.borrow();
             let outcomes = state.durable_results().get(from..).unwrap_or_default();
-            let is_over = state.is_ended() || held.released.is_cancelled();
-            let is_all = state.durable_results().len() >= state.job().items.len();
-            if !outcomes.is_empty() || is_over || is_all || tokio::time::Instant::now() >= until {
+            let has_ended = state.is_ended() || held.released.is_cancelled();
+            let is_complete = state.durable_results().len() >= state.job().items.len();
+            if !outcomes.is_empty()
+                || has_ended
+                || is_complete
+                || tokio::time::Instant::now() >= until
+            {
                 return (state.job().items.len(), outcomes.to_vec());
             }
         }
@@ -150,7 +154,7 @@
 }
 
 fn body_in(job: &Job, item: &str) -> Option<String> {
-    job.items.iter().find(|known| known.id == item).map(|known| known.body.clone())
+    job.items.iter().find(|candidate| candidate.id == item).map(|candidate| candidate.body.clone())
 }
 
 async fn end(node: &Rc<Node>, id: &str) -> Response<Body> {
@@ -311,8 +315,8 @@
 /// Loads a job, serving recent reads from the cache.
 async fn load_cached(node: &Node, id: &str) -> Result<Option<StoredJob>, LoadError> {
     let now = clock::now();
-    let known = node.jobs.cache.borrow().get(id).cloned();
-    if let Some((_, stored_job)) = known.filter(|(read, _)| now < *read + JOB_CACHE_TTL) {
+    let cached = node.jobs.cache.borrow().get(id).cloned();
+    if let Some((_, stored_job)) = cached.filter(|(read, _)| now < *read + JOB_CACHE_TTL) {
         return Ok(Some(stored_job));
     }
     let stored_job = job_store::load(node, CallReason::Lookup, id).await?;
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -45,9 +45,9 @@
 }
 
 impl Handler for PeerHandler {
-    async fn ping(&self, from: Member, notes: Vec<Update>) -> (Member, Vec<Update>) {
+    async fn ping(&self, from: Member, updates: Vec<Update>) -> (Member, Vec<Update>) {
         let id = from.id;
-        on_heartbeat(&self.node, from, &notes);
+        on_heartbeat(&self.node, from, &updates);
         let members = self.node.members.borrow();
         (members.me().clone(), members.suspicion_of(id).into_iter().collect())
     }
@@ -160,20 +160,20 @@
     PeerReply::Sync { digest: mine, config, connectivity: node.connectivity() }
 }
 
-fn on_heartbeat(node: &Rc<Node>, from: Member, notes: &[Update]) {
+fn on_heartbeat(node: &Rc<Node>, from: Member, updates: &[Update]) {
     let now = clock::now();
     let before = node.members.borrow().version();
     {
         let mut members = node.members.borrow_mut();
         members.on_heartbeat(from, now);
-        merge(&mut members, notes, now);
+        merge(&mut members, updates, now);
     }
     on_members(node, before);
 }
 
-fn merge(members: &mut MemberTable, notes: &[Update], now: Instant) {
-    for note in notes {
-        if let Update::Member(member) = note {
+fn merge(members: &mut MemberTable, updates: &[Update], now: Instant) {
+    for update in updates {
+        if let Update::Member(member) = update {
             members.merge(member.clone(), now);
         }
     }
@@ -267,12 +267,12 @@
 
 /// `true` if the member replied, or another instance replied at its address.
 async fn heartbeat_once(node: &Rc<Node>, to: &Member) -> bool {
-    let (me, (mark, notes)) = {
+    let (me, (cursor, updates)) = {
         let members = node.members.borrow();
         (members.me().clone(), members.updates_for(to.id))
     };
     let sent = clock::now();
-    let result = node.peers.ping(to.peer, &me, &notes).await;
+    let result = node.peers.ping(to.peer, &me, &updates).await;
     let now = clock::now();
     let before = node.members.borrow().version();
     let has_replied = match result {
@@ -280,7 +280,7 @@
             let mut members = node.members.borrow_mut();
             merge(&mut members, &suspicion, now);
             if from.id == to.id {
-                members.on_delivered(to.id, mark);
+                members.on_delivered(to.id, cursor);
             } else {
                 members.on_replaced(to.id, now);
             }
--- a/crates/daemon/src/gateway/streaming.rs
+++ b/crates/daemon/src/gateway/streaming.rs
@@ -24,7 +24,7 @@
 /// Timing of the events received from one target.
 #[derive(Debug, Default)]
 struct EventStats {
-    began: Option<Instant>,
+    started_at: Option<Instant>,
     first: Option<Duration>,
     last: Option<Instant>,
     chunks: u32,
@@ -33,8 +33,8 @@
 
 impl EventStats {
     fn on_chunk(&mut self, now: Instant) {
-        let began = *self.began.get_or_insert(now);
-        self.first.get_or_insert(now.saturating_duration_since(began));
+        let started_at = *self.started_at.get_or_insert(now);
+        self.first.get_or_insert(now.saturating_duration_since(started_at));
         if let Some(last) = self.last {
             self.slowest = self.slowest.max(now.saturating_duration_since(last));
         }
@@ -44,13 +44,13 @@
 
     /// Time from `started` to the first event of the last target.
     fn first_after(&self, started: Instant) -> Option<Duration> {
-        Some(self.began?.saturating_duration_since(started) + self.first?)
+        Some(self.started_at?.saturating_duration_since(started) + self.first?)
     }
 
     fn event_interval(&self) -> Option<Duration> {
-        let began = self.began? + self.first?;
+        let first_at = self.started_at? + self.first?;
         let gaps = self.chunks.checked_sub(1).filter(|gaps| *gaps > 0)?;
-        Some(self.last?.saturating_duration_since(began) / gaps)
+        Some(self.last?.saturating_duration_since(first_at) / gaps)
     }
 }
 
@@ -140,7 +140,7 @@
     async fn forward_response(&mut self, response: TargetResponse) -> StreamEnd {
         let TargetResponse { mut exchange, mut lease } = response;
         let mut splitter = EventSplitter::default();
-        self.stats = EventStats { began: Some(clock::now()), ..EventStats::default() };
+        self.stats = EventStats { started_at: Some(clock::now()), ..EventStats::default() };
         let end = self.forward_events(&mut exchange, &lease, &mut splitter).await;
         // Closes the connection unless the response is complete.
         let is_framed = exchange.has_body_framing();
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -225,11 +225,11 @@
                     "fault" => %error);
             }
         }
-        let pause = node.store.backoff_remaining(clock::now()).max(CREATE_RETRY_DELAY);
-        if clock::now() + pause >= until {
+        let delay = node.store.backoff_remaining(clock::now()).max(CREATE_RETRY_DELAY);
+        if clock::now() + delay >= until {
             return SubmitOutcome::Unknown;
         }
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
 }
 
