--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -103,7 +103,7 @@
         if !is_open(&self.shared) {
             self.chunks.values_mut().for_each(|chunk| chunk.closing = true);
         }
-        let charge = self.shared.charge();
+        let charge = self.shared.owned_targets();
         self.yield_elsewhere(&view, &charge, now);
         let mut free = HashMap::new();
         for node in charge.iter() {
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -43,23 +43,23 @@
 ///
 /// How the platform failed.
 pub async fn read_platform(shared: &Shared) -> Result<(), StoreError> {
-    if lock(&shared.chain).generation() == 0
+    if lock(&shared.config_log).generation() == 0
         && let Some(found) = shared.store.get(SNAPSHOT).await?
         && let Ok(document) = serde_json::from_slice::<Document>(&found.bytes)
     {
         let generation = document.generation;
-        if lock(&shared.chain).install(document) {
+        if lock(&shared.config_log).install(document) {
             shared.on_generation(generation);
         }
     }
     loop {
-        let next = lock(&shared.chain).generation() + 1;
+        let next = lock(&shared.config_log).generation() + 1;
         let Some(found) = shared.store.get(&object_key::config_entry(next)).await? else {
             return Ok(());
         };
         let entry: ConfigEntry = serde_json::from_slice(&found.bytes)
             .map_err(|e| StoreError::OutcomeUnknown(e.to_string()))?;
-        if shared.offer(entry) == EntryOrder::Gap {
+        if shared.apply_config_entry(entry) == EntryOrder::Gap {
             return Ok(());
         }
     }
@@ -79,7 +79,7 @@
             entries.push(entry);
         }
     }
-    lock(&shared.chain).apply_unchecked(&entries);
+    lock(&shared.config_log).apply_unchecked(&entries);
     shared.refresh();
     Ok(())
 }
@@ -87,11 +87,11 @@
 /// Puts back entries that the platform has lost, as a restored replica would:
 /// whoever has a generation in force knows the entry that brought it.
 async fn heal(shared: &Shared) -> Result<(), StoreError> {
-    let generation = lock(&shared.chain).generation();
+    let generation = lock(&shared.config_log).generation();
     if generation == 0 || shared.store.get(&object_key::config_entry(generation)).await?.is_some() {
         return Ok(());
     }
-    let entries: Vec<ConfigEntry> = lock(&shared.chain).history().cloned().collect();
+    let entries: Vec<ConfigEntry> = lock(&shared.config_log).history().cloned().collect();
     for entry in entries {
         let bytes = serde_json::to_vec(&entry).unwrap_or_default().into();
         match shared
@@ -120,7 +120,7 @@
     change: Change,
 ) -> Result<Generation, Error> {
     let (document, generation) = {
-        let chain = lock(&shared.chain);
+        let chain = lock(&shared.config_log);
         (chain.document().with_change(&change), chain.generation())
     };
     if revision != generation {
@@ -146,7 +146,7 @@
     match append::drive(&shared.store, &append, &key, value, SETTLE_TRIES, token).await {
         End::Committed => {
             let generation = entry.generation;
-            shared.offer(entry);
+            shared.apply_config_entry(entry);
             snapshot(shared).await;
             Ok(generation)
         }
@@ -171,7 +171,7 @@
 /// Writes the whole document now and then, so that a new instance needn't read
 /// every change since the beginning. Losing this write costs only time.
 async fn snapshot(shared: &Shared) {
-    let document = lock(&shared.chain).document().clone();
+    let document = lock(&shared.config_log).document().clone();
     if document.generation.is_multiple_of(SNAPSHOT_EVERY) {
         let bytes = serde_json::to_vec(&document).unwrap_or_default().into();
         drop(shared.store.put(SNAPSHOT, bytes, Condition::Any).await);
@@ -216,7 +216,7 @@
         if from_platform || from_peers {
             shared.configured.store(true, Ordering::Relaxed);
             shared.refresh();
-            let generation = lock(&shared.chain).generation();
+            let generation = lock(&shared.config_log).generation();
             slog::info!(shared.log, "ready"; "generation" => generation,
                 "platform" => from_platform, "peers" => from_peers);
             return;
@@ -228,12 +228,12 @@
 /// Takes in the configuration of every member that is further; `true` when at
 /// least one that has a configuration answered.
 async fn ask_peers(shared: &Shared) -> bool {
-    let known: HashSet<_> = lock(&shared.table).others().map(|m| m.peer).collect();
+    let known: HashSet<_> = lock(&shared.members).others().map(|m| m.peer).collect();
     let seeds = shared.settings.seeds.iter().copied();
     let all: HashSet<_> = known.into_iter().chain(seeds).collect();
     let mut answered = false;
     for address in all {
-        let after = lock(&shared.chain).generation();
+        let after = lock(&shared.config_log).generation();
         if let Ok(found) = shared.peers.entries(address, after).await {
             answered |= found.head > 0;
             peers::absorb(shared, &found);
@@ -307,7 +307,7 @@
             // The stamp is the list's own, so that a stale copy of the list,
             // which shows an older state, takes nothing back.
             let word = Notice { leaving: one.is_leaving, stamp: one.revision };
-            shared.tell_leaving(&one.name, Source::Platform, word);
+            shared.report_leaving(&one.name, Source::Platform, word);
         }
     }
 }
@@ -322,7 +322,7 @@
         let view = shared.view();
         let mut asked: Vec<Arc<Node>> =
             view.services.values().flat_map(|bound| bound.nodes.iter().cloned()).collect();
-        asked.extend(shared.charge().iter().cloned());
+        asked.extend(shared.owned_targets().iter().cloned());
         asked.sort_by_key(|node| node.id);
         asked.dedup_by_key(|node| node.id);
         let asks = asked.iter().map(|node| ask(&shared, &client, node));
@@ -346,13 +346,13 @@
 fn on_report(shared: &Shared, node: &Node, report: LoadReport, at: Instant) {
     let name = &node.target.name;
     let now = clock::millis();
-    let word = lock(&shared.board).notice(name, Source::Target);
+    let word = lock(&shared.leaving_targets).notice(name, Source::Target);
     let said = word.is_some_and(|word| word.leaving);
     // A report lags, so it takes back a leave only when that is old enough.
     let is_settled = word.is_none_or(|word| word.stamp + LEAVE_HOLD_MS < now);
     if report.leaving != said && (report.leaving || is_settled) {
         let word = Notice { leaving: report.leaving, stamp: now };
-        shared.tell_leaving(name, Source::Target, word);
+        shared.report_leaving(name, Source::Target, word);
     }
     node.on_report(report, at);
 }
@@ -364,7 +364,7 @@
         follow_list(shared.clone(), stop.clone()),
         follow_targets(shared.clone(), client.clone(), stop.clone()),
         crate::orders::run(shared.clone(), client, stop.clone()),
-        crate::late::run(shared.clone(), stop.clone()),
+        crate::retry_queue::run(shared.clone(), stop.clone()),
         crate::telemetry::run(shared, stop),
     );
 }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -71,7 +71,7 @@
     silent: watch::Sender<bool>,
     /// Reports in a row that it left unanswered.
     missed: AtomicU32,
-    /// The count of online requests that its decider was last told.
+    /// The count of online requests that its owner was last told.
     pub word: AtomicU32,
     /// Whether it waits in the list of targets whose load is to be told.
     untold: AtomicBool,
--- a/crates/daemon/src/front/admin.rs
+++ b/crates/daemon/src/front/admin.rs
@@ -55,7 +55,7 @@
 
 /// The latest accepted changes, newest first.
 pub fn history(front: &Front) -> Response {
-    let chain = lock(&front.shared.chain);
+    let chain = lock(&front.shared.config_log);
     let entries: Vec<&ConfigEntry> = chain.history().rev().take(HISTORY).collect();
     http::json(200, &entries)
 }
@@ -115,7 +115,7 @@
 
 /// All instances as this one sees them, with the configuration in force there.
 pub fn instances(front: &Front) -> Response {
-    let table = lock(&front.shared.table);
+    let table = lock(&front.shared.members);
     let all = std::iter::once(table.me()).chain(table.others());
     let list: Vec<serde_json::Value> = all
         .map(|member| {
@@ -145,8 +145,8 @@
             "generation": view.document.generation,
             "ready": view.ready,
             "stopping": lock(&shared.stopping).is_some(),
-            "running": shared.running.load(Ordering::Relaxed),
-            "unrecorded": shared.late.len(),
+            "running": shared.in_flight.load(Ordering::Relaxed),
+            "unrecorded": shared.retry_queue.len(),
             "platform_calls": counts.calls.load(Ordering::Relaxed),
             "platform_failed": counts.failed.load(Ordering::Relaxed),
             "peer_bytes_sent": shared.traffic.sent.load(Ordering::Relaxed),
@@ -175,6 +175,6 @@
         return Err(Error::new(Kind::NotFound, format!("no target `{name}`")));
     }
     let word = Notice { leaving, stamp: clock::millis() };
-    front.shared.tell_leaving(name, Source::Operator, word);
+    front.shared.report_leaving(name, Source::Operator, word);
     Ok(http::json(200, &serde_json::json!({ "target": name, "leaving": leaving })))
 }
--- a/crates/daemon/src/front/answer.rs
+++ b/crates/daemon/src/front/answer.rs
@@ -219,7 +219,7 @@
             self.tried.push(hold.node.target.name.clone());
             if fault.leaving {
                 let word = Notice { leaving: true, stamp: clock::millis() };
-                self.shared.tell_leaving(&hold.node.target.name, Source::Target, word);
+                self.shared.report_leaving(&hold.node.target.name, Source::Target, word);
             }
         }
         let ran = fault.failure == Failure::Unknown;
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::Front;
 use crate::clock;
-use crate::late::is_passing;
+use crate::retry_queue::is_transient;
 use crate::shared::Shared;
 use bytes::Bytes;
 use coordination::membership::Update;
@@ -237,14 +237,14 @@
     match shared.shards.submit(shared, command.clone()).await {
         Ok(Reply::Status(status)) => {
             if status.phase == Phase::Cancelled {
-                shared.tell(Update::JobCancelled(job.into()));
+                shared.broadcast(Update::JobCancelled(job.into()));
             }
             Ok(http::json(200, &status))
         }
         Ok(_) => Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit")),
-        Err(error) if is_passing(error.kind) => {
-            shared.tell(Update::JobCancelled(job.into()));
-            shared.late.push(command);
+        Err(error) if is_transient(error.kind) => {
+            shared.broadcast(Update::JobCancelled(job.into()));
+            shared.retry_queue.push(command);
             let text = "the job is stopped, but its cancel isn't recorded yet";
             Err(Error { kind: Kind::NotRecorded, message: text.into(), ..error })
         }
--- a/crates/daemon/src/front/keyed.rs
+++ b/crates/daemon/src/front/keyed.rs
@@ -2,7 +2,7 @@
 
 use super::call::{Key, Terms};
 use crate::clock;
-use crate::late::is_passing;
+use crate::retry_queue::is_transient;
 use crate::shared::Shared;
 use protocol::{Error, Kind, Millis};
 use state::command::{Command, Reply};
@@ -56,7 +56,7 @@
             kept(shared, key, position).await.map(Begun::Kept)
         }
         Ok(_) => Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit")),
-        Err(error) if is_passing(error.kind) && terms.repeatable => Ok(Begun::Run),
+        Err(error) if is_transient(error.kind) && terms.repeatable => Ok(Begun::Run),
         Err(error) if error.kind == Kind::Undetermined => {
             // The claim may be durable; nothing will be sent under it, so it is
             // given back, and the caller is told the truth: it was not run.
@@ -73,7 +73,7 @@
 pub fn release(shared: &Shared, terms: &Terms, key: &Key) {
     let (attempt, issued) = (terms.id, key.issued);
     let command = Command::Release { key: key.scoped.clone(), attempt, issued };
-    shared.late.push(command);
+    shared.retry_queue.push(command);
 }
 
 /// Records an outcome.
@@ -90,7 +90,7 @@
     };
     if shared.settings.is_guard_disabled("durable") {
         // Measurement only: the answer doesn't wait for its record.
-        shared.late.push(command);
+        shared.retry_queue.push(command);
         return Ok(Recorded::Now);
     }
     match shared.shards.submit(shared, command.clone()).await {
@@ -99,8 +99,8 @@
             Err(_) => Ok(Recorded::Now),
         },
         Ok(_) => Ok(Recorded::Now),
-        Err(error) if is_passing(error.kind) => {
-            shared.late.push(command);
+        Err(error) if is_transient(error.kind) => {
+            shared.retry_queue.push(command);
             Ok(Recorded::Later)
         }
         Err(error) => Err(error),
--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -36,14 +36,14 @@
 
 impl Running {
     fn new(shared: &Arc<Shared>) -> Running {
-        shared.running.fetch_add(1, Ordering::Relaxed);
+        shared.in_flight.fetch_add(1, Ordering::Relaxed);
         Running(shared.clone())
     }
 }
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.0.running.fetch_sub(1, Ordering::Relaxed);
+        self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -102,7 +102,7 @@
         head: &RequestHead,
         call: impl FnOnce() -> F,
     ) -> Result<Response, Error> {
-        if self.shared.refusing.load(Ordering::Relaxed) {
+        if self.shared.rejects_new.load(Ordering::Relaxed) {
             return Err(Error::new(Kind::Draining, "this instance is stopping"));
         }
         if !self.shared.view().ready {
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -58,7 +58,7 @@
         if !view.ready {
             continue;
         }
-        let charge = shared.charge();
+        let charge = shared.owned_targets();
         for node in charge.iter() {
             let fresh = || Controller::new(&shared, node);
             let controller = controllers.entry(node.target.name.clone()).or_insert_with(fresh);
@@ -165,13 +165,13 @@
     fn set_draining(&mut self, shared: &Shared, node: &Node, draining: bool) {
         self.draining = draining;
         let word = Notice { leaving: draining, stamp: clock::millis() };
-        shared.tell_leaving(&node.target.name, Source::Controller, word);
+        shared.report_leaving(&node.target.name, Source::Controller, word);
     }
 
     /// Gives everything back: the target is as wanted, or no longer ours.
     async fn finish(&mut self, shared: &Shared, node: &Node) {
         // A controller that died may have left its word behind.
-        let word = lock(&shared.board).notice(&node.target.name, Source::Controller);
+        let word = lock(&shared.leaving_targets).notice(&node.target.name, Source::Controller);
         if self.draining || word.is_some_and(|word| word.leaving) {
             self.set_draining(shared, node, false);
         }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -50,7 +50,7 @@
         self.hear(from, &notes);
         // News travels with the one who pings: an answer that is lost would
         // otherwise count as told.
-        (lock(&self.shared.table).me().clone(), Vec::new())
+        (lock(&self.shared.members).me().clone(), Vec::new())
     }
 
     async fn command(&self, shard: u32, body: Vec<u8>) -> Vec<u8> {
@@ -78,13 +78,13 @@
     }
 
     async fn members(&self) -> Vec<Member> {
-        let table = lock(&self.shared.table);
+        let table = lock(&self.shared.members);
         std::iter::once(table.me().clone()).chain(table.others().cloned()).collect()
     }
 }
 
 fn entries_after(shared: &Shared, after: u64) -> Entries {
-    let chain = lock(&shared.chain);
+    let chain = lock(&shared.config_log);
     let found = chain.since(after, ENTRIES);
     let is_next = found.first().is_some_and(|entry| entry.generation == after + 1);
     let behind = chain.generation() > after;
@@ -104,7 +104,7 @@
         && let Ok(document) = serde_json::from_slice::<Document>(&found.document)
     {
         let generation = document.generation;
-        if lock(&shared.chain).install(document) {
+        if lock(&shared.config_log).install(document) {
             shared.on_generation(generation);
         }
     }
@@ -112,7 +112,7 @@
         let Ok(entry) = serde_json::from_slice::<ConfigEntry>(bytes) else {
             return;
         };
-        if shared.offer(entry) == EntryOrder::Gap {
+        if shared.apply_config_entry(entry) == EntryOrder::Gap {
             return;
         }
     }
@@ -125,18 +125,18 @@
             _ => 0,
         });
         let head = told.max().unwrap_or(0).max(from.generation);
-        let further = head > lock(&self.shared.chain).generation();
+        let further = head > lock(&self.shared.config_log).generation();
         let address = from.peer;
-        lock(&self.shared.table).on_heartbeat(from, Instant::now());
+        lock(&self.shared.members).on_heartbeat(from, Instant::now());
         for note in notes {
-            let is_news = self.shared.on_note(note);
+            let is_news = self.shared.on_update(note);
             if is_news && !matches!(note, Update::Member(_)) {
-                lock(&self.shared.table).broadcast(note.clone());
+                lock(&self.shared.members).broadcast(note.clone());
             }
         }
-        let is_behind = !lock(&self.shared.table).out_of_date().is_empty();
+        let is_behind = !lock(&self.shared.members).out_of_date().is_empty();
         if is_behind {
-            self.shared.news.notify_one();
+            self.shared.updates_ready.notify_one();
         }
         if further {
             spawn_local(self.clone().fetch(address));
@@ -145,12 +145,12 @@
 
     async fn fetch(self, from: SocketAddr) {
         loop {
-            let after = lock(&self.shared.chain).generation();
+            let after = lock(&self.shared.config_log).generation();
             let Ok(found) = self.pool.entries(from, after).await else {
                 return;
             };
             absorb(&self.shared, &found);
-            let now = lock(&self.shared.chain).generation();
+            let now = lock(&self.shared.config_log).generation();
             if now == after || now >= found.head {
                 return;
             }
@@ -159,21 +159,21 @@
 
     async fn ping(self, to: Member) {
         let (me, mark, updates_for) = {
-            let table = lock(&self.shared.table);
+            let table = lock(&self.shared.members);
             let (mark, news) = table.updates_for(to.id);
             (table.me().clone(), mark, news)
         };
         match self.pool.ping(to.peer, &me, &updates_for).await {
             Ok((member, notes)) => {
-                lock(&self.shared.table).on_delivered(to.id, mark);
+                lock(&self.shared.members).on_delivered(to.id, mark);
                 self.hear(member, &notes);
             }
-            Err(_) => lock(&self.shared.table).on_heartbeat_missed(to.id, Instant::now()),
+            Err(_) => lock(&self.shared.members).on_heartbeat_missed(to.id, Instant::now()),
         }
     }
 
     async fn meet(self, address: SocketAddr) {
-        let me = lock(&self.shared.table).me().clone();
+        let me = lock(&self.shared.members).me().clone();
         if address == me.peer {
             return;
         }
@@ -188,7 +188,7 @@
         let Ok(members) = self.pool.members(address).await else {
             return;
         };
-        let mut table = lock(&self.shared.table);
+        let mut table = lock(&self.shared.members);
         for member in members {
             table.merge(member, Instant::now());
         }
@@ -201,7 +201,7 @@
                 _ = ticks.tick() => {}
                 () = stop.cancelled() => return,
             }
-            let due = lock(&self.shared.table).tick(Instant::now());
+            let due = lock(&self.shared.members).tick(Instant::now());
             due.into_iter().for_each(|member| drop(spawn_local(self.clone().ping(member))));
         }
     }
@@ -210,12 +210,12 @@
     async fn flood(self, stop: CancellationToken) {
         loop {
             tokio::select! {
-                () = self.shared.news.notified() => {}
+                () = self.shared.updates_ready.notified() => {}
                 () = tokio::time::sleep(RETELL) => {}
                 () = stop.cancelled() => return,
             }
             tokio::time::sleep(GATHER).await;
-            let behind = lock(&self.shared.table).out_of_date();
+            let behind = lock(&self.shared.members).out_of_date();
             let pings = behind.into_iter().map(|member| self.clone().ping(member));
             spawn_local(futures_util::future::join_all(pings));
         }
@@ -247,20 +247,20 @@
         }
     }
 
-    /// Tells one target's decider; a word that it has heard only when `again`.
+    /// Tells one target's target_owner; a word that it has heard only when `again`.
     fn tell_load(&self, node: &Node, again: bool) {
         let online = admission::advertised(lock(&node.state).load.own());
         let is_new = node.word.swap(online, Ordering::Relaxed) != online;
-        match self.shared.decider(node) {
-            Some(decider) if decider.id == self.shared.id => self.shared.batch.wake(),
+        match self.shared.target_owner(node) {
+            Some(target_owner) if target_owner.id == self.shared.id => self.shared.batch.wake(),
             _ if !is_new && !again => {}
-            Some(decider) => {
+            Some(target_owner) => {
                 let local = self.clone();
                 let target = node.target.name.clone();
                 spawn_local(async move {
                     let me = local.shared.id;
                     // A word that is lost is followed by another.
-                    drop(local.pool.pressure(decider.peer, me, &target, online).await);
+                    drop(local.pool.pressure(target_owner.peer, me, &target, online).await);
                 });
             }
             None => {}
@@ -275,15 +275,15 @@
             if !is_registered {
                 is_registered = self.register().await;
             }
-            let fingers = lock(&self.shared.table).fingers();
+            let fingers = lock(&self.shared.members).fingers();
             let known: HashSet<SocketAddr> =
-                lock(&self.shared.table).others().map(|m| m.peer).collect();
+                lock(&self.shared.members).others().map(|m| m.peer).collect();
             let seeds = self.shared.settings.seeds.iter().filter(|seed| !known.contains(seed));
             let mut met: Vec<SocketAddr> = seeds.copied().collect();
             if fingers.is_empty()
                 && let Ok(listed) = self.shared.store.instances().await
             {
-                let me = lock(&self.shared.table).me().peer;
+                let me = lock(&self.shared.members).me().peer;
                 met.extend(listed.into_iter().filter(|a| *a != me && !known.contains(a)));
             }
             let meetings = met.into_iter().map(|address| self.clone().meet(address));
@@ -305,7 +305,7 @@
     /// Leaves this instance's address on the platform, for those that find no
     /// seed; `false` when that has to be tried again.
     async fn register(&self) -> bool {
-        let peer = lock(&self.shared.table).me().peer;
+        let peer = lock(&self.shared.members).me().peer;
         let entry = instance::Registration {
             peer_address: peer,
             data_centre: self.shared.settings.data_centre.clone(),
@@ -319,7 +319,7 @@
 
     fn partner(&self, fingers: &[u64]) -> Option<SocketAddr> {
         let chosen = fingers.get(rand::random_range(0..fingers.len().max(1)))?;
-        lock(&self.shared.table).get(*chosen).map(|member| member.peer)
+        lock(&self.shared.members).get(*chosen).map(|member| member.peer)
     }
 
     async fn serve_calls(self, mut calls: RequestReceiver<Call>, stop: CancellationToken) {
--- a/crates/daemon/src/late.rs
+++ b/crates/daemon/src/retry_queue.rs
@@ -12,20 +12,20 @@
 
 /// Most commands kept; beyond that an outcome is not recorded, and its caller
 /// has been told so.
-const MOST: usize = 10_000;
-const IDLE: Duration = Duration::from_millis(200);
+const MAX_COMMANDS: usize = 10_000;
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 const BACKOFF_BASE: Duration = Duration::from_millis(200);
 const BACKOFF_CAP: Duration = Duration::from_secs(5);
 
 /// The queue.
 #[derive(Debug, Default)]
-pub struct Late(Mutex<VecDeque<Command>>);
+pub struct RetryQueue(Mutex<VecDeque<Command>>);
 
-impl Late {
+impl RetryQueue {
     /// Keeps a command; `false` when there is no more room.
     pub fn push(&self, command: Command) -> bool {
         let mut queue = lock(&self.0);
-        if queue.len() >= MOST {
+        if queue.len() >= MAX_COMMANDS {
             return false;
         }
         queue.push_back(command);
@@ -56,28 +56,28 @@
 pub async fn run(shared: Arc<Shared>, stop: CancellationToken) {
     let mut failures = 0;
     while !stop.is_cancelled() {
-        let Some(command) = shared.late.front() else {
-            tokio::time::sleep(IDLE).await;
+        let Some(command) = shared.retry_queue.front() else {
+            tokio::time::sleep(IDLE_POLL_INTERVAL).await;
             continue;
         };
         match shared.shards.submit(&shared, command).await {
-            Err(error) if is_passing(error.kind) => {
+            Err(error) if is_transient(error.kind) => {
                 failures += 1;
-                let chance = rand::random::<f64>();
+                let random = rand::random::<f64>();
                 let wait =
-                    coordination::retry::backoff(failures, BACKOFF_BASE, BACKOFF_CAP, chance);
+                    coordination::retry::backoff(failures, BACKOFF_BASE, BACKOFF_CAP, random);
                 tokio::time::sleep(wait).await;
             }
             _ => {
                 failures = 0;
-                shared.late.pop();
+                shared.retry_queue.pop();
             }
         }
     }
 }
 
 /// Whether an error says only that the log can't be reached now.
-pub fn is_passing(kind: Kind) -> bool {
+pub fn is_transient(kind: Kind) -> bool {
     matches!(
         kind,
         Kind::PlatformUnavailable
--- a/crates/daemon/src/shards.rs
+++ b/crates/daemon/src/shards.rs
@@ -77,7 +77,7 @@
         shard: ShardId,
         command: Command,
     ) -> CommandResult {
-        let owner = shared.owner(shard).filter(|owner| owner.id != shared.id);
+        let owner = shared.shard_owner(shard).filter(|owner| owner.id != shared.id);
         let Some(owner) = owner else {
             return self.local(shard, command).await;
         };
@@ -134,5 +134,5 @@
 
 /// Whether `holder` is known to be gone.
 fn is_gone(shared: &Shared, holder: u64) -> bool {
-    lock(&shared.table).is_dead(holder)
+    lock(&shared.members).is_dead(holder)
 }
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -289,7 +289,7 @@
         loaded.shard.apply(entry, clock::millis());
         self.on_reached();
         if has_work {
-            self.shared.tell_work(self.id, clock::millis());
+            self.shared.announce_work(self.id, clock::millis());
         }
     }
 
--- a/crates/daemon/src/shards/commit/housekeeping.rs
+++ b/crates/daemon/src/shards/commit/housekeeping.rs
@@ -33,7 +33,7 @@
         let shared = self.shared.clone();
         let reclaimed = loaded.shard.reclaim_lost(|holder| is_gone(&shared, holder));
         if reclaimed {
-            shared.tell_work(self.id, clock::millis());
+            shared.announce_work(self.id, clock::millis());
         }
         self.archive().await;
         self.snapshot().await;
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -2,8 +2,8 @@
 
 use crate::batch;
 use crate::fleet::{Fleet, Node, Place, View, lock};
-use crate::late::Late;
 use crate::peers;
+use crate::retry_queue::RetryQueue;
 use crate::shards;
 use crate::store;
 use crate::telemetry::Telemetry;
@@ -31,11 +31,11 @@
 
 /// Least time between two pieces of news of work, for each member of the fleet:
 /// 10 s at 400 members.
-const WORK_NEWS_PER_MEMBER: Duration = Duration::from_millis(25);
+const MIN_ANNOUNCEMENT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(25);
 
 /// Targets in this instance's charge, as of one view and one set of members.
 #[derive(Default)]
-struct Charge {
+struct OwnedTargets {
     view: Arc<View>,
     version: u64,
     nodes: Arc<Vec<Arc<Node>>>,
@@ -50,15 +50,15 @@
     /// Logger.
     pub log: Logger,
     /// Members.
-    pub table: Mutex<MemberTable>,
+    pub members: Mutex<MemberTable>,
     /// Configuration.
-    pub chain: Mutex<Log>,
+    pub config_log: Mutex<Log>,
     /// Leaving targets.
-    pub board: Mutex<Targets>,
+    pub leaving_targets: Mutex<Targets>,
     /// Targets.
     pub fleet: Fleet,
     view: RwLock<Arc<View>>,
-    charge: Mutex<Charge>,
+    owned_targets: Mutex<OwnedTargets>,
     /// The platform.
     pub store: store::Handle,
     /// The durable log.
@@ -68,17 +68,17 @@
     /// Batch work.
     pub batch: batch::Handle,
     /// Outcomes that are still to be recorded.
-    pub late: Late,
+    pub retry_queue: RetryQueue,
     /// Metrics and service levels.
     pub telemetry: Telemetry,
     /// Bytes between daemons.
     pub traffic: Arc<Traffic>,
     /// Calls that are being answered.
-    pub running: AtomicUsize,
+    pub in_flight: AtomicUsize,
     /// When a planned stop was ordered.
     pub stopping: Mutex<Option<Instant>>,
     /// Whether new calls are refused.
-    pub refusing: AtomicBool,
+    pub rejects_new: AtomicBool,
     /// Whether the configuration in force is known.
     pub configured: AtomicBool,
     /// Retries that may still be made.
@@ -86,7 +86,7 @@
     /// Limits of callers.
     pub buckets: Mutex<HashMap<String, TokenBucket>>,
     /// Wakes the peers duty: there is news, or online load to tell.
-    pub news: Notify,
+    pub updates_ready: Notify,
 }
 
 impl Shared {
@@ -100,7 +100,7 @@
         // Held from before the first read: of two refreshes that overlap, the one
         // that writes last must have read last.
         let mut view = self.view.write().unwrap_or_else(PoisonError::into_inner);
-        let document = lock(&self.chain).document().clone();
+        let document = lock(&self.config_log).document().clone();
         let leaving = self.leaving();
         let place = Place {
             me: self.id,
@@ -115,19 +115,20 @@
         if self.settings.is_guard_disabled("leaving") {
             return HashSet::new();
         }
-        let mut leaving: HashSet<TargetId> = lock(&self.board).all().into_iter().collect();
-        let chain = lock(&self.chain);
-        let ordered = chain.document().targets.values().filter(|target| target.leaving);
+        let mut leaving: HashSet<TargetId> =
+            lock(&self.leaving_targets).all().into_iter().collect();
+        let config_log = lock(&self.config_log);
+        let ordered = config_log.document().targets.values().filter(|target| target.leaving);
         leaving.extend(ordered.map(|target| target.name.clone()));
         leaving
     }
 
-    /// A witness says that a target leaves or came back.
-    pub fn say_leaving(&self, target: &str, witness: Source, word: Notice) -> bool {
-        let changed = lock(&self.board).record(target, witness, word);
+    /// A source says that a target leaves or came back.
+    pub fn record_leaving(&self, target: &str, source: Source, notice: Notice) -> bool {
+        let changed = lock(&self.leaving_targets).record(target, source, notice);
         if changed {
             slog::info!(self.log, "target leaving changed"; "target" => target,
-                "leaving" => word.leaving, "witness" => format!("{witness:?}"));
+                "leaving" => notice.leaving, "witness" => format!("{source:?}"));
             self.refresh();
             self.batch.wake();
         }
@@ -135,110 +136,111 @@
     }
 
     /// The same, and the peers are told.
-    pub fn tell_leaving(&self, target: &str, witness: Source, word: Notice) {
-        if self.say_leaving(target, witness, word) {
-            let Notice { leaving, stamp } = word;
-            let note = Update::Leaving { target: target.into(), stamp, leaving, source: witness };
-            lock(&self.table).broadcast(note);
-            self.news.notify_one();
+    pub fn report_leaving(&self, target: &str, source: Source, notice: Notice) {
+        if self.record_leaving(target, source, notice) {
+            let Notice { leaving, stamp } = notice;
+            let update = Update::Leaving { target: target.into(), stamp, leaving, source };
+            lock(&self.members).broadcast(update);
+            self.updates_ready.notify_one();
         }
     }
 
     /// Tells the peers.
-    pub fn tell(&self, note: Update) {
-        self.on_note(&note);
-        lock(&self.table).broadcast(note);
-        self.news.notify_one();
+    pub fn broadcast(&self, update: Update) {
+        self.on_update(&update);
+        lock(&self.members).broadcast(update);
+        self.updates_ready.notify_one();
     }
 
     /// Tells the peers that a shard has work, unless there was such news just
     /// before: whoever heard that asks every shard in turn. In a large fleet the
     /// news would otherwise cost more than the asks that it saves.
-    pub fn tell_work(&self, shard: u32, at: u64) {
+    pub fn announce_work(&self, shard: u32, at: u64) {
         let now = Instant::now();
-        let members = lock(&self.table).workers().count() as u32;
-        if self.batch.since_work(now) >= WORK_NEWS_PER_MEMBER * members {
-            self.tell(Update::JobAccepted(shard, at));
+        let members = lock(&self.members).workers().count() as u32;
+        if self.batch.since_work(now) >= MIN_ANNOUNCEMENT_INTERVAL_PER_MEMBER * members {
+            self.broadcast(Update::JobAccepted(shard, at));
         } else {
             self.batch.on_work(shard, at, now);
         }
     }
 
-    /// Acts on a note; `true` when it was news here.
-    pub fn on_note(&self, note: &Update) -> bool {
-        match note {
-            Update::Member(member) => lock(&self.table).merge(member.clone(), Instant::now()),
-            Update::Leaving { target, stamp: since, leaving, source: witness } => {
-                let word = Notice { leaving: *leaving, stamp: *since };
-                self.say_leaving(target, *witness, word)
+    /// Acts on an update; `true` when it was news here.
+    pub fn on_update(&self, update: &Update) -> bool {
+        match update {
+            Update::Member(member) => lock(&self.members).merge(member.clone(), Instant::now()),
+            Update::Leaving { target, stamp: since, leaving, source } => {
+                let notice = Notice { leaving: *leaving, stamp: *since };
+                self.record_leaving(target, *source, notice)
             }
             Update::JobCancelled(job) => self.batch.on_cancelled(job),
             Update::JobAccepted(shard, at) => self.batch.on_work(*shard, *at, Instant::now()),
             // The table passes it on by itself; the entries are fetched by the
             // peers duty, which knows who sent it.
             Update::Generation(generation) => {
-                lock(&self.table).on_generation(*generation);
+                lock(&self.members).on_generation(*generation);
                 false
             }
         }
     }
 
     /// Takes in a configuration entry from anywhere.
-    pub fn offer(&self, entry: ConfigEntry) -> EntryOrder {
+    pub fn apply_config_entry(&self, entry: ConfigEntry) -> EntryOrder {
         let generation = entry.generation;
-        let offer = lock(&self.chain).apply(entry);
-        if offer == EntryOrder::Next {
+        let order = lock(&self.config_log).apply(entry);
+        if order == EntryOrder::Next {
             slog::info!(self.log, "configuration in force"; "generation" => generation);
             self.on_generation(generation);
         }
-        offer
+        order
     }
 
     /// The configuration in force changed.
     pub fn on_generation(&self, generation: Generation) {
         self.refresh();
-        lock(&self.table).set_generation(generation);
-        self.news.notify_one();
+        lock(&self.members).set_generation(generation);
+        self.updates_ready.notify_one();
         self.batch.wake();
     }
 
     /// The member that owns `shard` in this instance's view.
-    pub fn owner(&self, shard: u32) -> Option<Member> {
-        let table = lock(&self.table);
-        let chosen = hash::owner(&shard.to_le_bytes(), table.workers().map(|m| m.id))?;
-        table.workers().find(|m| m.id == chosen).cloned()
+    pub fn shard_owner(&self, shard: u32) -> Option<Member> {
+        let members = lock(&self.members);
+        let chosen = hash::owner(&shard.to_le_bytes(), members.workers().map(|m| m.id))?;
+        members.workers().find(|m| m.id == chosen).cloned()
     }
 
     /// The member that decides on batch and orders for `node`: one of those in
     /// the target's data centre, or of all when it has none.
-    pub fn decider(&self, node: &Node) -> Option<Member> {
-        let table = lock(&self.table);
+    pub fn target_owner(&self, node: &Node) -> Option<Member> {
+        let members = lock(&self.members);
         let here = |m: &&Member| m.data_centre == node.target.data_centre;
         let key = node.id.to_le_bytes();
-        let chosen = hash::owner(&key, table.workers().filter(here).map(|m| m.id))
-            .or_else(|| hash::owner(&key, table.workers().map(|m| m.id)))?;
-        table.workers().find(|m| m.id == chosen).cloned()
+        let chosen = hash::owner(&key, members.workers().filter(here).map(|m| m.id))
+            .or_else(|| hash::owner(&key, members.workers().map(|m| m.id)))?;
+        members.workers().find(|m| m.id == chosen).cloned()
     }
 
     /// The targets that this instance decides for. Ranking every target against
     /// every member is done only when one of them changed, not at each tick.
-    pub fn charge(&self) -> Arc<Vec<Arc<Node>>> {
+    pub fn owned_targets(&self) -> Arc<Vec<Arc<Node>>> {
         let view = self.view();
-        let version = lock(&self.table).version();
-        let mut charge = lock(&self.charge);
-        if !Arc::ptr_eq(&charge.view, &view) || charge.version != version {
-            let is_mine = |node: &&Arc<Node>| self.decider(node).is_some_and(|d| d.id == self.id);
+        let version = lock(&self.members).version();
+        let mut owned = lock(&self.owned_targets);
+        if !Arc::ptr_eq(&owned.view, &view) || owned.version != version {
+            let is_mine =
+                |node: &&Arc<Node>| self.target_owner(node).is_some_and(|d| d.id == self.id);
             let nodes = view.nodes.values().filter(is_mine).cloned().collect();
-            *charge = Charge { view, version, nodes: Arc::new(nodes) };
+            *owned = OwnedTargets { view, version, nodes: Arc::new(nodes) };
         }
-        charge.nodes.clone()
+        owned.nodes.clone()
     }
 
     /// Whether this instance watches the platform for its data centre.
     pub fn is_watcher(&self) -> bool {
-        let table = lock(&self.table);
+        let members = lock(&self.members);
         let here = |m: &&Member| m.data_centre == self.settings.data_centre;
-        let mut ranked: Vec<u64> = table.workers().filter(here).map(|m| m.id).collect();
+        let mut ranked: Vec<u64> = members.workers().filter(here).map(|m| m.id).collect();
         ranked.sort_by_key(|id| std::cmp::Reverse(hash::weight(b"watch", *id)));
         ranked.iter().take(WATCHERS).any(|id| *id == self.id)
     }
@@ -274,7 +276,7 @@
         };
         Shared {
             id: self.me.id,
-            table: Mutex::new(MemberTable::new(self.me, policy)),
+            members: Mutex::new(MemberTable::new(self.me, policy)),
             settings: self.settings,
             log: self.log,
             store: self.store,
@@ -282,20 +284,20 @@
             peers: self.peers,
             batch: self.batch,
             telemetry: self.telemetry,
-            chain: Mutex::default(),
-            board: Mutex::default(),
+            config_log: Mutex::default(),
+            leaving_targets: Mutex::default(),
             fleet: Fleet::default(),
             view: RwLock::default(),
-            charge: Mutex::default(),
-            late: Late::default(),
+            owned_targets: Mutex::default(),
+            retry_queue: RetryQueue::default(),
             traffic: Arc::default(),
-            running: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             stopping: Mutex::new(None),
-            refusing: AtomicBool::new(false),
+            rejects_new: AtomicBool::new(false),
             configured: AtomicBool::new(false),
             budget: Mutex::default(),
             buckets: Mutex::default(),
-            news: Notify::new(),
+            updates_ready: Notify::new(),
         }
     }
 }
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -186,8 +186,8 @@
             slog::info!(self.shared.log, "stop ordered");
         }
         drop(stopping);
-        lock(&self.shared.table).leave();
-        self.shared.news.notify_one();
+        lock(&self.shared.members).leave();
+        self.shared.updates_ready.notify_one();
         self.shared.batch.wake();
     }
 
@@ -200,20 +200,20 @@
             let Some(since) = *lock(&self.shared.stopping) else {
                 continue;
             };
-            let running = self.shared.running.load(Ordering::Relaxed)
+            let running = self.shared.in_flight.load(Ordering::Relaxed)
                 + self.shared.batch.in_hand()
-                + self.shared.late.len();
+                + self.shared.retry_queue.len();
             let unguarded = settings.is_guard_disabled("drain");
-            let is_closed = self.shared.refusing.load(Ordering::Relaxed);
+            let is_closed = self.shared.rejects_new.load(Ordering::Relaxed);
             match drain::phase(plan, since, running, is_closed, Instant::now()) {
                 Phase::Exit => break,
                 _ if unguarded => break,
                 Phase::Grace => {}
-                Phase::Draining => self.shared.refusing.store(true, Ordering::Relaxed),
+                Phase::Draining => self.shared.rejects_new.store(true, Ordering::Relaxed),
             }
         }
         slog::info!(self.shared.log, "stopped";
-            "unrecorded" => self.shared.late.len());
+            "unrecorded" => self.shared.retry_queue.len());
         self.tokens.front.cancel();
         self.tokens.rest.cancel();
     }
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -177,8 +177,8 @@
         telemetry.gauge("platform.failed", counts.failed.load(Ordering::Relaxed));
         telemetry.gauge("peers.sent", shared.traffic.sent.load(Ordering::Relaxed));
         telemetry.gauge("peers.received", shared.traffic.received.load(Ordering::Relaxed));
-        telemetry.gauge("front.running", shared.running.load(Ordering::Relaxed) as u64);
-        telemetry.gauge("late.waiting", shared.late.len() as u64);
-        telemetry.gauge("config.generation", lock(&shared.chain).generation());
+        telemetry.gauge("front.running", shared.in_flight.load(Ordering::Relaxed) as u64);
+        telemetry.gauge("late.waiting", shared.retry_queue.len() as u64);
+        telemetry.gauge("config.generation", lock(&shared.config_log).generation());
     }
 }
--- a/crates/daemon/tests/view_never_goes_back.rs
+++ b/crates/daemon/tests/view_never_goes_back.rs
@@ -54,7 +54,7 @@
             });
         }
         for generation in 1..=GENERATIONS {
-            shared.offer(entry(generation));
+            shared.apply_config_entry(entry(generation));
             let seen = shared.view().document.generation;
             if seen < generation {
                 is_over.store(true, Ordering::Relaxed);
