--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -6,7 +6,7 @@
 use coordination::membership::{Member, MemberTable, Policy as MemberPolicy, State, Update};
 use coordination::quarantine;
 use coordination::route::{self, Candidate, Policy as RoutePolicy};
-use daemon::fleet::{Fleet, Place};
+use daemon::fleet::{Fleet, ViewContext};
 use protocol::chat::Outcome;
 use protocol::config::{Change, Document};
 use serde_json::json;
@@ -182,7 +182,7 @@
         let before = resident();
         let document = Document::default().with_change(&change(targets)).expect("valid");
         let fleet = Fleet::default();
-        let place = Place { me: 7, here: "dc1".into(), subset: 64 };
+        let place = ViewContext { me: 7, data_centre: "dc1".into(), max_targets: 64 };
         let view = fleet.view(document.clone(), HashSet::new(), &place, true);
         let bytes = (resident() - before) / targets as f64;
         let one: Change = serde_json::from_value(json!({ "put": [
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -198,11 +198,11 @@
         let mut state = lock(&node.state);
         // Its own requests and the peers' words are fresh; the report lags, and
         // counts batch streams of whoever decided before.
-        let known = state.load.own() + state.pressure.sum(now);
+        let known = state.load.own() + state.peer_load.sum(now);
         let online = known.max(state.load.online(now));
-        state.pressure.record(online, now);
-        let peak = state.pressure.peak(now);
-        let reserve = state.pressure.reserve(self.shared.settings.reserved_slots, now);
+        state.peer_load.record(online, now);
+        let peak = state.peer_load.peak(now);
+        let reserve = state.peer_load.reserve(self.shared.settings.reserved_slots, now);
         let unyielding = self.shared.settings.is_guard_disabled("yield");
         if unyielding {
             return Capacity { slots: node.target.slots, reserve, online: 0, peak: 0, batch };
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -337,7 +337,7 @@
         Err(fault) if fault.failure == Failure::NotSent => {
             lock(&node.state).health.on_failure(Instant::now());
         }
-        Err(fault) if fault.is_timeout => node.on_silence(Instant::now()),
+        Err(fault) if fault.is_timeout => node.on_unresponsive(Instant::now()),
         // It answers, if not with a report: a plain service need not have one.
         Err(_) => {}
     }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -20,24 +20,24 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Reports in a row without an answer after which a target counts as silent. One
+/// Reports in a row without an answer after which a target counts as unresponsive. One
 /// may be lost to a pause of its own; waiting for a third costs every request
 /// that was sent there another second.
-const MISSES: u32 = 2;
+const MISSED_REPORTS_UNTIL_UNRESPONSIVE: u32 = 2;
 
 /// Targets whose online load changed since the peers were told.
 #[derive(Debug, Default)]
-pub struct Untold {
+pub struct ChangedLoads {
     nodes: Mutex<Vec<Arc<Node>>>,
     /// Signals that there is one.
     pub signal: Notify,
 }
 
-impl Untold {
+impl ChangedLoads {
     /// Takes all of them; a change from now on lists its target again.
     pub fn take(&self) -> Vec<Arc<Node>> {
         let nodes = std::mem::take(&mut *lock(&self.nodes));
-        nodes.iter().for_each(|node| node.untold.store(false, Ordering::Relaxed));
+        nodes.iter().for_each(|node| node.is_load_changed.store(false, Ordering::Relaxed));
         nodes
     }
 }
@@ -52,7 +52,7 @@
     /// Whether it fails.
     pub health: Health,
     /// Online requests of other instances, where this one decides on batch.
-    pub pressure: PeerLoad,
+    pub peer_load: PeerLoad,
     /// Its last report.
     pub report: Option<LoadReport>,
 }
@@ -68,23 +68,23 @@
     pub state: Mutex<State>,
     /// Whether it leaves its load reports unanswered; streams that wait for it
     /// watch this.
-    silent: watch::Sender<bool>,
+    unresponsive: watch::Sender<bool>,
     /// Reports in a row that it left unanswered.
-    missed: AtomicU32,
+    missed_reports: AtomicU32,
     /// The count of online requests that its owner was last told.
-    pub word: AtomicU32,
+    pub reported_online: AtomicU32,
     /// Whether it waits in the list of targets whose load is to be told.
-    untold: AtomicBool,
-    told: Arc<Untold>,
+    is_load_changed: AtomicBool,
+    changed_loads: Arc<ChangedLoads>,
 }
 
 impl Node {
-    fn new(target: Target, told: Arc<Untold>) -> Node {
+    fn new(target: Target, changed_loads: Arc<ChangedLoads>) -> Node {
         let state = State {
             load: Estimate::default(),
             concurrency: ConcurrencyLimit::new(target.slots),
             health: Health::default(),
-            pressure: PeerLoad::default(),
+            peer_load: PeerLoad::default(),
             report: None,
         };
         let id = hash::bytes(target.name.as_bytes());
@@ -92,43 +92,45 @@
             target,
             id,
             state: Mutex::new(state),
-            silent: watch::Sender::new(false),
-            missed: AtomicU32::new(0),
-            word: AtomicU32::new(0),
-            untold: AtomicBool::new(false),
-            told,
+            unresponsive: watch::Sender::new(false),
+            missed_reports: AtomicU32::new(0),
+            reported_online: AtomicU32::new(0),
+            is_load_changed: AtomicBool::new(false),
+            changed_loads,
         }
     }
 
     /// A report wasn't answered in time.
-    pub fn on_silence(&self, now: Instant) {
-        if self.missed.fetch_add(1, Ordering::Relaxed) + 1 >= MISSES {
-            self.silent.send_replace(true);
+    pub fn on_unresponsive(&self, now: Instant) {
+        if self.missed_reports.fetch_add(1, Ordering::Relaxed) + 1
+            >= MISSED_REPORTS_UNTIL_UNRESPONSIVE
+        {
+            self.unresponsive.send_replace(true);
             lock(&self.state).health.on_unresponsive(now);
         }
     }
 
-    /// Waits until the target counts as silent.
-    pub async fn falls_silent(&self) {
-        let mut silent = self.silent.subscribe();
+    /// Waits until the target counts as unresponsive.
+    pub async fn wait_unresponsive(&self) {
+        let mut unresponsive = self.unresponsive.subscribe();
         // The sender lives as long as the target, so this can't fail here.
-        drop(silent.wait_for(|silent| *silent).await);
+        drop(unresponsive.wait_for(|unresponsive| *unresponsive).await);
     }
 
     /// Takes in a report.
     pub fn on_report(&self, report: LoadReport, now: Instant) {
-        self.missed.store(0, Ordering::Relaxed);
-        self.silent.send_replace(false);
+        self.missed_reports.store(0, Ordering::Relaxed);
+        self.unresponsive.send_replace(false);
         let mut state = lock(&self.state);
         state.load.on_report(load::Report { online: report.online, batch: report.batch, at: now });
         state.report = Some(report);
     }
 
     /// Its online load changed: the instance that decides on batch there must hear.
-    fn on_load(self: &Arc<Node>) {
-        if !self.untold.swap(true, Ordering::Relaxed) {
-            lock(&self.told.nodes).push(self.clone());
-            self.told.signal.notify_one();
+    fn on_load_changed(self: &Arc<Node>) {
+        if !self.is_load_changed.swap(true, Ordering::Relaxed) {
+            lock(&self.changed_loads.nodes).push(self.clone());
+            self.changed_loads.signal.notify_one();
         }
     }
 
@@ -142,7 +144,7 @@
         let online = state.load.online(now);
         let own = state.load.own();
         let slots = self.target.slots;
-        let room = match state.health.availability(now) {
+        let capacity = match state.health.availability(now) {
             Availability::Ejected => 0,
             Availability::Probation => 1u32.saturating_sub(own),
             Availability::Full => state.concurrency.limit().saturating_sub(own),
@@ -151,7 +153,7 @@
         // while there is always a request ready for the next free slot.
         let queue = (slots + slots.div_ceil(2)).saturating_sub(online);
         let local = self.target.data_centre == here;
-        Candidate { id: self.id, local, online, slots, free: room.min(queue) }
+        Candidate { id: self.id, local, online, slots, free: capacity.min(queue) }
     }
 }
 
@@ -163,27 +165,28 @@
     /// Requests running.
     pub running: AtomicU32,
     /// Mean time of a request, in microseconds.
-    pub mean: AtomicU64,
+    pub mean_duration_us: AtomicU64,
     /// Signals that a target became free.
-    pub freed: Notify,
+    pub slot_freed: Notify,
 }
 
-const MEAN_WEIGHT: u64 = 8;
+const MEAN_WINDOW: u64 = 8;
 
 impl Counts {
-    fn on_end(&self, took: Duration) {
-        let took = took.as_micros() as u64;
-        let mean = self.mean.load(Ordering::Relaxed);
-        let next = if mean == 0 { took } else { mean - mean / MEAN_WEIGHT + took / MEAN_WEIGHT };
-        self.mean.store(next, Ordering::Relaxed);
+    fn on_request_end(&self, elapsed: Duration) {
+        let elapsed = elapsed.as_micros() as u64;
+        let mean = self.mean_duration_us.load(Ordering::Relaxed);
+        let next =
+            if mean == 0 { elapsed } else { mean - mean / MEAN_WINDOW + elapsed / MEAN_WINDOW };
+        self.mean_duration_us.store(next, Ordering::Relaxed);
         self.running.fetch_sub(1, Ordering::Relaxed);
-        self.freed.notify_one();
+        self.slot_freed.notify_one();
     }
 }
 
 /// A service and the targets that may serve it now.
 #[derive(Debug)]
-pub struct Bound {
+pub struct ServiceTargets {
     /// Its configuration.
     pub service: Service,
     /// Its targets, leaving ones left out.
@@ -198,7 +201,7 @@
     /// The configuration in force.
     pub document: Arc<Document>,
     /// Services with their usable targets.
-    pub services: BTreeMap<ServiceId, Bound>,
+    pub services: BTreeMap<ServiceId, ServiceTargets>,
     /// All targets, leaving ones too.
     pub nodes: BTreeMap<TargetId, Arc<Node>>,
     /// Targets that get no new work.
@@ -209,9 +212,9 @@
 
 impl View {
     /// The plain service whose prefix fits `path`, the longest first.
-    pub fn plain(&self, path: &str) -> Option<&Bound> {
-        let is_plain = |b: &&Bound| b.service.protocol == Protocol::Plain;
-        let fits = |b: &&Bound| path.starts_with(&b.service.prefix);
+    pub fn plain_service(&self, path: &str) -> Option<&ServiceTargets> {
+        let is_plain = |b: &&ServiceTargets| b.service.protocol == Protocol::Plain;
+        let fits = |b: &&ServiceTargets| path.starts_with(&b.service.prefix);
         let found = self.services.values().filter(is_plain).filter(fits);
         found.max_by_key(|b| b.service.prefix.len())
     }
@@ -223,21 +226,21 @@
     nodes: Mutex<HashMap<TargetId, Arc<Node>>>,
     counts: Mutex<HashMap<ServiceId, Arc<Counts>>>,
     /// Targets whose load is to be told.
-    pub untold: Arc<Untold>,
+    pub changed_loads: Arc<ChangedLoads>,
 }
 
 /// What a snapshot is made for.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct ViewContext {
     /// This instance.
     pub me: u64,
     /// Its data centre.
-    pub here: DataCentreId,
+    pub data_centre: DataCentreId,
     /// Most targets that it uses.
-    pub subset: usize,
+    pub max_targets: usize,
 }
 
-const LEAST_OF_A_SERVICE: usize = 6;
+const MIN_TARGETS_PER_SERVICE: usize = 6;
 
 impl Fleet {
     /// A snapshot of `document` without the targets in `leaving`.
@@ -245,19 +248,22 @@
         &self,
         document: Document,
         leaving: HashSet<TargetId>,
-        place: &Place,
+        context: &ViewContext,
         ready: bool,
     ) -> View {
         let nodes = self.nodes(&document);
-        let share = (place.subset / document.services.len().max(1)).max(LEAST_OF_A_SERVICE);
+        let max_per_service =
+            (context.max_targets / document.services.len().max(1)).max(MIN_TARGETS_PER_SERVICE);
         let mut services = BTreeMap::new();
         for service in document.services.values() {
-            let of_it = nodes.values().filter(|node| node.target.service == service.name);
-            let usable = of_it.filter(|node| !leaving.contains(&node.target.name));
-            let nodes = subset(usable.cloned().collect(), place, share);
+            let of_service = nodes.values().filter(|node| node.target.service == service.name);
+            let usable = of_service.filter(|node| !leaving.contains(&node.target.name));
+            let nodes = subset(usable.cloned().collect(), context, max_per_service);
             let counts = lock(&self.counts).entry(service.name.clone()).or_default().clone();
-            services
-                .insert(service.name.clone(), Bound { service: service.clone(), nodes, counts });
+            services.insert(
+                service.name.clone(),
+                ServiceTargets { service: service.clone(), nodes, counts },
+            );
         }
         View { document: Arc::new(document), services, nodes, leaving, ready }
     }
@@ -272,33 +278,33 @@
             let node = known.get(&target.name);
             let is_same = node.is_some_and(|node| node.target == *target);
             if !is_same {
-                let fresh = Node::new(target.clone(), self.untold.clone());
+                let added = Node::new(target.clone(), self.changed_loads.clone());
                 if let Some(node) = node {
-                    lock(&fresh.state).report.clone_from(&lock(&node.state).report);
+                    lock(&added.state).report.clone_from(&lock(&node.state).report);
                 }
-                known.insert(target.name.clone(), Arc::new(fresh));
+                known.insert(target.name.clone(), Arc::new(added));
             }
         }
         known.iter().map(|(name, node)| (name.clone(), node.clone())).collect()
     }
 }
 
-fn subset(nodes: Vec<Arc<Node>>, place: &Place, most: usize) -> Vec<Arc<Node>> {
-    if nodes.len() <= most {
+fn subset(nodes: Vec<Arc<Node>>, context: &ViewContext, max_targets: usize) -> Vec<Arc<Node>> {
+    if nodes.len() <= max_targets {
         return nodes;
     }
-    let is_local = |node: &&Arc<Node>| node.target.data_centre == place.here;
+    let is_local = |node: &&Arc<Node>| node.target.data_centre == context.data_centre;
     let local: Vec<u64> = nodes.iter().filter(is_local).map(|node| node.id).collect();
     let remote: Vec<u64> = nodes.iter().filter(|n| !is_local(n)).map(|node| node.id).collect();
-    let mut chosen = route::subset(place.me, &local, most.saturating_sub(2));
-    let left = most - chosen.len();
-    chosen.extend(route::subset(place.me, &remote, left));
-    nodes.into_iter().filter(|node| chosen.contains(&node.id)).collect()
+    let mut selected = route::subset(context.me, &local, max_targets.saturating_sub(2));
+    let remaining = max_targets - selected.len();
+    selected.extend(route::subset(context.me, &remote, remaining));
+    nodes.into_iter().filter(|node| selected.contains(&node.id)).collect()
 }
 
 /// What a request asks of a target.
 #[derive(Clone, Debug, Default)]
-pub struct Wanted {
+pub struct Requirements {
     /// Model version, when the caller names one.
     pub version: Option<String>,
     /// Adapter, when the caller names one.
@@ -307,8 +313,8 @@
     pub prefix: u64,
 }
 
-impl Wanted {
-    fn fits(&self, node: &Node, service: &Service) -> bool {
+impl Requirements {
+    fn is_met_by(&self, node: &Node, service: &Service) -> bool {
         if service.protocol == Protocol::Plain {
             return true;
         }
@@ -328,20 +334,21 @@
 }
 
 /// Whether a service could ever serve what is wanted.
-pub fn is_known(bound: &Bound, wanted: &Wanted) -> bool {
-    bound.nodes.is_empty() || bound.nodes.iter().any(|node| wanted.fits(node, &bound.service))
+pub fn is_servable(bound: &ServiceTargets, requirements: &Requirements) -> bool {
+    bound.nodes.is_empty()
+        || bound.nodes.iter().any(|node| requirements.is_met_by(node, &bound.service))
 }
 
 /// A request's hold on a target; dropping it counts the request as over.
 #[derive(Debug)]
-pub struct Hold {
+pub struct TargetGuard {
     /// The target.
     pub node: Arc<Node>,
     counts: Arc<Counts>,
     since: Instant,
 }
 
-impl Hold {
+impl TargetGuard {
     /// The request ended well.
     pub fn on_success(&self) {
         let mut state = lock(&self.node.state);
@@ -357,36 +364,36 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for TargetGuard {
     fn drop(&mut self) {
         lock(&self.node.state).load.on_end();
-        self.node.on_load();
-        self.counts.on_end(self.since.elapsed());
+        self.node.on_load_changed();
+        self.counts.on_request_end(self.since.elapsed());
     }
 }
 
 /// Picks a target for an online request and holds it; `None` when none is free.
 pub fn pick(
-    bound: &Bound,
-    wanted: &Wanted,
-    avoid: &[TargetId],
+    bound: &ServiceTargets,
+    requirements: &Requirements,
+    excluded: &[TargetId],
     here: &str,
     now: Instant,
-) -> Option<Hold> {
-    let fitting = |node: &&Arc<Node>| wanted.fits(node, &bound.service);
-    let fresh = |node: &&Arc<Node>| !avoid.contains(&node.target.name);
-    let nodes: Vec<&Arc<Node>> = bound.nodes.iter().filter(fitting).filter(fresh).collect();
+) -> Option<TargetGuard> {
+    let suitable = |node: &&Arc<Node>| requirements.is_met_by(node, &bound.service);
+    let not_excluded = |node: &&Arc<Node>| !excluded.contains(&node.target.name);
+    let nodes: Vec<&Arc<Node>> = bound.nodes.iter().filter(suitable).filter(not_excluded).collect();
     let candidates: Vec<Candidate> = nodes.iter().map(|node| node.candidate(here, now)).collect();
     let draws = [rand::random(), rand::random()];
-    let chosen = route::pick(wanted.prefix, &candidates, Policy::default(), draws)?;
-    let node = nodes[chosen].clone();
+    let selected = route::pick(requirements.prefix, &candidates, Policy::default(), draws)?;
+    let node = nodes[selected].clone();
     {
         let mut state = lock(&node.state);
         state.load.on_start();
         let online = state.load.online(now);
-        state.pressure.record(online, now);
+        state.peer_load.record(online, now);
     }
-    node.on_load();
+    node.on_load_changed();
     bound.counts.running.fetch_add(1, Ordering::Relaxed);
-    Some(Hold { node, counts: bound.counts.clone(), since: now })
+    Some(TargetGuard { node, counts: bound.counts.clone(), since: now })
 }
--- a/crates/daemon/src/front/answer.rs
+++ b/crates/daemon/src/front/answer.rs
@@ -2,7 +2,7 @@
 
 use super::call::{Class, Terms};
 use crate::clock;
-use crate::fleet::{self, Bound, Hold, Wanted, lock};
+use crate::fleet::{self, Requirements, ServiceTargets, TargetGuard, lock};
 use crate::shared::Shared;
 use coordination::leaving::{Notice, Source};
 use coordination::queue::{self, Decision, Queue};
@@ -22,10 +22,10 @@
     shared: Arc<Shared>,
     client: Client,
     terms: Terms,
-    wanted: Wanted,
+    wanted: Requirements,
     service: String,
     request: Request,
-    stream: Option<(Hold, Stream)>,
+    stream: Option<(TargetGuard, Stream)>,
     tried: Vec<TargetId>,
     tries: u32,
     sent: bool,
@@ -40,7 +40,7 @@
         shared: Arc<Shared>,
         client: Client,
         terms: Terms,
-        wanted: Wanted,
+        wanted: Requirements,
         service: String,
         request: Request,
     ) -> Answer {
@@ -151,7 +151,7 @@
     }
 
     /// Waits for a free target, within the rules of the queue.
-    async fn hold(&mut self) -> Result<Hold, Error> {
+    async fn hold(&mut self) -> Result<TargetGuard, Error> {
         let mut waited = false;
         loop {
             let view = self.shared.view();
@@ -180,25 +180,25 @@
     }
 
     /// Waits in the service's queue; `true` when the wait is used up.
-    async fn wait(&self, bound: &Bound, now: Instant) -> Result<bool, Error> {
+    async fn wait(&self, bound: &ServiceTargets, now: Instant) -> Result<bool, Error> {
         let counts = &bound.counts;
         let queue = Queue {
             waiting: counts.waiting.load(Ordering::Relaxed),
             max_waiting: bound.service.queue,
             running: counts.running.load(Ordering::Relaxed),
-            mean_duration: Duration::from_micros(counts.mean.load(Ordering::Relaxed)),
+            mean_duration: Duration::from_micros(counts.mean_duration_us.load(Ordering::Relaxed)),
         };
         let limit = match queue::decide(queue, self.terms.left(now)) {
             Decision::Refuse(after) => return Err(self.full(bound, after)),
             Decision::Wait(limit) => limit,
         };
         counts.waiting.fetch_add(1, Ordering::Relaxed);
-        let freed = tokio::time::timeout(limit, counts.freed.notified()).await;
+        let freed = tokio::time::timeout(limit, counts.slot_freed.notified()).await;
         counts.waiting.fetch_sub(1, Ordering::Relaxed);
         Ok(freed.is_err())
     }
 
-    fn full(&self, bound: &Bound, after: Duration) -> Error {
+    fn full(&self, bound: &ServiceTargets, after: Duration) -> Error {
         if self.sent {
             // A try was sent before; "not run" would be a lie.
             return Error::new(Kind::TargetFailed, "no other target is free")
@@ -212,7 +212,7 @@
     }
 
     /// Decides what follows a failed try: another one, or the final answer.
-    fn on_fault(&mut self, hold: Option<Hold>, fault: &AttemptError) -> Result<(), Error> {
+    fn on_fault(&mut self, hold: Option<TargetGuard>, fault: &AttemptError) -> Result<(), Error> {
         let now = Instant::now();
         if let Some(hold) = hold {
             hold.on_failure(now);
@@ -256,7 +256,7 @@
 /// can go on with a request that may be repeated. One that may run once waits for
 /// its own target to the end.
 async fn unless_silent<T>(
-    hold: &Hold,
+    hold: &TargetGuard,
     repeatable: bool,
     answer: impl Future<Output = Result<T, AttemptError>>,
 ) -> Result<T, AttemptError> {
@@ -265,7 +265,7 @@
     }
     tokio::select! {
         answer = answer => answer,
-        () = hold.node.falls_silent() => {
+        () = hold.node.wait_unresponsive() => {
             Err(AttemptError::new(Failure::Unknown, "the target answers nothing"))
         }
     }
--- a/crates/daemon/src/front/chat.rs
+++ b/crates/daemon/src/front/chat.rs
@@ -4,7 +4,7 @@
 use super::call::Terms;
 use super::keyed::{self, Begun, Recorded};
 use super::{Front, Running};
-use crate::fleet::{self, Wanted};
+use crate::fleet::{self, Requirements};
 use bytes::Bytes;
 use coordination::route;
 use protocol::chat::{
@@ -58,7 +58,7 @@
     front: Front,
     terms: Terms,
     service: String,
-    wanted: Wanted,
+    wanted: Requirements,
     request: Request,
     arrived: Instant,
     running: Running,
@@ -83,7 +83,7 @@
 }
 
 /// Splits `service@version+adapter`.
-fn parse_model(request: &Request) -> (String, Wanted) {
+fn parse_model(request: &Request) -> (String, Requirements) {
     let (rest, adapter) = match request.model.split_once('+') {
         Some((rest, adapter)) => (rest, Some(adapter.to_owned())),
         None => (request.model.as_str(), None),
@@ -93,17 +93,17 @@
         None => (rest, None),
     };
     let prefix = route::prefix(service, &request.text());
-    (service.to_owned(), Wanted { version, adapter, prefix })
+    (service.to_owned(), Requirements { version, adapter, prefix })
 }
 
-fn check_service(front: &Front, service: &str, wanted: &Wanted) -> Result<Duration, Error> {
+fn check_service(front: &Front, service: &str, wanted: &Requirements) -> Result<Duration, Error> {
     let view = front.shared.view();
     let bound = view.services.get(service);
     let bound = bound.filter(|bound| bound.service.protocol == Protocol::Chat);
     let Some(bound) = bound else {
         return Err(Error::new(Kind::UnknownService, format!("no service `{service}`")));
     };
-    if !fleet::is_known(bound, wanted) {
+    if !fleet::is_servable(bound, wanted) {
         let text = format!("service `{service}` has no target with {wanted:?}");
         return Err(Error::new(Kind::UnknownModel, text));
     }
--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -71,7 +71,7 @@
             (&Method::POST, ["v1", "config"]) => admin::apply(self, body).await,
             (&Method::POST, ["v1", "targets", name, "leave"]) => admin::leave(self, name, true),
             (&Method::POST, ["v1", "targets", name, "return"]) => admin::leave(self, name, false),
-            _ if self.shared.view().plain(&path).is_some() => {
+            _ if self.shared.view().plain_service(&path).is_some() => {
                 self.work(&head, || plain::call(self, &head, body)).await
             }
             _ => Err(Error::new(Kind::UnknownPath, format!("{method} {path}"))),
--- a/crates/daemon/src/front/plain.rs
+++ b/crates/daemon/src/front/plain.rs
@@ -3,7 +3,7 @@
 use super::Front;
 use super::call::{Key, Terms};
 use super::keyed::{self, Begun, Recorded};
-use crate::fleet::{self, Hold, Wanted};
+use crate::fleet::{self, Requirements, TargetGuard};
 use bytes::Bytes;
 use coordination::retry::{self, Failure};
 use hyper::StatusCode;
@@ -29,7 +29,7 @@
     let body = http::read_body(&mut body, settings.max_body_bytes, settings.body_timeout).await?;
     let (service, repeatable, deadline) = {
         let view = front.shared.view();
-        let bound = view.plain(&head.path);
+        let bound = view.plain_service(&head.path);
         let bound = bound.ok_or_else(|| Error::new(Kind::UnknownPath, head.path.clone()))?;
         let method = head.method.as_str();
         let repeatable = bound.service.repeatable.iter().any(|m| m.eq_ignore_ascii_case(method));
@@ -155,11 +155,11 @@
     Err((Error::new(Kind::Internal, "no try was made"), sent))
 }
 
-fn hold(front: &Front, service: &str, tried: &[String], now: Instant) -> Option<Hold> {
+fn hold(front: &Front, service: &str, tried: &[String], now: Instant) -> Option<TargetGuard> {
     let view = front.shared.view();
     let bound = view.services.get(service)?;
     let here = &front.shared.settings.data_centre;
-    let wanted = Wanted { prefix: rand::random(), ..Wanted::default() };
+    let wanted = Requirements { prefix: rand::random(), ..Requirements::default() };
     fleet::pick(bound, &wanted, tried, here, now)
 }
 
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -68,7 +68,7 @@
     async fn pressure(&self, from: u64, target: String, online: u32) {
         let view = self.shared.view();
         if let Some(node) = view.nodes.get(&target) {
-            lock(&node.state).pressure.on_peer_report(from, online, Instant::now());
+            lock(&node.state).peer_load.on_peer_report(from, online, Instant::now());
             self.shared.batch.wake();
         }
     }
@@ -224,7 +224,7 @@
     /// Tells the deciders of targets how many online requests this instance has
     /// there, within milliseconds of a change.
     async fn press(self, stop: CancellationToken) {
-        let untold = self.shared.fleet.untold.clone();
+        let untold = self.shared.fleet.changed_loads.clone();
         // A clock of its own: while something changes at every moment, what doesn't
         // change must still be told again before its words go stale.
         let mut again = tokio::time::interval(RETELL);
@@ -250,7 +250,7 @@
     /// Tells one target's target_owner; a word that it has heard only when `again`.
     fn tell_load(&self, node: &Node, again: bool) {
         let online = admission::advertised(lock(&node.state).load.own());
-        let is_new = node.word.swap(online, Ordering::Relaxed) != online;
+        let is_new = node.reported_online.swap(online, Ordering::Relaxed) != online;
         match self.shared.target_owner(node) {
             Some(target_owner) if target_owner.id == self.shared.id => self.shared.batch.wake(),
             _ if !is_new && !again => {}
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,7 +1,7 @@
 //! What the duties of one daemon share.
 
 use crate::batch;
-use crate::fleet::{Fleet, Node, Place, View, lock};
+use crate::fleet::{Fleet, Node, View, ViewContext, lock};
 use crate::peers;
 use crate::retry_queue::RetryQueue;
 use crate::shards;
@@ -102,13 +102,13 @@
         let mut view = self.view.write().unwrap_or_else(PoisonError::into_inner);
         let document = lock(&self.config_log).document().clone();
         let leaving = self.leaving();
-        let place = Place {
+        let context = ViewContext {
             me: self.id,
-            here: self.settings.data_centre.clone(),
-            subset: self.settings.max_polled_targets,
+            data_centre: self.settings.data_centre.clone(),
+            max_targets: self.settings.max_polled_targets,
         };
         let ready = self.configured.load(std::sync::atomic::Ordering::Relaxed);
-        *view = Arc::new(self.fleet.view(document, leaving, &place, ready));
+        *view = Arc::new(self.fleet.view(document, leaving, &context, ready));
     }
 
     fn leaving(&self) -> HashSet<TargetId> {
@@ -206,8 +206,8 @@
     /// The member that owns `shard` in this instance's view.
     pub fn shard_owner(&self, shard: u32) -> Option<Member> {
         let members = lock(&self.members);
-        let chosen = hash::owner(&shard.to_le_bytes(), members.workers().map(|m| m.id))?;
-        members.workers().find(|m| m.id == chosen).cloned()
+        let selected = hash::owner(&shard.to_le_bytes(), members.workers().map(|m| m.id))?;
+        members.workers().find(|m| m.id == selected).cloned()
     }
 
     /// The member that decides on batch and orders for `node`: one of those in
@@ -216,9 +216,9 @@
         let members = lock(&self.members);
         let here = |m: &&Member| m.data_centre == node.target.data_centre;
         let key = node.id.to_le_bytes();
-        let chosen = hash::owner(&key, members.workers().filter(here).map(|m| m.id))
+        let selected = hash::owner(&key, members.workers().filter(here).map(|m| m.id))
             .or_else(|| hash::owner(&key, members.workers().map(|m| m.id)))?;
-        members.workers().find(|m| m.id == chosen).cloned()
+        members.workers().find(|m| m.id == selected).cloned()
     }
 
     /// The targets that this instance decides for. Ranking every target against
