--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -25,8 +25,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Timeout for the immediate reply of an allocator. A round trip within a region takes
-/// about 2 ms, so an owner that exceeds this is overloaded or gone.
+/// Timeout for the immediate reply of an allocator. Much longer than a round trip within a
+/// region, so an owner that exceeds it is overloaded or gone.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
 /// Grants on unusable targets after which a call gives up. The allocator is notified of each
 /// such target, and anti-entropy brings it up to date.
@@ -68,6 +68,8 @@
     pub(super) seen_versions: Cell<(u64, u64)>,
     /// Data centres with targets, as of `seen_versions`.
     pub(super) data_centres: RefCell<BTreeSet<DataCentreId>>,
+    /// Where the outcomes of waiting requests are sent: a grant, or the delay until a slot is
+    /// expected.
     pub(super) waiters: RefCell<HashMap<WaiterId, oneshot::Sender<Result<Grant, Duration>>>>,
     pub(super) is_checking_waiters: Cell<bool>,
     /// Requests that wait in the allocators owned here.
