--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,4 +1,4 @@
-//! The control duty: configuration, leaving targets, load reports.
+//! The control worker: configuration, leaving targets, load reports.
 
 use crate::append::{self, End};
 use crate::clock;
@@ -21,30 +21,31 @@
 use tokio_util::sync::CancellationToken;
 use transport::target::{Client, LoadReport};
 
-/// How long a watch is held.
-const WATCH: Duration = Duration::from_secs(20);
-/// Time between looks of an instance that isn't a watcher.
-const REST: Duration = Duration::from_secs(1);
-/// Longest wait for a load report.
+/// Maximum duration of one watch request.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which an instance that isn't a watcher checks whether it has become one.
+const NON_WATCHER_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of a load report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Generations between snapshots of the configuration.
-const SNAPSHOT_EVERY: Generation = 64;
-/// Age after which a target's report may take back its own word, in milliseconds.
-const LEAVE_HOLD_MS: u64 = 2000;
-/// Time between looks while the settings don't fit the log.
-const MISMATCH_REST: Duration = Duration::from_secs(2);
-/// Tries to settle a write whose answer was lost.
-const SETTLE_TRIES: u32 = 4;
+const SNAPSHOT_INTERVAL: Generation = 64;
+/// Minimum age of a target's own notice of leaving before its report may withdraw it: a
+/// report lags behind.
+const MIN_NOTICE_AGE_MS: u64 = 2000;
+/// Delay before the shard count is checked again after a mismatch.
+const MISMATCH_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Rounds of create and read-back for one append.
+const MAX_APPEND_ATTEMPTS: u32 = 4;
 
-/// Brings the configuration up to date from the platform: every entry after the
-/// one in force, or the snapshot first when nothing is in force.
+/// Applies every entry on the platform after the generation in force, starting from the
+/// snapshot when nothing is in force.
 ///
 /// # Errors
 ///
-/// How the platform failed.
+/// The error of the platform call.
 pub async fn read_platform(shared: &Shared) -> Result<(), StoreError> {
     if lock(&shared.config_log).generation() == 0
-        && let Some(found) = shared.store.get(SNAPSHOT).await?
+        && let Some(found) = shared.store.get(SNAPSHOT_KEY).await?
         && let Ok(document) = serde_json::from_slice::<Document>(&found.bytes)
     {
         let generation = document.generation;
@@ -65,11 +66,11 @@
     }
 }
 
-/// Object that holds the whole document at some generation.
-const SNAPSHOT: &str = "config/snapshot";
+/// Key of the snapshot: the whole document at some generation.
+const SNAPSHOT_KEY: &str = "config/snapshot";
 
-/// Test only: what a reader without the generation rule would do.
-async fn read_unguarded(shared: &Shared) -> Result<(), StoreError> {
+/// Injected fault: applies entries without checking generations.
+async fn read_unchecked(shared: &Shared) -> Result<(), StoreError> {
     let keys = shared.store.keys(object_key::CONFIG_PREFIX).await?;
     let mut entries = Vec::new();
     for key in keys {
@@ -84,9 +85,9 @@
     Ok(())
 }
 
-/// Puts back entries that the platform has lost, as a restored replica would:
-/// whoever has a generation in force knows the entry that brought it.
-async fn heal(shared: &Shared) -> Result<(), StoreError> {
+/// Restores entries that the platform has lost, for example when it was restored from an
+/// older copy: each instance keeps the latest entries that it applied.
+async fn restore_lost_entries(shared: &Shared) -> Result<(), StoreError> {
     let generation = lock(&shared.config_log).generation();
     if generation == 0 || shared.store.get(&object_key::config_entry(generation)).await?.is_some() {
         return Ok(());
@@ -99,16 +100,16 @@
             .put(&object_key::config_entry(entry.generation), bytes, Condition::Absent)
             .await
         {
-            Ok(_) => slog::warn!(shared.log, "configuration entry put back";
+            Ok(_) => slog::warn!(shared.log, "lost configuration entry restored";
                 "generation" => entry.generation),
             Err(StoreError::Conflict(_)) => {}
-            Err(fault) => return Err(fault),
+            Err(error) => return Err(error),
         }
     }
     Ok(())
 }
 
-/// Accepts a change on the condition that `revision` is still in force.
+/// Appends a change if `revision` is still the generation in force.
 ///
 /// # Errors
 ///
@@ -120,37 +121,37 @@
     change: Change,
 ) -> Result<Generation, Error> {
     let (document, generation) = {
-        let chain = lock(&shared.config_log);
-        (chain.document().with_change(&change), chain.generation())
+        let config_log = lock(&shared.config_log);
+        (config_log.document().with_change(&change), config_log.generation())
     };
     if revision != generation {
-        return Err(stale(revision, generation));
+        return Err(stale_revision(revision, generation));
     }
-    document.map_err(|fault| Error::new(Kind::InvalidConfig, fault.to_string()))?;
-    // A platform that was restored from a copy may lack entries that are in
-    // force; they must be back before another change takes their place.
-    heal(shared).await.map_err(away)?;
+    document.map_err(|error| Error::new(Kind::InvalidConfig, error.to_string()))?;
+    // A platform restored from an older copy may lack entries in force; without them the
+    // change would be written in their place.
+    restore_lost_entries(shared).await.map_err(platform_unavailable)?;
     let token = format!("{:016x}-{:016x}", shared.id, rand::random::<u64>());
     let entry =
         ConfigEntry { generation: generation + 1, token, author, at: clock::millis(), change };
-    settle(shared, entry).await
+    append_entry(shared, entry).await
 }
 
-async fn settle(shared: &Shared, entry: ConfigEntry) -> Result<Generation, Error> {
+async fn append_entry(shared: &Shared, entry: ConfigEntry) -> Result<Generation, Error> {
     let append = Append::new(entry.generation, entry.token.clone());
     let key = object_key::config_entry(entry.generation);
     let value = bytes::Bytes::from(serde_json::to_vec(&entry).unwrap_or_default());
     let token = |bytes: &[u8]| {
         serde_json::from_slice::<ConfigEntry>(bytes).map(|entry| entry.token).unwrap_or_default()
     };
-    match append::drive(&shared.store, &append, &key, value, SETTLE_TRIES, token).await {
+    match append::drive(&shared.store, &append, &key, value, MAX_APPEND_ATTEMPTS, token).await {
         End::Committed => {
             let generation = entry.generation;
             shared.apply_config_entry(entry);
-            snapshot(shared).await;
+            write_snapshot(shared).await;
             Ok(generation)
         }
-        End::Overtaken => Err(stale(entry.generation - 1, entry.generation)),
+        End::Overtaken => Err(stale_revision(entry.generation - 1, entry.generation)),
         End::Refused(text) => Err(Error::new(Kind::PlatformUnavailable, text)),
         End::Open => {
             let text = "the platform gave no answer; read the configuration";
@@ -159,65 +160,66 @@
     }
 }
 
-fn stale(revision: Generation, in_force: Generation) -> Error {
+fn stale_revision(revision: Generation, in_force: Generation) -> Error {
     let text = format!("revision {revision} is not in force, {in_force} is");
     Error::new(Kind::StaleRevision, text)
 }
 
-fn away(fault: StoreError) -> Error {
-    Error::new(Kind::PlatformUnavailable, fault.to_string())
+fn platform_unavailable(error: StoreError) -> Error {
+    Error::new(Kind::PlatformUnavailable, error.to_string())
 }
 
-/// Writes the whole document now and then, so that a new instance needn't read
-/// every change since the beginning. Losing this write costs only time.
-async fn snapshot(shared: &Shared) {
+/// Writes the whole document at intervals, so that a new instance needn't read every
+/// change. A lost snapshot only delays that.
+async fn write_snapshot(shared: &Shared) {
     let document = lock(&shared.config_log).document().clone();
-    if document.generation.is_multiple_of(SNAPSHOT_EVERY) {
+    if document.generation.is_multiple_of(SNAPSHOT_INTERVAL) {
         let bytes = serde_json::to_vec(&document).unwrap_or_default().into();
-        drop(shared.store.put(SNAPSHOT, bytes, Condition::Any).await);
+        drop(shared.store.put(SNAPSHOT_KEY, bytes, Condition::Any).await);
     }
 }
 
-/// Whether this instance has the same number of shards as the log was begun with.
-/// With another number it would look for keys where they are not, and run what
-/// has run. Whoever comes first writes the number down.
-async fn check_shards(shared: &Shared) -> Result<bool, StoreError> {
+/// Whether `log.shards` matches the shard count that the log was created with; the first
+/// instance records it. With another count, keys would map to other shards and finished
+/// work would run again.
+async fn check_shard_count(shared: &Shared) -> Result<bool, StoreError> {
     let own = shared.settings.shards.to_string();
-    let known = match shared.store.get(object_key::SHARD_COUNT).await? {
+    let recorded = match shared.store.get(object_key::SHARD_COUNT).await? {
         Some(found) => found.bytes,
         None => {
             let value = bytes::Bytes::from(own.clone());
             match shared.store.put(object_key::SHARD_COUNT, value.clone(), Condition::Absent).await
             {
                 Ok(_) => value,
-                Err(fault) => return Err(fault),
+                Err(error) => return Err(error),
             }
         }
     };
-    let is_same = known.as_ref() == own.as_bytes();
+    let is_same = recorded.as_ref() == own.as_bytes();
     if !is_same {
-        slog::error!(shared.log, "log.shards differs from the log's own"; "settings" => own,
-            "log" => String::from_utf8_lossy(&known).into_owned());
+        slog::error!(shared.log, "log.shards doesn't match the log's shard count";
+            "settings" => own,
+            "log" => String::from_utf8_lossy(&recorded).into_owned());
     }
     Ok(is_same)
 }
 
-/// Learns the configuration in force before anything is served: from the
-/// platform, or from a peer while the platform is away.
-async fn configure(shared: &Shared, stop: &CancellationToken) {
+/// Loads the configuration in force before anything is served: from the platform, or from a
+/// peer while the platform is unavailable.
+async fn load_configuration(shared: &Shared, stop: &CancellationToken) {
     while !stop.is_cancelled() {
-        let shards = check_shards(shared).await;
+        let shards = check_shard_count(shared).await;
         if let Ok(false) = shards {
-            tokio::time::sleep(MISMATCH_REST).await;
+            tokio::time::sleep(MISMATCH_RETRY_DELAY).await;
             continue;
         }
         let from_platform = shards.is_ok() && read_platform(shared).await.is_ok();
-        let from_peers = ask_peers(shared).await;
+        let from_peers = fetch_from_peers(shared).await;
         if from_platform || from_peers {
             shared.configured.store(true, Ordering::Relaxed);
             shared.refresh();
             let generation = lock(&shared.config_log).generation();
-            slog::info!(shared.log, "ready"; "generation" => generation,
+            slog::info!(shared.log, "configuration loaded"; "generation" => generation,
                 "platform" => from_platform, "peers" => from_peers);
             return;
         }
@@ -225,50 +227,51 @@
     }
 }
 
-/// Takes in the configuration of every member that is further; `true` when at
-/// least one that has a configuration answered.
-async fn ask_peers(shared: &Shared) -> bool {
+/// Applies the newer configuration of every member and seed; `true` when at least one with
+/// a configuration replied.
+async fn fetch_from_peers(shared: &Shared) -> bool {
     let known: HashSet<_> = lock(&shared.members).others().map(|m| m.peer).collect();
     let seeds = shared.settings.seeds.iter().copied();
-    let all: HashSet<_> = known.into_iter().chain(seeds).collect();
-    let mut answered = false;
-    for address in all {
+    let addresses: HashSet<_> = known.into_iter().chain(seeds).collect();
+    let mut replied = false;
+    for address in addresses {
         let after = lock(&shared.config_log).generation();
         if let Ok(found) = shared.peers.entries(address, after).await {
-            answered |= found.head > 0;
+            replied |= found.head > 0;
             peers::absorb(shared, &found);
         }
     }
-    answered
+    replied
 }
 
 /// Keeps the configuration up to date until `stop`.
-async fn follow(shared: Arc<Shared>, stop: CancellationToken) {
-    configure(&shared, &stop).await;
+async fn follow_configuration(shared: Arc<Shared>, stop: CancellationToken) {
+    load_configuration(&shared, &stop).await;
     let mut revision = None;
     let mut polled: Option<Instant> = None;
     while !stop.is_cancelled() {
         if shared.settings.is_guard_disabled("revert") {
-            drop(read_unguarded(&shared).await);
+            drop(read_unchecked(&shared).await);
             tokio::time::sleep(shared.settings.platform_poll_interval).await;
             continue;
         }
         if !shared.is_watcher() {
-            tokio::time::sleep(REST).await;
+            tokio::time::sleep(NON_WATCHER_INTERVAL).await;
             continue;
         }
         let poll = shared.settings.platform_poll_interval;
-        // A watch may be silent and dead, so the head is read as well.
+        // A watch may hang without an error, so the next entry is also read at each
+        // interval.
         if polled.is_none_or(|at| at.elapsed() >= poll) {
             polled = Some(Instant::now());
             let read = read_platform(&shared).await;
-            let healed = heal(&shared).await;
-            if read.is_err() || healed.is_err() {
+            let restored = restore_lost_entries(&shared).await;
+            if read.is_err() || restored.is_err() {
                 tokio::time::sleep(poll.mul_f64(0.5 + rand::random::<f64>())).await;
                 continue;
             }
         }
-        let wait = WATCH.min(poll);
+        let wait = WATCH_TIMEOUT.min(poll);
         tokio::select! {
             changes = shared.store.watch(object_key::CONFIG_PREFIX, revision, wait) => match changes {
                 Ok(changes) => {
@@ -277,8 +280,8 @@
                         drop(read_platform(&shared).await);
                     }
                 }
-                Err(fault) => {
-                    slog::debug!(shared.log, "watch broken"; "fault" => %fault);
+                Err(error) => {
+                    slog::debug!(shared.log, "watch broken"; "fault" => %error);
                     revision = None;
                     tokio::time::sleep(poll.mul_f64(rand::random())).await;
                 }
@@ -288,8 +291,8 @@
     }
 }
 
-/// Reads the platform's list of leaving targets until `stop`.
-async fn follow_list(shared: Arc<Shared>, stop: CancellationToken) {
+/// Polls the platform's list of leaving targets until `stop`.
+async fn follow_target_list(shared: Arc<Shared>, stop: CancellationToken) {
     while !stop.is_cancelled() {
         let wait =
             shared.settings.platform_poll_interval.mul_f64(0.75 + rand::random::<f64>() / 2.0);
@@ -303,42 +306,42 @@
         let Ok(listed) = shared.store.targets().await else {
             continue;
         };
-        for one in listed {
-            // The stamp is the list's own, so that a stale copy of the list,
-            // which shows an older state, takes nothing back.
-            let word = Notice { leaving: one.is_leaving, stamp: one.revision };
-            shared.report_leaving(&one.name, Source::Platform, word);
+        for target in listed {
+            // Stamped with the entry's revision, so that a stale copy of the list withdraws
+            // nothing.
+            let notice = Notice { leaving: target.is_leaving, stamp: target.revision };
+            shared.report_leaving(&target.name, Source::Platform, notice);
         }
     }
 }
 
-/// Asks the targets that this instance uses how they are, until `stop`.
-async fn follow_targets(shared: Arc<Shared>, client: Client, stop: CancellationToken) {
+/// Polls the load reports of the targets that this instance uses or owns, until `stop`.
+async fn poll_targets(shared: Arc<Shared>, client: Client, stop: CancellationToken) {
     loop {
         tokio::select! {
             () = tokio::time::sleep(shared.settings.target_poll_interval) => {}
             () = stop.cancelled() => return,
         }
         let view = shared.view();
-        let mut asked: Vec<Arc<Node>> =
+        let mut polled: Vec<Arc<Node>> =
             view.services.values().flat_map(|bound| bound.nodes.iter().cloned()).collect();
-        asked.extend(shared.owned_targets().iter().cloned());
-        asked.sort_by_key(|node| node.id);
-        asked.dedup_by_key(|node| node.id);
-        let asks = asked.iter().map(|node| ask(&shared, &client, node));
-        futures_util::future::join_all(asks).await;
+        polled.extend(shared.owned_targets().iter().cloned());
+        polled.sort_by_key(|node| node.id);
+        polled.dedup_by_key(|node| node.id);
+        let polls = polled.iter().map(|node| poll_target(&shared, &client, node));
+        futures_util::future::join_all(polls).await;
     }
 }
 
-async fn ask(shared: &Shared, client: &Client, node: &Node) {
+async fn poll_target(shared: &Shared, client: &Client, node: &Node) {
     let sent = Instant::now();
     match client.load_report(node.target.address, REPORT_TIMEOUT).await {
         Ok(report) => on_report(shared, node, report, sent),
-        Err(fault) if fault.failure == Failure::NotSent => {
+        Err(error) if error.failure == Failure::NotSent => {
             lock(&node.state).health.on_failure(Instant::now());
         }
-        Err(fault) if fault.is_timeout => node.on_unresponsive(Instant::now()),
-        // It answers, if not with a report: a plain service need not have one.
+        Err(error) if error.is_timeout => node.on_unresponsive(Instant::now()),
+        // It responded, though not with a report: a plain service needn't have one.
         Err(_) => {}
     }
 }
@@ -346,30 +349,30 @@
 fn on_report(shared: &Shared, node: &Node, report: LoadReport, at: Instant) {
     let name = &node.target.name;
     let now = clock::millis();
-    let word = lock(&shared.leaving_targets).notice(name, Source::Target);
-    let said = word.is_some_and(|word| word.leaving);
-    // A report lags, so it takes back a leave only when that is old enough.
-    let is_settled = word.is_none_or(|word| word.stamp + LEAVE_HOLD_MS < now);
-    if report.leaving != said && (report.leaving || is_settled) {
-        let word = Notice { leaving: report.leaving, stamp: now };
-        shared.report_leaving(name, Source::Target, word);
+    let notice = lock(&shared.leaving_targets).notice(name, Source::Target);
+    let is_reported_leaving = notice.is_some_and(|notice| notice.leaving);
+    // A report lags, so it withdraws a notice only when that is old enough.
+    let may_withdraw = notice.is_none_or(|notice| notice.stamp + MIN_NOTICE_AGE_MS < now);
+    if report.leaving != is_reported_leaving && (report.leaving || may_withdraw) {
+        let notice = Notice { leaving: report.leaving, stamp: now };
+        shared.report_leaving(name, Source::Target, notice);
     }
     node.on_report(report, at);
 }
 
-/// Runs the duty until `stop`.
+/// Runs the worker until `stop`.
 pub async fn run(shared: Arc<Shared>, client: Client, stop: CancellationToken) {
     tokio::join!(
-        follow(shared.clone(), stop.clone()),
-        follow_list(shared.clone(), stop.clone()),
-        follow_targets(shared.clone(), client.clone(), stop.clone()),
+        follow_configuration(shared.clone(), stop.clone()),
+        follow_target_list(shared.clone(), stop.clone()),
+        poll_targets(shared.clone(), client.clone(), stop.clone()),
         crate::orders::run(shared.clone(), client, stop.clone()),
         crate::retry_queue::run(shared.clone(), stop.clone()),
         crate::telemetry::run(shared, stop),
     );
 }
 
-/// How a member stands, as status pages print it.
+/// Name of a member's state on status pages.
 pub fn state_name(state: State) -> &'static str {
     match state {
         State::Alive => "alive",
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The targets as this instance knows them, shared by front, batch and control.
+//! State of the targets, shared by the front end, batch and control workers.
 
 use coordination::admission::PeerLoad;
 use coordination::ejection::{Availability, Health};
@@ -15,26 +15,26 @@
 use tokio::sync::{Notify, watch};
 use transport::target::LoadReport;
 
-/// Locks a mutex; a panic elsewhere leaves plain data that is still usable.
+/// Locks a mutex, ignoring poison: the data behind these locks stays valid after a panic.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Reports in a row without an answer after which a target counts as unresponsive. One
-/// may be lost to a pause of its own; waiting for a third costs every request
-/// that was sent there another second.
+/// Unanswered load reports in a row after which a target counts as unresponsive. Two
+/// tolerate one pause of the target; a third would delay each waiting request by another
+/// second.
 const MISSED_REPORTS_UNTIL_UNRESPONSIVE: u32 = 2;
 
-/// Targets whose online load changed since the peers were told.
+/// Targets whose online load changed since it was last sent to their owners.
 #[derive(Debug, Default)]
 pub struct ChangedLoads {
     nodes: Mutex<Vec<Arc<Node>>>,
-    /// Signals that there is one.
+    /// Signals that the list is no longer empty.
     pub signal: Notify,
 }
 
 impl ChangedLoads {
-    /// Takes all of them; a change from now on lists its target again.
+    /// Takes all listed targets; a later change lists its target again.
     pub fn take(&self) -> Vec<Arc<Node>> {
         let nodes = std::mem::take(&mut *lock(&self.nodes));
         nodes.iter().for_each(|node| node.is_load_changed.store(false, Ordering::Relaxed));
@@ -42,38 +42,37 @@
     }
 }
 
-/// What changes about a target from moment to moment.
+/// Runtime state of a target.
 #[derive(Debug)]
 pub struct State {
-    /// Online load.
+    /// Estimate of the requests running there.
     pub load: Estimate,
-    /// How much it is given at once.
+    /// Limit of concurrent requests from this instance.
     pub concurrency: ConcurrencyLimit,
-    /// Whether it fails.
+    /// Recent failures, for ejection.
     pub health: Health,
-    /// Online requests of other instances, where this one decides on batch.
+    /// Online requests of other instances, where this one owns the target.
     pub peer_load: PeerLoad,
-    /// Its last report.
+    /// Its last load report; `None` before the first.
     pub report: Option<LoadReport>,
 }
 
-/// A target.
+/// A target with its runtime state.
 #[derive(Debug)]
 pub struct Node {
-    /// Its configuration.
+    /// Configuration that this state was built for.
     pub target: Target,
-    /// Hash of its name.
+    /// Hash of its name, for ranking.
     pub id: u64,
-    /// What changes.
+    /// Its runtime state.
     pub state: Mutex<State>,
-    /// Whether it leaves its load reports unanswered; streams that wait for it
-    /// watch this.
+    /// Whether its load reports go unanswered; waiting streams subscribe to this.
     unresponsive: watch::Sender<bool>,
-    /// Reports in a row that it left unanswered.
+    /// Load reports in a row that it left unanswered.
     missed_reports: AtomicU32,
-    /// The count of online requests that its owner was last told.
+    /// Online requests that this instance last reported to the target's owner.
     pub reported_online: AtomicU32,
-    /// Whether it waits in the list of targets whose load is to be told.
+    /// Whether it is listed in [`ChangedLoads`].
     is_load_changed: AtomicBool,
     changed_loads: Arc<ChangedLoads>,
 }
@@ -100,7 +99,7 @@
         }
     }
 
-    /// A report wasn't answered in time.
+    /// Counts a load report that wasn't answered in time.
     pub fn on_unresponsive(&self, now: Instant) {
         if self.missed_reports.fetch_add(1, Ordering::Relaxed) + 1
             >= MISSED_REPORTS_UNTIL_UNRESPONSIVE
@@ -110,14 +109,14 @@
         }
     }
 
-    /// Waits until the target counts as unresponsive.
+    /// Waits until the target is unresponsive.
     pub async fn wait_unresponsive(&self) {
         let mut unresponsive = self.unresponsive.subscribe();
-        // The sender lives as long as the target, so this can't fail here.
+        // The sender lives as long as `self`, so the wait can't fail.
         drop(unresponsive.wait_for(|unresponsive| *unresponsive).await);
     }
 
-    /// Takes in a report.
+    /// Records a load report that was requested at `now`.
     pub fn on_report(&self, report: LoadReport, now: Instant) {
         self.missed_reports.store(0, Ordering::Relaxed);
         self.unresponsive.send_replace(false);
@@ -126,7 +125,7 @@
         state.report = Some(report);
     }
 
-    /// Its online load changed: the instance that decides on batch there must hear.
+    /// Lists the target, so that its owner is sent the new load.
     fn on_load_changed(self: &Arc<Node>) {
         if !self.is_load_changed.swap(true, Ordering::Relaxed) {
             lock(&self.changed_loads.nodes).push(self.clone());
@@ -134,7 +133,7 @@
         }
     }
 
-    /// Model version that it last reported; `None` before the first report.
+    /// Model version of its last load report; `None` before the first.
     pub fn version(&self) -> Option<String> {
         lock(&self.state).report.as_ref().map(|report| report.version.clone())
     }
@@ -149,24 +148,24 @@
             Availability::Probation => 1u32.saturating_sub(own),
             Availability::Full => state.concurrency.limit().saturating_sub(own),
         };
-        // Half again as many as there are slots keeps the engine's queue short
-        // while there is always a request ready for the next free slot.
+        // One and a half times the slots keep the engine's queue short, and a request ready
+        // for the next free slot.
         let queue = (slots + slots.div_ceil(2)).saturating_sub(online);
         let local = self.target.data_centre == here;
         Candidate { id: self.id, local, online, slots, free: capacity.min(queue) }
     }
 }
 
-/// One service's counts on this instance.
+/// Counts of one service on this instance.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Requests waiting for a target.
+    /// Requests that wait for a target.
     pub waiting: AtomicU32,
-    /// Requests running.
+    /// Requests that run at a target.
     pub running: AtomicU32,
-    /// Mean time of a request, in microseconds.
+    /// Moving mean of request durations, in microseconds; 0 before the first.
     pub mean_duration_us: AtomicU64,
-    /// Signals that a target became free.
+    /// Signals that a request ended and its slot is free.
     pub slot_freed: Notify,
 }
 
@@ -184,34 +183,34 @@
     }
 }
 
-/// A service and the targets that may serve it now.
+/// A service and its usable targets.
 #[derive(Debug)]
 pub struct ServiceTargets {
-    /// Its configuration.
+    /// Configuration of the service.
     pub service: Service,
-    /// Its targets, leaving ones left out.
+    /// Its targets, without those that are leaving.
     pub nodes: Vec<Arc<Node>>,
-    /// Its counts.
+    /// Its counts, shared by all snapshots.
     pub counts: Arc<Counts>,
 }
 
-/// What routing reads: a snapshot that never changes.
+/// Immutable snapshot that requests are routed by.
 #[derive(Debug, Default)]
 pub struct View {
     /// The configuration in force.
     pub document: Arc<Document>,
     /// Services with their usable targets.
     pub services: BTreeMap<ServiceId, ServiceTargets>,
-    /// All targets, leaving ones too.
+    /// All targets, including those that are leaving.
     pub nodes: BTreeMap<TargetId, Arc<Node>>,
-    /// Targets that get no new work.
+    /// Targets that get no new requests.
     pub leaving: HashSet<TargetId>,
-    /// Whether this instance may serve.
+    /// Whether the configuration in force is loaded, so that this instance may serve.
     pub ready: bool,
 }
 
 impl View {
-    /// The plain service whose prefix fits `path`, the longest first.
+    /// The plain service with the longest prefix of `path`.
     pub fn plain_service(&self, path: &str) -> Option<&ServiceTargets> {
         let is_plain = |b: &&ServiceTargets| b.service.protocol == Protocol::Plain;
         let fits = |b: &&ServiceTargets| path.starts_with(&b.service.prefix);
@@ -220,30 +219,30 @@
     }
 }
 
-/// State of targets and services that outlives one snapshot.
+/// State of targets and services that outlives a snapshot.
 #[derive(Debug, Default)]
 pub struct Fleet {
     nodes: Mutex<HashMap<TargetId, Arc<Node>>>,
     counts: Mutex<HashMap<ServiceId, Arc<Counts>>>,
-    /// Targets whose load is to be told.
+    /// Targets whose load must be sent to their owners.
     pub changed_loads: Arc<ChangedLoads>,
 }
 
-/// What a snapshot is made for.
+/// The instance that a snapshot is made for.
 #[derive(Clone, Debug)]
 pub struct ViewContext {
-    /// This instance.
+    /// Id of the instance.
     pub me: u64,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: DataCentreId,
-    /// Most targets that it uses.
+    /// Maximum number of targets that it uses, shared equally by the services.
     pub max_targets: usize,
 }
 
 const MIN_TARGETS_PER_SERVICE: usize = 6;
 
 impl Fleet {
-    /// A snapshot of `document` without the targets in `leaving`.
+    /// Builds a snapshot of `document` whose services have no targets in `leaving`.
     pub fn view(
         &self,
         document: Document,
@@ -302,14 +301,14 @@
     nodes.into_iter().filter(|node| selected.contains(&node.id)).collect()
 }
 
-/// What a request asks of a target.
+/// What a request requires of a target.
 #[derive(Clone, Debug, Default)]
 pub struct Requirements {
-    /// Model version, when the caller names one.
+    /// Model version; `None` accepts any that is loaded.
     pub version: Option<String>,
-    /// Adapter, when the caller names one.
+    /// Adapter; `None` accepts any target.
     pub adapter: Option<String>,
-    /// Hash for prefix affinity.
+    /// Hash of the prompt's start, for prefix affinity.
     pub prefix: u64,
 }
 
@@ -320,8 +319,8 @@
         }
         let loaded = node.version();
         let version = self.version.as_deref();
-        // A target whose report hasn't come yet is given the benefit of the
-        // doubt for the version in force, not for another one.
+        // Before its first report, a target is assumed to run the version in force and no
+        // other.
         let has_version = match (&loaded, version) {
             (Some(loaded), Some(wanted)) => loaded == wanted,
             (Some(loaded), None) => !loaded.is_empty(),
@@ -333,30 +332,30 @@
     }
 }
 
-/// Whether a service could ever serve what is wanted.
+/// Whether a target of the service meets the requirements, or none is known yet.
 pub fn is_servable(bound: &ServiceTargets, requirements: &Requirements) -> bool {
     bound.nodes.is_empty()
         || bound.nodes.iter().any(|node| requirements.is_met_by(node, &bound.service))
 }
 
-/// A request's hold on a target; dropping it counts the request as over.
+/// Counts a request as running on a target until dropped.
 #[derive(Debug)]
 pub struct TargetGuard {
-    /// The target.
+    /// Target of the request.
     pub node: Arc<Node>,
     counts: Arc<Counts>,
-    since: Instant,
+    started: Instant,
 }
 
 impl TargetGuard {
-    /// The request ended well.
+    /// Records a success of the target.
     pub fn on_success(&self) {
         let mut state = lock(&self.node.state);
         state.concurrency.on_success();
         state.health.on_success();
     }
 
-    /// The request failed through the target's fault.
+    /// Records a failure of the target.
     pub fn on_failure(&self, now: Instant) {
         let mut state = lock(&self.node.state);
         state.concurrency.on_failure();
@@ -368,11 +367,12 @@
     fn drop(&mut self) {
         lock(&self.node.state).load.on_end();
         self.node.on_load_changed();
-        self.counts.on_request_end(self.since.elapsed());
+        self.counts.on_request_end(self.started.elapsed());
     }
 }
 
-/// Picks a target for an online request and holds it; `None` when none is free.
+/// Picks a free target for an online request and counts the request there; `None` when none
+/// is free.
 pub fn pick(
     bound: &ServiceTargets,
     requirements: &Requirements,
@@ -395,5 +395,5 @@
     }
     node.on_load_changed();
     bound.counts.running.fetch_add(1, Ordering::Relaxed);
-    Some(TargetGuard { node, counts: bound.counts.clone(), since: now })
+    Some(TargetGuard { node, counts: bound.counts.clone(), started: now })
 }
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to targets: one controller at a time, by a lease on the platform.
+//! Orders to targets: one controller at a time, elected by a lease on the platform.
 //!
-//! A lease is taken only when a target differs from the configuration, so a
-//! settled fleet makes no platform calls for it.
+//! A lease is claimed only while a target differs from the configuration, so that a settled
+//! fleet makes no platform calls for it.
 
 use crate::clock;
 use crate::fleet::{Node, View, lock};
@@ -21,56 +21,57 @@
 use tokio_util::sync::CancellationToken;
 use transport::target::{Client, Order};
 
-/// Time between looks at the targets.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval between comparisons of the targets with the configuration.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A lease as this instance knows it.
+/// A lease as this instance has observed and holds it.
 #[derive(Clone, Copy)]
-struct Known {
+struct LeaseState {
     holder: InstanceId,
-    sight: Option<Observation>,
+    observed: Option<Observation>,
     held: Option<Held>,
-    version: Option<Revision>,
+    revision: Option<Revision>,
 }
 
-/// One target's controller state.
+/// Controller of one target.
 struct Controller {
-    lease: Known,
-    /// The service's load slots as this controller has seen them. What was seen
-    /// must be kept: a slot of a holder that died is free only after it was
-    /// seen unchanged for a whole lease.
-    slots: BTreeMap<u32, Known>,
+    lease: LeaseState,
+    /// The service's load slots as observed. An observation must be kept: the slot of a
+    /// dead holder is free only after it was unchanged for a whole lease.
+    slots: BTreeMap<u32, LeaseState>,
     slot_holder: InstanceId,
-    /// The slot that is held.
+    /// Number of the slot that is held.
     slot: Option<u32>,
     draining: bool,
 }
 
-/// Brings targets to the configured state until `stop`.
+/// Brings owned targets to the configured state until `stop`.
 pub async fn run(shared: Arc<Shared>, client: Client, stop: CancellationToken) {
     let mut controllers: HashMap<String, Controller> = HashMap::new();
     loop {
         tokio::select! {
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
         let view = shared.view();
         if !view.ready {
             continue;
         }
-        let charge = shared.owned_targets();
-        for node in charge.iter() {
-            let fresh = || Controller::new(&shared, node);
-            let controller = controllers.entry(node.target.name.clone()).or_insert_with(fresh);
+        let owned = shared.owned_targets();
+        for node in owned.iter() {
+            let new_controller = || Controller::new(&shared, node);
+            let controller =
+                controllers.entry(node.target.name.clone()).or_insert_with(new_controller);
             controller.step(&shared, &client, &view, node).await;
         }
-        let is_mine = |name: &String| charge.iter().any(|node| node.target.name == *name);
-        let lost: Vec<String> = controllers.keys().filter(|name| !is_mine(name)).cloned().collect();
-        for name in lost {
+        let is_owned = |name: &String| owned.iter().any(|node| node.target.name == *name);
+        let disowned: Vec<String> =
+            controllers.keys().filter(|name| !is_owned(name)).cloned().collect();
+        for name in disowned {
             if let (Some(mut controller), Some(node)) =
                 (controllers.remove(&name), view.nodes.get(&name))
             {
-                controller.finish(&shared, node).await;
+                controller.release_all(&shared, node).await;
             }
         }
     }
@@ -78,11 +79,11 @@
 
 impl Controller {
     fn new(shared: &Shared, node: &Node) -> Controller {
-        // Two targets of one service may be in one instance's charge; each needs
-        // a slot of its own, so a slot's holder is instance and target.
+        // The holder of a slot is unique to instance and target: one instance may own two
+        // targets of a service, and each needs a slot of its own.
         let slot_holder = shared.id ^ node.id;
         Controller {
-            lease: Known::new(shared.id),
+            lease: LeaseState::new(shared.id),
             slots: BTreeMap::new(),
             slot_holder,
             slot: None,
@@ -91,43 +92,45 @@
     }
 
     async fn step(&mut self, shared: &Shared, client: &Client, view: &View, node: &Node) {
-        let Some((actual, desired)) = compare(view, node) else {
+        let Some((actual, desired)) = actual_and_desired(view, node) else {
             return;
         };
-        let others = serving(view, node);
+        let others = count_serving_others(view, node);
         match rollout::step(&actual, &desired, self.draining, others) {
-            Step::UpToDate => self.finish(shared, node).await,
+            Step::UpToDate => self.release_all(shared, node).await,
             Step::Wait => {}
-            Step::KeepServing => slog::debug!(shared.log, "order waits for another target";
-                "target" => &node.target.name),
+            Step::KeepServing => {
+                slog::debug!(shared.log, "order deferred: no other target would serve";
+                "target" => &node.target.name)
+            }
             Step::Drain => {
-                if self.enter(shared, view, node).await {
+                if self.acquire(shared, view, node).await {
                     self.set_draining(shared, node, true);
                 }
             }
             Step::Order(order) => {
-                if self.enter(shared, view, node).await {
+                if self.acquire(shared, view, node).await {
                     self.order(shared, client, node, order).await;
                 }
             }
         }
     }
 
-    /// Takes the target's lease and one of the service's load slots.
-    async fn enter(&mut self, shared: &Shared, view: &View, node: &Node) -> bool {
+    /// Acquires the target's lease and one of the service's load slots.
+    async fn acquire(&mut self, shared: &Shared, view: &View, node: &Node) -> bool {
         if shared.settings.is_guard_disabled("lease") {
             return true;
         }
         let key = object_key::target_lease(&node.target.name);
-        if !self.lease.hold(shared, &key).await {
+        if !self.lease.acquire(shared, &key).await {
             return false;
         }
         if let Some(number) = self.slot {
-            return self.hold_slot(shared, node, number).await;
+            return self.acquire_slot(shared, node, number).await;
         }
         let slots = view.document.weights.as_ref().map_or(1, |weights| weights.loads_at_once);
         for number in 0..slots {
-            if self.hold_slot(shared, node, number).await {
+            if self.acquire_slot(shared, node, number).await {
                 self.slot = Some(number);
                 return true;
             }
@@ -135,19 +138,19 @@
         false
     }
 
-    async fn hold_slot(&mut self, shared: &Shared, node: &Node, number: u32) -> bool {
+    async fn acquire_slot(&mut self, shared: &Shared, node: &Node, number: u32) -> bool {
         let key = object_key::load_slot(&node.target.service, number);
         let holder = self.slot_holder;
-        let slot = self.slots.entry(number).or_insert_with(|| Known::new(holder));
-        slot.hold(shared, &key).await
+        let slot = self.slots.entry(number).or_insert_with(|| LeaseState::new(holder));
+        slot.acquire(shared, &key).await
     }
 
     async fn order(&self, shared: &Shared, client: &Client, node: &Node, order: Desired) {
-        let unguarded = shared.settings.is_guard_disabled("lease");
+        let without_lease = shared.settings.is_guard_disabled("lease");
         let lifetime = shared.settings.order_lifetime;
         let held = self.lease.held;
-        let may = held.is_some_and(|held| held.may_order(lifetime, Instant::now()));
-        if !may && !unguarded {
+        let is_lease_sufficient = held.is_some_and(|held| held.may_order(lifetime, Instant::now()));
+        if !is_lease_sufficient && !without_lease {
             return;
         }
         let fence = held.map_or(0, |held| held.record.epoch);
@@ -155,24 +158,24 @@
         let order = Order { version, adapters };
         let sent = client.order(node.target.address, &order, fence, lifetime).await;
         match sent {
-            Ok(()) => slog::info!(shared.log, "order given"; "target" => &node.target.name,
+            Ok(()) => slog::info!(shared.log, "order sent"; "target" => &node.target.name,
                 "version" => &order.version, "fence" => fence),
-            Err(fault) => slog::warn!(shared.log, "order failed"; "target" => &node.target.name,
-                "fence" => fence, "reason" => fault.message),
+            Err(error) => slog::warn!(shared.log, "order failed"; "target" => &node.target.name,
+                "fence" => fence, "reason" => error.message),
         }
     }
 
     fn set_draining(&mut self, shared: &Shared, node: &Node, draining: bool) {
         self.draining = draining;
-        let word = Notice { leaving: draining, stamp: clock::millis() };
-        shared.report_leaving(&node.target.name, Source::Controller, word);
+        let notice = Notice { leaving: draining, stamp: clock::millis() };
+        shared.report_leaving(&node.target.name, Source::Controller, notice);
     }
 
-    /// Gives everything back: the target is as wanted, or no longer ours.
-    async fn finish(&mut self, shared: &Shared, node: &Node) {
-        // A controller that died may have left its word behind.
-        let word = lock(&shared.leaving_targets).notice(&node.target.name, Source::Controller);
-        if self.draining || word.is_some_and(|word| word.leaving) {
+    /// Releases lease and slot: the target is as configured, or no longer owned.
+    async fn release_all(&mut self, shared: &Shared, node: &Node) {
+        // A controller that died may have left its notice of leaving.
+        let notice = lock(&shared.leaving_targets).notice(&node.target.name, Source::Controller);
+        if self.draining || notice.is_some_and(|notice| notice.leaving) {
             self.set_draining(shared, node, false);
         }
         if let Some(number) = self.slot.take()
@@ -186,52 +189,52 @@
     }
 }
 
-impl Known {
-    fn new(holder: InstanceId) -> Known {
-        Known { holder, sight: None, held: None, version: None }
+impl LeaseState {
+    fn new(holder: InstanceId) -> LeaseState {
+        LeaseState { holder, observed: None, held: None, revision: None }
     }
 
-    /// Whether the lease is held now; tries to take or renew it.
-    async fn hold(&mut self, shared: &Shared, key: &str) -> bool {
+    /// Whether the lease is held; claims or renews it if needed.
+    async fn acquire(&mut self, shared: &Shared, key: &str) -> bool {
         let now = Instant::now();
         let lifetime = shared.settings.order_lifetime;
-        let enough = |held: &Held| held.may_order(lifetime, now) && !held.should_renew(now);
-        if self.held.is_some_and(|held| enough(&held)) {
+        let is_sufficient = |held: &Held| held.may_order(lifetime, now) && !held.should_renew(now);
+        if self.held.is_some_and(|held| is_sufficient(&held)) {
             return true;
         }
-        self.look(shared, key).await && self.take(shared, key).await
+        self.read(shared, key).await && self.claim(shared, key).await
     }
 
-    async fn look(&mut self, shared: &Shared, key: &str) -> bool {
+    async fn read(&mut self, shared: &Shared, key: &str) -> bool {
         let Ok(found) = shared.store.get(key).await else {
             return false;
         };
         let now = Instant::now();
-        self.version = found.as_ref().map(|object| object.revision);
+        self.revision = found.as_ref().map(|object| object.revision);
         let record = found.and_then(|object| serde_json::from_slice::<Record>(&object.bytes).ok());
-        self.sight = record.map(|record| Observation::update(self.sight, record, now));
+        self.observed = record.map(|record| Observation::update(self.observed, record, now));
         true
     }
 
-    async fn take(&mut self, shared: &Shared, key: &str) -> bool {
-        let length = shared.settings.controller_lease;
+    async fn claim(&mut self, shared: &Shared, key: &str) -> bool {
+        let duration = shared.settings.controller_lease;
         let margin = shared.settings.order_lifetime;
         let now = Instant::now();
-        let claim = lease::claim(self.holder, self.sight, length, margin, now);
-        let Action::Write(record) = claim else {
+        let action = lease::claim(self.holder, self.observed, duration, margin, now);
+        let Action::Write(record) = action else {
             self.held = None;
             return false;
         };
         let bytes = Bytes::from(serde_json::to_vec(&record).unwrap_or_default());
-        let condition = self.version.map_or(Condition::Absent, Condition::Revision);
+        let condition = self.revision.map_or(Condition::Absent, Condition::Revision);
         match shared.store.put(key, bytes, condition).await {
-            Ok(version) => {
-                self.version = Some(version);
-                self.held = Some(Held { record, since: now, length });
+            Ok(revision) => {
+                self.revision = Some(revision);
+                self.held = Some(Held { record, since: now, length: duration });
                 true
             }
-            // A lost answer is found out at the next look: the record then names
-            // this instance, and holding it is counted from that later write.
+            // If the write did succeed, the next read shows this instance as the holder,
+            // and the lease is counted from the later write.
             Err(_) => {
                 self.held = None;
                 false
@@ -245,14 +248,14 @@
         };
         let record = Record { holder: 0, ..held.record };
         let bytes = Bytes::from(serde_json::to_vec(&record).unwrap_or_default());
-        let condition = self.version.map_or(Condition::Any, Condition::Revision);
-        // Not given back, the lease lapses by itself.
+        let condition = self.revision.map_or(Condition::Any, Condition::Revision);
+        // If the release fails, the lease expires.
         drop(shared.store.put(key, bytes, condition).await);
-        *self = Known::new(self.holder);
+        *self = LeaseState::new(self.holder);
     }
 }
 
-fn compare(view: &View, node: &Node) -> Option<(Actual, Desired)> {
+fn actual_and_desired(view: &View, node: &Node) -> Option<(Actual, Desired)> {
     let service = view.document.services.get(&node.target.service)?;
     if service.protocol != Protocol::Chat {
         return None;
@@ -267,8 +270,8 @@
     Some((actual, Desired { version: service.version.clone(), adapters }))
 }
 
-/// Other targets of the service that serve now.
-fn serving(view: &View, node: &Node) -> usize {
+/// Number of other targets of the service that serve now.
+fn count_serving_others(view: &View, node: &Node) -> usize {
     let Some(bound) = view.services.get(&node.target.service) else {
         return 0;
     };
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the duties of one daemon share.
+//! State that the worker threads of one daemon share.
 
 use crate::batch;
 use crate::fleet::{Fleet, Node, View, ViewContext, lock};
@@ -25,15 +25,16 @@
 use tokio::sync::Notify;
 use transport::peer::Traffic;
 
-/// Daemons of one data centre that watch the platform; the others hear it from
-/// them. Two, so that one may be replaced without a gap.
-const WATCHERS: usize = 2;
+/// Instances of one data centre that watch the platform for the others: two, so that one
+/// can be replaced without a gap.
+const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
-/// Least time between two pieces of news of work, for each member of the fleet:
-/// 10 s at 400 members.
-const MIN_ANNOUNCEMENT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(25);
+/// Minimum time between two announcements of new work, for each member: 10 s at 400
+/// members.
+const ANNOUNCEMENT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(25);
 
-/// Targets in this instance's charge, as of one view and one set of members.
+/// Targets that this instance owns, cached for one view and one version of the member
+/// table.
 #[derive(Default)]
 struct OwnedTargets {
     view: Arc<View>,
@@ -41,64 +42,65 @@
     nodes: Arc<Vec<Arc<Node>>>,
 }
 
-/// Everything that more than one duty needs.
+/// State that more than one worker uses.
 pub struct Shared {
-    /// Settings.
+    /// Settings of this instance, fixed since its start.
     pub settings: Settings,
-    /// This instance.
+    /// Id of this instance, drawn anew at each start.
     pub id: InstanceId,
-    /// Logger.
+    /// Root logger; adds the data centre to each line.
     pub log: Logger,
-    /// Members.
+    /// Members as this instance sees them.
     pub members: Mutex<MemberTable>,
-    /// Configuration.
+    /// Configuration in force and its latest entries.
     pub config_log: Mutex<Log>,
-    /// Leaving targets.
+    /// Targets reported as leaving, by source.
     pub leaving_targets: Mutex<Targets>,
-    /// Targets.
+    /// State of targets that outlives a view.
     pub fleet: Fleet,
     view: RwLock<Arc<View>>,
     owned_targets: Mutex<OwnedTargets>,
-    /// The platform.
+    /// Access to the platform's store.
     pub store: store::Handle,
-    /// The durable log.
+    /// Access to the shard committers.
     pub shards: shards::Handle,
-    /// Other daemons.
+    /// Access to the other instances.
     pub peers: peers::Handle,
-    /// Batch work.
+    /// Access to the batch worker.
     pub batch: batch::Handle,
-    /// Outcomes that are still to be recorded.
+    /// Commands to retry until the log takes them.
     pub retry_queue: RetryQueue,
-    /// Metrics and service levels.
+    /// Metrics and service-level counts.
     pub telemetry: Telemetry,
-    /// Bytes between daemons.
+    /// Bytes sent to and received from other instances.
     pub traffic: Arc<Traffic>,
-    /// Calls that are being answered.
+    /// Caller requests in flight.
     pub in_flight: AtomicUsize,
-    /// When a planned stop was ordered.
+    /// When a planned stop was requested; `None` before that.
     pub stopping: Mutex<Option<Instant>>,
-    /// Whether new calls are refused.
+    /// Whether new requests are rejected, in the last phase of a stop.
     pub rejects_new: AtomicBool,
-    /// Whether the configuration in force is known.
+    /// Whether the configuration in force has been loaded.
     pub configured: AtomicBool,
-    /// Retries that may still be made.
+    /// Budget for retries at other targets.
     pub budget: Mutex<Budget>,
-    /// Limits of callers.
+    /// Rate limits by caller.
     pub buckets: Mutex<HashMap<String, TokenBucket>>,
-    /// Wakes the peers duty: there is news, or online load to tell.
+    /// Signals updates that wait to be sent to the peers.
     pub updates_ready: Notify,
 }
 
 impl Shared {
-    /// The snapshot that routing reads.
+    /// The current routing snapshot.
     pub fn view(&self) -> Arc<View> {
         self.view.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Makes a new snapshot after configuration or leaving targets changed.
+    /// Rebuilds the routing snapshot after the configuration or the leaving targets
+    /// changed.
     pub fn refresh(&self) {
-        // Held from before the first read: of two refreshes that overlap, the one
-        // that writes last must have read last.
+        // Locked before the first read: of two overlapping refreshes, the one that writes
+        // last must have read last.
         let mut view = self.view.write().unwrap_or_else(PoisonError::into_inner);
         let document = lock(&self.config_log).document().clone();
         let leaving = self.leaving();
@@ -118,12 +120,14 @@
         let mut leaving: HashSet<TargetId> =
             lock(&self.leaving_targets).all().into_iter().collect();
         let config_log = lock(&self.config_log);
-        let ordered = config_log.document().targets.values().filter(|target| target.leaving);
-        leaving.extend(ordered.map(|target| target.name.clone()));
+        let ordered_to_leave =
+            config_log.document().targets.values().filter(|target| target.leaving);
+        leaving.extend(ordered_to_leave.map(|target| target.name.clone()));
         leaving
     }
 
-    /// A source says that a target leaves or came back.
+    /// Records that `source` reports a target as leaving or available; returns whether the
+    /// target's state changed.
     pub fn record_leaving(&self, target: &str, source: Source, notice: Notice) -> bool {
         let changed = lock(&self.leaving_targets).record(target, source, notice);
         if changed {
@@ -135,7 +139,7 @@
         changed
     }
 
-    /// The same, and the peers are told.
+    /// Like [`Shared::record_leaving`], and broadcasts a change to the peers.
     pub fn report_leaving(&self, target: &str, source: Source, notice: Notice) {
         if self.record_leaving(target, source, notice) {
             let Notice { leaving, stamp } = notice;
@@ -145,27 +149,27 @@
         }
     }
 
-    /// Tells the peers.
+    /// Applies an update here and broadcasts it to the peers.
     pub fn broadcast(&self, update: Update) {
         self.on_update(&update);
         lock(&self.members).broadcast(update);
         self.updates_ready.notify_one();
     }
 
-    /// Tells the peers that a shard has work, unless there was such news just
-    /// before: whoever heard that asks every shard in turn. In a large fleet the
-    /// news would otherwise cost more than the asks that it saves.
+    /// Broadcasts that a shard has work, unless another announcement went out just before:
+    /// each one makes its receivers claim from every shard, so in a large fleet more of
+    /// them cost more than they save.
     pub fn announce_work(&self, shard: u32, at: u64) {
         let now = Instant::now();
         let members = lock(&self.members).workers().count() as u32;
-        if self.batch.since_work(now) >= MIN_ANNOUNCEMENT_INTERVAL_PER_MEMBER * members {
+        if self.batch.since_work(now) >= ANNOUNCEMENT_INTERVAL_PER_MEMBER * members {
             self.broadcast(Update::JobAccepted(shard, at));
         } else {
             self.batch.on_work(shard, at, now);
         }
     }
 
-    /// Acts on an update; `true` when it was news here.
+    /// Applies an update; returns whether it was new here.
     pub fn on_update(&self, update: &Update) -> bool {
         match update {
             Update::Member(member) => lock(&self.members).merge(member.clone(), Instant::now()),
@@ -175,8 +179,8 @@
             }
             Update::JobCancelled(job) => self.batch.on_cancelled(job),
             Update::JobAccepted(shard, at) => self.batch.on_work(*shard, *at, Instant::now()),
-            // The table passes it on by itself; the entries are fetched by the
-            // peers duty, which knows who sent it.
+            // The member table forwards the generation; the peers worker fetches the
+            // entries from the sender.
             Update::Generation(generation) => {
                 lock(&self.members).on_generation(*generation);
                 false
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Takes in a configuration entry from anywhere.
+    /// Applies a configuration entry from any source.
     pub fn apply_config_entry(&self, entry: ConfigEntry) -> EntryOrder {
         let generation = entry.generation;
         let order = lock(&self.config_log).apply(entry);
@@ -195,7 +199,7 @@
         order
     }
 
-    /// The configuration in force changed.
+    /// Publishes a change of the configuration in force.
     pub fn on_generation(&self, generation: Generation) {
         self.refresh();
         lock(&self.members).set_generation(generation);
@@ -203,15 +207,16 @@
         self.batch.wake();
     }
 
-    /// The member that owns `shard` in this instance's view.
+    /// The member that commits to `shard`, as this instance sees the members; `None`
+    /// without members.
     pub fn shard_owner(&self, shard: u32) -> Option<Member> {
         let members = lock(&self.members);
         let selected = hash::owner(&shard.to_le_bytes(), members.workers().map(|m| m.id))?;
         members.workers().find(|m| m.id == selected).cloned()
     }
 
-    /// The member that decides on batch and orders for `node`: one of those in
-    /// the target's data centre, or of all when it has none.
+    /// The member that admits batch work and sends orders to `node`: one of the target's
+    /// data centre, or of any when that has none.
     pub fn target_owner(&self, node: &Node) -> Option<Member> {
         let members = lock(&self.members);
         let here = |m: &&Member| m.data_centre == node.target.data_centre;
@@ -221,8 +226,8 @@
         members.workers().find(|m| m.id == selected).cloned()
     }
 
-    /// The targets that this instance decides for. Ranking every target against
-    /// every member is done only when one of them changed, not at each tick.
+    /// The targets that this instance owns. The ranking of targets and members is cached
+    /// until one of them changes.
     pub fn owned_targets(&self) -> Arc<Vec<Arc<Node>>> {
         let view = self.view();
         let version = lock(&self.members).version();
@@ -242,32 +247,32 @@
         let here = |m: &&Member| m.data_centre == self.settings.data_centre;
         let mut ranked: Vec<u64> = members.workers().filter(here).map(|m| m.id).collect();
         ranked.sort_by_key(|id| std::cmp::Reverse(hash::weight(b"watch", *id)));
-        ranked.iter().take(WATCHERS).any(|id| *id == self.id)
+        ranked.iter().take(WATCHERS_PER_DATA_CENTRE).any(|id| *id == self.id)
     }
 }
 
-/// Parts of [`Shared`] that the duties hand in.
+/// What [`Shared`] is built from.
 pub struct Parts {
-    /// Settings.
+    /// Settings of this instance.
     pub settings: Settings,
-    /// Logger.
+    /// Root logger.
     pub log: Logger,
-    /// The owner of the member table.
+    /// This instance's own entry in the member table.
     pub me: Member,
-    /// The platform.
+    /// Access to the platform's store.
     pub store: store::Handle,
-    /// The durable log.
+    /// Access to the shard committers.
     pub shards: shards::Handle,
-    /// Other daemons.
+    /// Access to the other instances.
     pub peers: peers::Handle,
-    /// Batch work.
+    /// Access to the batch worker.
     pub batch: batch::Handle,
-    /// Metrics and service levels.
+    /// Metrics and service-level counts.
     pub telemetry: Telemetry,
 }
 
 impl Parts {
-    /// Joins the parts.
+    /// Builds the shared state.
     pub fn join(self) -> Shared {
         let policy = coordination::membership::Policy {
             heartbeat_interval: self.settings.heartbeat_interval,
