--- a/crates/daemon/src/front/admin.rs
+++ b/crates/daemon/src/front/admin.rs
@@ -1,6 +1,6 @@
-//! Operators' calls: configuration, targets, instances, status.
+//! Operators' endpoints: configuration, targets, instances and status.
 
-use super::Front;
+use super::HttpHandler;
 use crate::clock;
 use crate::control;
 use crate::fleet::lock;
@@ -12,57 +12,57 @@
 use std::time::{Duration, Instant};
 use transport::http::{self, BodyStream, Response};
 
-const BODY_LIMIT: usize = 1 << 20;
-const BODY_WAIT: Duration = Duration::from_secs(10);
-const HISTORY: usize = 100;
+const MAX_BODY_BYTES: usize = 1 << 20;
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_HISTORY_ENTRIES: usize = 100;
 
-/// A change offered by an operator, with the revision it was made on.
+/// A configuration change, with the revision it is based on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Offer {
+struct ChangeRequest {
     revision: Generation,
     #[serde(default)]
     author: String,
     change: Change,
 }
 
-/// Accepts a change.
+/// Applies a configuration change.
 ///
 /// # Errors
 ///
-/// Why it isn't accepted.
-pub async fn apply<B: BodyStream>(front: &Front, mut body: B) -> Result<Response, Error> {
-    check_admin(front)?;
-    let body = http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await?;
-    let offer: Offer = serde_json::from_slice(&body)
+/// Why the change isn't accepted.
+pub async fn apply<B: BodyStream>(handler: &HttpHandler, mut body: B) -> Result<Response, Error> {
+    check_admin(handler)?;
+    let body = http::read_body(&mut body, MAX_BODY_BYTES, BODY_TIMEOUT).await?;
+    let request: ChangeRequest = serde_json::from_slice(&body)
         .map_err(|error| Error::new(Kind::Malformed, error.to_string()))?;
-    let Offer { revision, author, change } = offer;
-    let generation = control::apply(&front.shared, revision, author, change).await?;
+    let ChangeRequest { revision, author, change } = request;
+    let generation = control::apply(&handler.shared, revision, author, change).await?;
     Ok(http::json(200, &serde_json::json!({ "generation": generation })))
 }
 
-fn check_admin(front: &Front) -> Result<(), Error> {
-    if front.shared.settings.admin {
+fn check_admin(handler: &HttpHandler) -> Result<(), Error> {
+    if handler.shared.settings.admin {
         return Ok(());
     }
-    Err(Error::new(Kind::UnknownPath, "operators' calls are not served here"))
+    Err(Error::new(Kind::UnknownPath, "operators' endpoints are disabled on this instance"))
 }
 
-/// The configuration in force: the one that requests are routed by.
-pub fn config(front: &Front) -> Response {
-    http::json(200, front.shared.view().document.as_ref())
+/// Returns the configuration in force on this instance.
+pub fn config(handler: &HttpHandler) -> Response {
+    http::json(200, handler.shared.view().document.as_ref())
 }
 
-/// The latest accepted changes, newest first.
-pub fn history(front: &Front) -> Response {
-    let chain = lock(&front.shared.config_log);
-    let entries: Vec<&ConfigEntry> = chain.history().rev().take(HISTORY).collect();
+/// Returns the latest accepted changes, newest first.
+pub fn history(handler: &HttpHandler) -> Response {
+    let chain = lock(&handler.shared.config_log);
+    let entries: Vec<&ConfigEntry> = chain.history().rev().take(MAX_HISTORY_ENTRIES).collect();
     http::json(200, &entries)
 }
 
-/// Services as stock clients list models.
-pub fn models(front: &Front) -> Response {
-    let view = front.shared.view();
+/// Lists chat services in the format of the OpenAI models endpoint.
+pub fn models(handler: &HttpHandler) -> Response {
+    let view = handler.shared.view();
     let is_chat = |s: &&protocol::config::Service| s.protocol == protocol::config::Protocol::Chat;
     let services = view.document.services.values().filter(is_chat);
     let data: Vec<serde_json::Value> = services
@@ -71,9 +71,9 @@
     http::json(200, &serde_json::json!({ "object": "list", "data": data }))
 }
 
-/// A target as this instance sees it.
+/// Status of a target as known by this instance.
 #[derive(Serialize)]
-struct Seen<'a> {
+struct TargetView<'a> {
     name: &'a str,
     service: &'a str,
     data_centre: &'a str,
@@ -86,17 +86,17 @@
     version: Option<String>,
 }
 
-/// All targets as this instance sees them.
-pub fn targets(front: &Front) -> Response {
-    let view = front.shared.view();
+/// Lists all targets as known by this instance.
+pub fn targets(handler: &HttpHandler) -> Response {
+    let view = handler.shared.view();
     let now = Instant::now();
-    let seen: Vec<Seen<'_>> = view
+    let targets: Vec<TargetView<'_>> = view
         .nodes
         .values()
         .map(|node| {
             let version = node.version();
             let state = lock(&node.state);
-            Seen {
+            TargetView {
                 name: &node.target.name,
                 service: &node.target.service,
                 data_centre: &node.target.data_centre,
@@ -110,12 +110,12 @@
             }
         })
         .collect();
-    http::json(200, &seen)
+    http::json(200, &targets)
 }
 
-/// All instances as this one sees them, with the configuration in force there.
-pub fn instances(front: &Front) -> Response {
-    let table = lock(&front.shared.members);
+/// Lists all instances as known by this one, with their configuration generations.
+pub fn instances(handler: &HttpHandler) -> Response {
+    let table = lock(&handler.shared.members);
     let all = std::iter::once(table.me()).chain(table.others());
     let list: Vec<serde_json::Value> = all
         .map(|member| {
@@ -132,9 +132,9 @@
     http::json(200, &list)
 }
 
-/// Counts of this instance.
-pub fn status(front: &Front) -> Response {
-    let shared = &front.shared;
+/// Returns the state and counters of this instance.
+pub fn status(handler: &HttpHandler) -> Response {
+    let shared = &handler.shared;
     let counts = shared.store.counts();
     let view = shared.view();
     http::json(
@@ -155,26 +155,26 @@
     )
 }
 
-/// Burn of the service levels, as this instance counted it.
-pub fn burn(front: &Front) -> Response {
-    let view = front.shared.view();
+/// Returns the burn rates of the service levels, from this instance's counts.
+pub fn burn(handler: &HttpHandler) -> Response {
+    let view = handler.shared.view();
     let document: &Document = &view.document;
-    http::json(200, &front.shared.telemetry.burn(document, Instant::now()))
+    http::json(200, &handler.shared.telemetry.burn(document, Instant::now()))
 }
 
-/// An operator's order that a target gets no new work, or gets it again. It is
-/// passed between instances and so works while the platform is away; it lasts
-/// as long as the instances do, and the configuration's own field for good.
+/// Stops new work to a target, or allows it again. The notice is sent between
+/// instances, so it works while the platform is unavailable. It is lost when all
+/// instances restart; use the target's field in the configuration to persist it.
 ///
 /// # Errors
 ///
 /// `NotFound` when there is no such target.
-pub fn leave(front: &Front, name: &str, leaving: bool) -> Result<Response, Error> {
-    check_admin(front)?;
-    if !front.shared.view().nodes.contains_key(name) {
+pub fn leave(handler: &HttpHandler, name: &str, leaving: bool) -> Result<Response, Error> {
+    check_admin(handler)?;
+    if !handler.shared.view().nodes.contains_key(name) {
         return Err(Error::new(Kind::NotFound, format!("no target `{name}`")));
     }
-    let word = Notice { leaving, stamp: clock::millis() };
-    front.shared.report_leaving(name, Source::Operator, word);
+    let notice = Notice { leaving, stamp: clock::millis() };
+    handler.shared.report_leaving(name, Source::Operator, notice);
     Ok(http::json(200, &serde_json::json!({ "target": name, "leaving": leaving })))
 }
--- a/crates/daemon/src/front/chat.rs
+++ b/crates/daemon/src/front/chat.rs
@@ -1,9 +1,9 @@
 //! Chat completions.
 
-use super::answer::Answer;
-use super::call::Terms;
-use super::keyed::{self, Begun, Recorded};
-use super::{Front, Running};
+use super::completion_stream::CompletionStream;
+use super::keyed::{self, BeginOutcome, RecordStatus};
+use super::request_options::RequestOptions;
+use super::{HttpHandler, InFlightGuard};
 use crate::fleet::{self, Requirements};
 use bytes::Bytes;
 use coordination::route;
@@ -20,66 +20,66 @@
 use transport::http::{self, BodyStream, RequestHead, Response};
 use transport::target::StreamItem;
 
-/// Events that may wait for a slow caller.
-const PIECES: usize = 32;
+/// Events that are buffered for a slow caller.
+const EVENT_BUFFER: usize = 32;
 
-/// Answers a chat completion.
+/// Handles a chat completion request.
 ///
 /// # Errors
 ///
-/// The refusal or failure, when no part of the answer was given.
+/// Why there is no response. After the response has started, errors are sent as
+/// events.
 pub async fn call<B: BodyStream>(
-    front: &Front,
+    handler: &HttpHandler,
     head: &RequestHead,
     mut body: B,
-    running: Running,
+    in_flight: InFlightGuard,
 ) -> Result<Response, Error> {
     let arrived = Instant::now();
-    let settings = &front.shared.settings;
+    let settings = &handler.shared.settings;
     let body = http::read_body(&mut body, settings.max_body_bytes, settings.body_timeout).await?;
     let request: Request = serde_json::from_slice(&body)
         .map_err(|error| Error::new(Kind::Malformed, format!("body: {error}")))?;
     let (service, wanted) = parse_model(&request);
-    let deadline = check_service(front, &service, &wanted)?;
-    let terms = Terms::read(head, &service, &body, deadline, arrived)?;
-    let is_keyed = terms.key.is_some();
-    let serving = serve(front.clone(), terms, service, wanted, request, arrived, running);
-    // A keyed request goes on when its caller hangs up, also before the first
-    // token: its claim is settled, and its outcome is there for the resend. One
-    // without a key ends with its caller.
+    let deadline = check_service(handler, &service, &wanted)?;
+    let options = RequestOptions::read(head, &service, &body, deadline, arrived)?;
+    let is_keyed = options.key.is_some();
+    let response = serve(handler.clone(), options, service, wanted, request, arrived, in_flight);
+    // A keyed request continues when its caller disconnects, so that its claim is
+    // settled and its outcome recorded for a resend. Others are dropped.
     if !is_keyed {
-        return serving.await;
+        return response.await;
     }
-    let task = tokio::spawn(serving);
+    let task = tokio::spawn(response);
     task.await.unwrap_or_else(|error| Err(Error::new(Kind::Internal, error.to_string())))
 }
 
 async fn serve(
-    front: Front,
-    terms: Terms,
+    handler: HttpHandler,
+    options: RequestOptions,
     service: String,
     wanted: Requirements,
     request: Request,
     arrived: Instant,
-    running: Running,
+    in_flight: InFlightGuard,
 ) -> Result<Response, Error> {
     let stream = request.stream;
-    if let Some(key) = &terms.key
-        && let Begun::Kept(kept) = keyed::begin(&front.shared, &terms, key).await?
+    if let Some(key) = &options.key
+        && let BeginOutcome::Replay(stored) = keyed::begin(&handler.shared, &options, key).await?
     {
-        return replay(&terms, &service, stream, kept);
+        return replay(&options, &service, stream, stored);
     }
-    let answer = Answer::new(
-        front.shared.clone(),
-        front.client.clone(),
-        terms.clone(),
+    let completion = CompletionStream::new(
+        handler.shared.clone(),
+        handler.client.clone(),
+        options.clone(),
         wanted,
         service.clone(),
         request,
     );
-    let mut exchange = Exchange { front, terms, service, answer, arrived, running };
+    let mut exchange = Exchange { handler, options, service, completion, arrived, in_flight };
     let first = exchange.first().await?;
-    if stream { Ok(exchange.stream(first)) } else { exchange.whole(first).await }
+    if stream { Ok(exchange.stream(first)) } else { exchange.respond(first).await }
 }
 
 /// Splits `service@version+adapter`.
@@ -96,8 +96,12 @@
     (service.to_owned(), Requirements { version, adapter, prefix })
 }
 
-fn check_service(front: &Front, service: &str, wanted: &Requirements) -> Result<Duration, Error> {
-    let view = front.shared.view();
+fn check_service(
+    handler: &HttpHandler,
+    service: &str,
+    wanted: &Requirements,
+) -> Result<Duration, Error> {
+    let view = handler.shared.view();
     let bound = view.services.get(service);
     let bound = bound.filter(|bound| bound.service.protocol == Protocol::Chat);
     let Some(bound) = bound else {
@@ -110,142 +114,150 @@
     Ok(Duration::from_millis(bound.service.deadline_ms))
 }
 
-/// One exchange with a caller.
+/// A request of a caller and its completion.
 struct Exchange {
-    front: Front,
-    terms: Terms,
+    handler: HttpHandler,
+    options: RequestOptions,
     service: String,
-    answer: Answer,
+    completion: CompletionStream,
     arrived: Instant,
-    running: Running,
+    in_flight: InFlightGuard,
 }
 
 impl Exchange {
-    /// The first piece; after it the caller gets a part of the answer, before it
-    /// a plain error.
+    /// Waits for the first item. An error up to here is an error response; later
+    /// ones are sent within the stream.
     async fn first(&mut self) -> Result<StreamItem, Error> {
-        let first = self.answer.next().await;
-        self.note(first.is_ok());
+        let first = self.completion.next().await;
+        self.record_first_token(first.is_ok());
         match first {
-            Ok(piece) => Ok(piece),
-            Err(error) => Err(self.settle(error).await),
+            Ok(item) => Ok(item),
+            Err(error) => Err(self.settle_claim(error).await),
         }
     }
 
-    fn note(&self, is_good: bool) {
-        let took = self.arrived.elapsed();
-        let first = is_good.then_some(took);
-        let shared = &self.front.shared;
+    fn record_first_token(&self, is_success: bool) {
+        let elapsed = self.arrived.elapsed();
+        let first = is_success.then_some(elapsed);
+        let shared = &self.handler.shared;
         let document = shared.view().document.clone();
-        let class = self.terms.class.name();
+        let class = self.options.class.name();
         shared.telemetry.on_request(&document, &self.service, class, first, Instant::now());
-        shared.telemetry.time("front.first_token", took);
+        shared.telemetry.time("front.first_token", elapsed);
     }
 
-    /// What a failure means for the claim of a request that may run once: given
-    /// back when nothing was sent, the final outcome otherwise.
-    async fn settle(&self, error: Error) -> Error {
-        let guarded = !self.front.shared.settings.is_guard_disabled("refusal");
-        match &self.terms.key {
-            Some(key) if !self.terms.repeatable && guarded => {
-                if self.answer.was_sent() {
-                    return keyed::give_up(&self.front.shared, key, &error).await;
+    /// Settles the claim of a failed at-most-once request: releases it if nothing
+    /// was sent, otherwise records the failure as its outcome.
+    async fn settle_claim(&self, error: Error) -> Error {
+        let guarded = !self.handler.shared.settings.is_guard_disabled("refusal");
+        match &self.options.key {
+            Some(key) if !self.options.repeatable && guarded => {
+                if self.completion.was_sent() {
+                    return keyed::record_undetermined(&self.handler.shared, key, &error).await;
                 }
-                keyed::release(&self.front.shared, &self.terms, key);
+                keyed::release(&self.handler.shared, &self.options, key);
                 error
             }
             _ => error,
         }
     }
 
-    async fn whole(mut self, first: StreamItem) -> Result<Response, Error> {
-        let mut piece = first;
+    async fn respond(mut self, first: StreamItem) -> Result<Response, Error> {
+        let mut item = first;
         let finish = loop {
-            if let StreamItem::End(finish) = piece {
+            if let StreamItem::End(finish) = item {
                 break finish;
             }
-            piece = match self.answer.next().await {
-                Ok(piece) => piece,
-                Err(error) => return Err(self.settle(error).await),
+            item = match self.completion.next().await {
+                Ok(item) => item,
+                Err(error) => return Err(self.settle_claim(error).await),
             };
         };
         let outcome = self.outcome(finish);
         let recorded = self.record(&outcome).await?;
-        if let Some(Recorded::Earlier(kept)) = recorded {
-            return replay(&self.terms, &self.service, false, *kept);
+        if let Some(RecordStatus::Superseded(stored)) = recorded {
+            return replay(&self.options, &self.service, false, *stored);
         }
-        let mut response = http::json(200, &completion(&self.terms, &self.service, &outcome));
+        let mut response =
+            http::json(200, &completion_body(&self.options, &self.service, &outcome));
         set_recorded(&mut response, recorded.as_ref());
-        http::set_header(&mut response, header::TARGET, self.answer.target());
+        http::set_header(&mut response, header::TARGET, self.completion.target());
         Ok(response)
     }
 
     fn outcome(&self, finish: String) -> Outcome {
-        Outcome { text: self.answer.text().to_owned(), finish, tokens: self.answer.tokens() }
+        Outcome {
+            text: self.completion.text().to_owned(),
+            finish,
+            tokens: self.completion.tokens(),
+        }
     }
 
-    async fn record(&self, outcome: &Outcome) -> Result<Option<Recorded>, Error> {
-        match &self.terms.key {
+    async fn record(&self, outcome: &Outcome) -> Result<Option<RecordStatus>, Error> {
+        match &self.options.key {
             None => Ok(None),
             Some(key) => {
-                let kept = StoredOutcome::Chat(outcome.clone());
-                keyed::finish(&self.front.shared, key, kept).await.map(Some)
+                let stored = StoredOutcome::Chat(outcome.clone());
+                keyed::finish(&self.handler.shared, key, stored).await.map(Some)
             }
         }
     }
 
     fn stream(self, first: StreamItem) -> Response {
-        let (pieces, receiver) = mpsc::channel(PIECES);
-        let target = self.answer.target().to_owned();
-        tokio::spawn(self.feed(first, pieces));
-        let mut response = http::stream(200, "text/event-stream", receiver);
+        let (tx, rx) = mpsc::channel(EVENT_BUFFER);
+        let target = self.completion.target().to_owned();
+        tokio::spawn(self.send_events(first, tx));
+        let mut response = http::stream(200, "text/event-stream", rx);
         http::set_header(&mut response, header::TARGET, &target);
         response
     }
 
-    /// Sends events until the answer is whole. The closing event follows the
-    /// durable outcome: what a caller saw end is what a resend reads back.
-    async fn feed(mut self, first: StreamItem, pieces: mpsc::Sender<Result<Bytes, String>>) {
-        let events = Events { pieces, id: id(&self.terms), service: self.service.clone() };
-        let mut piece = first;
+    /// Sends events until the completion ends. The closing event is sent after the
+    /// outcome is recorded, so that a resend returns the same completion.
+    async fn send_events(mut self, first: StreamItem, tx: mpsc::Sender<Result<Bytes, String>>) {
+        let events = EventWriter { tx, id: id(&self.options), service: self.service.clone() };
+        let mut item = first;
         events.send(Delta { role: Some("assistant".into()), content: None }, None).await;
         let finish = loop {
-            match piece {
+            match item {
                 StreamItem::End(finish) => break finish,
                 StreamItem::Token(text) => {
-                    let heard = events.send(Delta { role: None, content: Some(text) }, None).await;
-                    if !heard && self.terms.key.is_none() {
+                    let is_connected =
+                        events.send(Delta { role: None, content: Some(text) }, None).await;
+                    if !is_connected && self.options.key.is_none() {
                         return;
                     }
                 }
             }
-            piece = match self.answer.next().await {
-                Ok(piece) => piece,
-                Err(error) => return events.fail(&self.settle(error).await).await,
+            item = match self.completion.next().await {
+                Ok(item) => item,
+                Err(error) => return events.fail(&self.settle_claim(error).await).await,
             };
         };
         let outcome = self.outcome(finish.clone());
         match self.record(&outcome).await {
             Err(error) => events.fail(&error).await,
-            Ok(Some(Recorded::Earlier(kept))) if *kept != StoredOutcome::Chat(outcome) => {
-                let text = "another answer with this key was recorded first; ask again";
+            Ok(Some(RecordStatus::Superseded(stored)))
+                if *stored != StoredOutcome::Chat(outcome) =>
+            {
+                let text = "another completion with this key was recorded first; retry the request";
                 events.fail(&Error::new(Kind::InProgress, text)).await;
             }
             Ok(_) => events.end(&finish).await,
         }
-        drop(self.running);
+        drop(self.in_flight);
     }
 }
 
-/// Writes events to a caller.
-struct Events {
-    pieces: mpsc::Sender<Result<Bytes, String>>,
+/// Writes server-sent events to a caller.
+struct EventWriter {
+    tx: mpsc::Sender<Result<Bytes, String>>,
     id: String,
     service: String,
 }
 
-impl Events {
-    /// Sends one event; `false` when the caller is gone.
+impl EventWriter {
+    /// Sends one event; returns `false` if the caller disconnected.
     async fn send(&self, delta: Delta, finish_reason: Option<String>) -> bool {
         let chunk = Chunk {
             id: self.id.clone(),
@@ -259,28 +271,28 @@
 
     async fn end(&self, finish: &str) {
         self.send(Delta::default(), Some(finish.to_owned())).await;
-        drop(self.pieces.send(Ok(Bytes::from(format!("data: {DONE}\n\n")))).await);
+        drop(self.tx.send(Ok(Bytes::from(format!("data: {DONE}\n\n")))).await);
     }
 
-    /// Fails openly: an error event and no closing event, so that no client
-    /// takes the part for the whole.
+    /// Sends an error event and no closing event, so that no client takes the
+    /// partial completion for a complete one.
     async fn fail(&self, error: &Error) {
         self.write(&Body::from(error)).await;
     }
 
     async fn write<T: Serialize>(&self, value: &T) -> bool {
         let data = serde_json::to_string(value).unwrap_or_default();
-        self.pieces.send(Ok(Bytes::from(format!("data: {data}\n\n")))).await.is_ok()
+        self.tx.send(Ok(Bytes::from(format!("data: {data}\n\n")))).await.is_ok()
     }
 }
 
-fn id(terms: &Terms) -> String {
-    format!("chatcmpl-{:016x}", terms.id)
+fn id(options: &RequestOptions) -> String {
+    format!("chatcmpl-{:016x}", options.id)
 }
 
-fn completion(terms: &Terms, service: &str, outcome: &Outcome) -> Completion {
+fn completion_body(options: &RequestOptions, service: &str, outcome: &Outcome) -> Completion {
     Completion {
-        id: id(terms),
+        id: id(options),
         object: "chat.completion".into(),
         created: crate::clock::millis() / 1000,
         model: service.to_owned(),
@@ -297,23 +309,23 @@
     }
 }
 
-fn set_recorded(response: &mut Response, recorded: Option<&Recorded>) {
+fn set_recorded(response: &mut Response, recorded: Option<&RecordStatus>) {
     let value = match recorded {
         None => return,
-        Some(Recorded::Later) => "later",
-        Some(Recorded::Now | Recorded::Earlier(_)) => "now",
+        Some(RecordStatus::Pending) => "later",
+        Some(RecordStatus::Durable | RecordStatus::Superseded(_)) => "now",
     };
     http::set_header(response, header::RECORDED, value);
 }
 
-/// Gives a kept outcome again, in the form the caller asked for.
+/// Returns a stored outcome, streamed if the caller asked for a stream.
 fn replay(
-    terms: &Terms,
+    options: &RequestOptions,
     service: &str,
     stream: bool,
-    kept: StoredOutcome,
+    stored: StoredOutcome,
 ) -> Result<Response, Error> {
-    let outcome = match kept {
+    let outcome = match stored {
         StoredOutcome::Chat(outcome) => outcome,
         StoredOutcome::Failed(error) => return Err(error),
         StoredOutcome::Plain { .. } => {
@@ -321,22 +333,22 @@
         }
     };
     let mut response = if stream {
-        replay_stream(terms, service, outcome)
+        replay_stream(options, service, outcome)
     } else {
-        http::json(200, &completion(terms, service, &outcome))
+        http::json(200, &completion_body(options, service, &outcome))
     };
     http::set_header(&mut response, header::RECORDED, "now");
     http::set_header(&mut response, header::REPLAYED, "true");
     Ok(response)
 }
 
-fn replay_stream(terms: &Terms, service: &str, outcome: Outcome) -> Response {
-    let (pieces, receiver) = mpsc::channel(PIECES);
-    let events = Events { pieces, id: id(terms), service: service.to_owned() };
+fn replay_stream(options: &RequestOptions, service: &str, outcome: Outcome) -> Response {
+    let (tx, rx) = mpsc::channel(EVENT_BUFFER);
+    let events = EventWriter { tx, id: id(options), service: service.to_owned() };
     tokio::spawn(async move {
         let delta = Delta { role: Some("assistant".into()), content: Some(outcome.text) };
         events.send(delta, None).await;
         events.end(&outcome.finish).await;
     });
-    http::stream(200, "text/event-stream", receiver)
+    http::stream(200, "text/event-stream", rx)
 }
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -1,6 +1,6 @@
-//! Batch jobs: acceptance, status, results, cancel.
+//! Batch jobs: submission, status, results and cancellation.
 
-use super::Front;
+use super::HttpHandler;
 use crate::clock;
 use crate::retry_queue::is_transient;
 use crate::shared::Shared;
@@ -18,27 +18,24 @@
 use transport::http::{self, BodyStream, LineReader, RequestHead, Response};
 use xxhash_rust::xxh3::{Xxh3Default, xxh3_128};
 
-/// Most items of a job.
-const MOST_ITEMS: u64 = 300_000;
-/// Most bytes of one line of a job's body.
-const LONGEST_LINE: usize = 256 * 1024;
-/// Tries of one chunk's write.
-const WRITE_TRIES: u32 = 3;
-/// Items in a page when the caller doesn't say, and at most.
-const PAGE: u64 = 1000;
+const MAX_ITEMS: u64 = 300_000;
+const MAX_LINE_BYTES: usize = 256 * 1024;
+const MAX_WRITE_ATTEMPTS: u32 = 3;
+/// Default and maximum number of items in a page of results.
+const MAX_PAGE_ITEMS: u64 = 1000;
 
-/// Accepts a job: chunks first, the record that names them last, so that a job
-/// of which only a part came was never accepted.
+/// Accepts a job. The chunks are written before the record that names them, so
+/// that a partial upload is never accepted.
 ///
 /// # Errors
 ///
-/// The refusal; the job is then not accepted, unless it says `undetermined`.
+/// Why the job was not accepted; with `Undetermined` it may have been.
 pub async fn submit<B: BodyStream>(
-    front: &Front,
+    handler: &HttpHandler,
     head: &RequestHead,
     body: B,
 ) -> Result<Response, Error> {
-    let shared = &front.shared;
+    let shared = &handler.shared;
     let key = head.header(header::IDEMPOTENCY_KEY);
     if key.is_empty() {
         let text = format!("header `{}`: a job needs a key", header::IDEMPOTENCY_KEY);
@@ -52,18 +49,18 @@
     {
         return Err(error.clone());
     }
-    let lines = LineReader::new(body, LONGEST_LINE, shared.settings.body_timeout);
+    let lines = LineReader::new(body, MAX_LINE_BYTES, shared.settings.body_timeout);
     let mut upload = Upload::new(shared.clone(), job.clone(), known.is_ok());
     let spec = upload.read(lines).await?;
     match shared.shards.submit(shared, Command::Accept(spec.clone())).await {
         Ok(Reply::Status(status)) => Ok(http::json(200, &status)),
         Ok(_) => {
-            upload.keep = true;
+            upload.is_referenced = true;
             slog::info!(shared.log, "job accepted"; "job" => &job, "items" => spec.items);
             Ok(http::json(201, &accepted(&spec)))
         }
         Err(error) => {
-            upload.keep = error.kind == Kind::Undetermined;
+            upload.is_referenced = error.kind == Kind::Undetermined;
             Err(error)
         }
     }
@@ -82,35 +79,36 @@
     }
 }
 
-/// A job's body on its way into chunk objects.
+/// Writes the body of a job to chunk objects.
 struct Upload {
     shared: Arc<Shared>,
     job: JobId,
+    /// Upload id, part of the chunks' object keys.
     name: String,
-    known: bool,
+    is_duplicate: bool,
     digest: Xxh3Default,
     chunk: ChunkItems,
     bytes: usize,
     items: u64,
     starts: Vec<u64>,
-    /// Whether an accepted job names, or may name, what was written.
-    keep: bool,
+    /// Whether an accepted job refers, or may refer, to the written chunks.
+    is_referenced: bool,
 }
 
 impl Upload {
-    /// For a job that is `known` nothing is written; its digest is enough.
-    fn new(shared: Arc<Shared>, job: JobId, known: bool) -> Upload {
+    /// A duplicate of an accepted job is only hashed, not written.
+    fn new(shared: Arc<Shared>, job: JobId, is_duplicate: bool) -> Upload {
         Upload {
             shared,
             job,
-            known,
+            is_duplicate,
             name: format!("{:013}-{:016x}", clock::millis(), rand::random::<u64>()),
             digest: Xxh3Default::new(),
             chunk: ChunkItems::default(),
             bytes: 0,
             items: 0,
             starts: Vec::new(),
-            keep: false,
+            is_referenced: false,
         }
     }
 
@@ -150,14 +148,14 @@
     }
 
     async fn add(&mut self, item: Item, line: &[u8]) -> Result<(), Error> {
-        if self.items >= MOST_ITEMS {
-            let text = format!("a job has at most {MOST_ITEMS} items");
+        if self.items >= MAX_ITEMS {
+            let text = format!("a job has at most {MAX_ITEMS} items");
             return Err(Error::new(Kind::TooLarge, text));
         }
         self.digest.update(b"\n");
         self.digest.update(line);
-        let over = self.bytes + line.len() > object_key::MAX_VALUE_BYTES / 2;
-        if over || self.chunk.items.len() >= self.shared.settings.max_chunk_items {
+        let is_full = self.bytes + line.len() > object_key::MAX_VALUE_BYTES / 2;
+        if is_full || self.chunk.items.len() >= self.shared.settings.max_chunk_items {
             self.flush().await?;
         }
         if self.chunk.items.is_empty() {
@@ -172,29 +170,29 @@
     async fn flush(&mut self) -> Result<(), Error> {
         let chunk = std::mem::take(&mut self.chunk);
         self.bytes = 0;
-        if chunk.items.is_empty() || self.known {
+        if chunk.items.is_empty() || self.is_duplicate {
             return Ok(());
         }
         let number = self.starts.len() as u32 - 1;
         let key = object_key::chunk(&self.job, &self.name, number);
         let bytes = Bytes::from(serde_json::to_vec(&chunk).unwrap_or_default());
-        let mut last = None;
-        for _ in 0..WRITE_TRIES {
+        let mut last_error = None;
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             match self.shared.store.put(&key, bytes.clone(), Condition::Any).await {
                 Ok(_) => return Ok(()),
-                Err(fault) => last = Some(fault.to_string()),
+                Err(error) => last_error = Some(error.to_string()),
             }
         }
-        let text = format!("the job is not accepted: {}", last.unwrap_or_default());
+        let text = format!("the job is not accepted: {}", last_error.unwrap_or_default());
         Err(Error::new(Kind::PlatformUnavailable, text))
     }
 }
 
-/// An upload that ends without an accepted job, also because its caller hung up,
-/// takes what it wrote with it.
+/// Deletes the chunks of an upload that wasn't accepted, also when its caller
+/// disconnected.
 impl Drop for Upload {
     fn drop(&mut self) {
-        if self.known || self.keep || self.starts.is_empty() {
+        if self.is_duplicate || self.is_referenced || self.starts.is_empty() {
             return;
         }
         let (shared, job, name) = (self.shared.clone(), self.job.clone(), self.name.clone());
@@ -212,27 +210,27 @@
         .map_err(|error| Error::new(Kind::Malformed, format!("line {number}: {error}")))
 }
 
-/// Where a job stands.
+/// Returns the status of a job.
 ///
 /// # Errors
 ///
 /// `NotFound`, or why the log can't be read.
-pub async fn status(front: &Front, job: &str) -> Result<Response, Error> {
+pub async fn status(handler: &HttpHandler, job: &str) -> Result<Response, Error> {
     let command = Command::Status { job: job.into() };
-    match front.shared.shards.submit(&front.shared, command).await? {
+    match handler.shared.shards.submit(&handler.shared, command).await? {
         Reply::Status(status) => Ok(http::json(200, &status)),
-        _ => Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit")),
+        _ => Err(Error::new(Kind::Internal, "unexpected reply from the log")),
     }
 }
 
-/// Stops a job: here and at the peers at once, in the log as soon as it can be
-/// reached.
+/// Cancels a job: on this instance and its peers at once, in the log as soon as
+/// it is reachable.
 ///
 /// # Errors
 ///
-/// `NotFound`; `NotRecorded` while the platform is away.
-pub async fn cancel(front: &Front, job: &str) -> Result<Response, Error> {
-    let shared = &front.shared;
+/// `NotFound`; `NotRecorded` while the platform is unavailable.
+pub async fn cancel(handler: &HttpHandler, job: &str) -> Result<Response, Error> {
+    let shared = &handler.shared;
     let command = Command::Cancel { job: job.into() };
     match shared.shards.submit(shared, command.clone()).await {
         Ok(Reply::Status(status)) => {
@@ -241,69 +239,76 @@
             }
             Ok(http::json(200, &status))
         }
-        Ok(_) => Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit")),
+        Ok(_) => Err(Error::new(Kind::Internal, "unexpected reply from the log")),
         Err(error) if is_transient(error.kind) => {
             shared.broadcast(Update::JobCancelled(job.into()));
             shared.retry_queue.push(command);
-            let text = "the job is stopped, but its cancel isn't recorded yet";
+            let text = "the job was stopped, but its cancellation isn't recorded yet";
             Err(Error { kind: Kind::NotRecorded, message: text.into(), ..error })
         }
         Err(error) => Err(error),
     }
 }
 
-/// A page of results.
+/// Returns a page of results.
 ///
 /// # Errors
 ///
 /// `NotFound`, `Malformed`, or why the platform can't be read.
-pub async fn results(front: &Front, head: &RequestHead, job: &str) -> Result<Response, Error> {
-    let shared = &front.shared;
+pub async fn results(
+    handler: &HttpHandler,
+    head: &RequestHead,
+    job: &str,
+) -> Result<Response, Error> {
+    let shared = &handler.shared;
     let from = number(head, "from")?.unwrap_or(0);
-    let most = number(head, "limit")?.unwrap_or(PAGE).clamp(1, PAGE);
-    let command = Command::Results { job: job.into(), from, limit: most };
+    let limit = number(head, "limit")?.unwrap_or(MAX_PAGE_ITEMS).clamp(1, MAX_PAGE_ITEMS);
+    let command = Command::Results { job: job.into(), from, limit };
     let reply = shared.shards.submit(shared, command).await?;
     let Reply::Results { status, mut chunks, archived } = reply else {
-        return Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit"));
+        return Err(Error::new(Kind::Internal, "unexpected reply from the log"));
     };
     if archived {
         let index: Vec<ChunkResults> = read(shared, &object_key::index(&status.job)).await?;
-        chunks = index.into_iter().filter(|p| p.start < from + most && p.end > from).collect();
+        chunks = index.into_iter().filter(|c| c.start < from + limit && c.end > from).collect();
     }
     let mut lines = Vec::new();
-    for place in &chunks {
-        lines.extend(lines_of(shared, &status, place).await?);
+    for chunk in &chunks {
+        lines.extend(chunk_lines(shared, &status, chunk).await?);
     }
-    let until = from.saturating_add(most);
-    lines.retain(|line| line.item >= from && line.item < until);
-    let next = Some(until).filter(|next| *next < status.items);
+    let end = from.saturating_add(limit);
+    lines.retain(|line| line.item >= from && line.item < end);
+    let next = Some(end).filter(|next| *next < status.items);
     Ok(http::json(200, &ResultPage { results: lines, next }))
 }
 
-async fn lines_of(
+async fn chunk_lines(
     shared: &Shared,
     status: &Status,
-    place: &ChunkResults,
+    chunk: &ChunkResults,
 ) -> Result<Vec<ResultLine>, Error> {
     let mut progress = ChunkProgress::default();
-    for part in &place.parts {
-        let key = object_key::result_part(&status.job, place.chunk, part.attempt, part.part);
+    for part in &chunk.parts {
+        let key = object_key::result_part(&status.job, chunk.chunk, part.attempt, part.part);
         progress.apply(read::<ResultPart>(shared, &key).await?);
     }
-    let items = place.start..place.end;
+    let items = chunk.start..chunk.end;
     let outcome = |item: u64| {
-        let found = progress.outcomes.get(&((item - place.start) as u32)).cloned();
-        let ended = status.phase == Phase::Cancelled;
-        found.or(ended.then_some(Outcome::Cancelled)).map(|outcome| ResultLine { item, outcome })
+        let found = progress.outcomes.get(&((item - chunk.start) as u32)).cloned();
+        let is_cancelled = status.phase == Phase::Cancelled;
+        found
+            .or(is_cancelled.then_some(Outcome::Cancelled))
+            .map(|outcome| ResultLine { item, outcome })
     };
     Ok(items.filter_map(outcome).collect())
 }
 
 async fn read<T: serde::de::DeserializeOwned>(shared: &Shared, key: &str) -> Result<T, Error> {
-    let away = |text: String| Error::new(Kind::PlatformUnavailable, format!("`{key}`: {text}"));
-    let found = shared.store.get(key).await.map_err(|fault| away(fault.to_string()))?;
-    let found = found.ok_or_else(|| away("missing".into()))?;
-    serde_json::from_slice(&found.bytes).map_err(|error| away(error.to_string()))
+    let unavailable =
+        |text: String| Error::new(Kind::PlatformUnavailable, format!("`{key}`: {text}"));
+    let found = shared.store.get(key).await.map_err(|error| unavailable(error.to_string()))?;
+    let found = found.ok_or_else(|| unavailable("missing".into()))?;
+    serde_json::from_slice(&found.bytes).map_err(|error| unavailable(error.to_string()))
 }
 
 fn number(head: &RequestHead, name: &str) -> Result<Option<u64>, Error> {
--- a/crates/daemon/src/front/keyed.rs
+++ b/crates/daemon/src/front/keyed.rs
@@ -1,6 +1,7 @@
-//! Keyed requests: what is asked of the log before a run and told to it after.
+//! Requests with an idempotency key: claims them in the log before they are sent
+//! and records their outcomes.
 
-use super::call::{Key, Terms};
+use super::request_options::{IdempotencyKey, RequestOptions};
 use crate::clock;
 use crate::retry_queue::is_transient;
 use crate::shared::Shared;
@@ -10,57 +11,61 @@
 use state::record::{Entry, Record, StoredOutcome};
 use std::time::Instant;
 
-/// Margin after the caller's deadline in which an answer may still be recorded.
+/// How long after the caller's deadline an outcome may still be recorded.
 const CLAIM_MARGIN_MS: Millis = 2000;
 
-/// Whether to run a request.
-pub enum Begun {
-    /// Run it.
+/// Whether a request needs to run.
+pub enum BeginOutcome {
+    /// It has no recorded outcome.
     Run,
-    /// It has this outcome.
-    Kept(StoredOutcome),
+    /// It has already finished with this outcome.
+    Replay(StoredOutcome),
 }
 
-/// Whether an outcome is in the log.
+/// Whether an outcome was written to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Recorded {
-    /// It is.
-    Now,
-    /// It will be; the platform is away.
-    Later,
-    /// Another one was recorded first, and counts.
-    Earlier(Box<StoredOutcome>),
+pub enum RecordStatus {
+    /// It is in the log.
+    Durable,
+    /// It will be written when the platform is available again.
+    Pending,
+    /// Another outcome was recorded first and is the valid one.
+    Superseded(Box<StoredOutcome>),
 }
 
-/// Asks the log whether a keyed request may run.
+/// Claims a keyed request in the log.
 ///
-/// A repeatable one runs also while the log can't be reached; one that may run
-/// once needs its claim to be durable before anything is sent.
+/// A repeatable request may run while the log is unreachable; one that may run
+/// at most once needs a durable claim before it is sent.
 ///
 /// # Errors
 ///
-/// The refusal, which is true: nothing was sent for this call.
-pub async fn begin(shared: &Shared, terms: &Terms, key: &Key) -> Result<Begun, Error> {
-    let left = terms.left(Instant::now()).as_millis() as Millis;
+/// Why the request may not run. Nothing was sent for this call.
+pub async fn begin(
+    shared: &Shared,
+    options: &RequestOptions,
+    key: &IdempotencyKey,
+) -> Result<BeginOutcome, Error> {
+    let remaining = options.remaining(Instant::now()).as_millis() as Millis;
     let command = Command::Begin {
         key: key.scoped.clone(),
         digest: key.digest,
-        repeatable: terms.repeatable,
-        attempt: terms.id,
-        deadline: clock::millis() + left + CLAIM_MARGIN_MS,
+        repeatable: options.repeatable,
+        attempt: options.id,
+        deadline: clock::millis() + remaining + CLAIM_MARGIN_MS,
         issued: key.issued,
     };
     match shared.shards.submit(shared, command).await {
-        Ok(Reply::Proceed) => Ok(Begun::Run),
+        Ok(Reply::Proceed) => Ok(BeginOutcome::Run),
         Ok(Reply::AlreadyFinished { position }) => {
-            kept(shared, key, position).await.map(Begun::Kept)
+            read_outcome(shared, key, position).await.map(BeginOutcome::Replay)
         }
-        Ok(_) => Err(Error::new(Kind::Internal, "the log gave an answer that doesn't fit")),
-        Err(error) if is_transient(error.kind) && terms.repeatable => Ok(Begun::Run),
+        Ok(_) => Err(Error::new(Kind::Internal, "unexpected reply from the log")),
+        Err(error) if is_transient(error.kind) && options.repeatable => Ok(BeginOutcome::Run),
         Err(error) if error.kind == Kind::Undetermined => {
-            // The claim may be durable; nothing will be sent under it, so it is
-            // given back, and the caller is told the truth: it was not run.
-            release(shared, terms, key);
+            // The claim may be durable, but nothing will be sent under it:
+            // release it and report that the request did not run.
+            release(shared, options, key);
             let text = "the claim could not be recorded";
             let error = Error { kind: Kind::PlatformUnavailable, message: text.into(), ..error };
             Err(error)
@@ -69,19 +74,23 @@
     }
 }
 
-/// Gives back the claim of a request that was never sent.
-pub fn release(shared: &Shared, terms: &Terms, key: &Key) {
-    let (attempt, issued) = (terms.id, key.issued);
+/// Releases the claim of a request that was never sent.
+pub fn release(shared: &Shared, options: &RequestOptions, key: &IdempotencyKey) {
+    let (attempt, issued) = (options.id, key.issued);
     let command = Command::Release { key: key.scoped.clone(), attempt, issued };
     shared.retry_queue.push(command);
 }
 
-/// Records an outcome.
+/// Records the outcome of a request.
 ///
 /// # Errors
 ///
 /// `KeyConflict` when the key was used for another request meanwhile.
-pub async fn finish(shared: &Shared, key: &Key, outcome: StoredOutcome) -> Result<Recorded, Error> {
+pub async fn finish(
+    shared: &Shared,
+    key: &IdempotencyKey,
+    outcome: StoredOutcome,
+) -> Result<RecordStatus, Error> {
     let command = Command::Finish {
         key: key.scoped.clone(),
         digest: key.digest,
@@ -89,28 +98,28 @@
         outcome,
     };
     if shared.settings.is_guard_disabled("durable") {
-        // Measurement only: the answer doesn't wait for its record.
+        // Measurements only: the response doesn't wait for its record.
         shared.retry_queue.push(command);
-        return Ok(Recorded::Now);
+        return Ok(RecordStatus::Durable);
     }
     match shared.shards.submit(shared, command.clone()).await {
-        Ok(Reply::Duplicate { position }) => match kept(shared, key, position).await {
-            Ok(earlier) => Ok(Recorded::Earlier(Box::new(earlier))),
-            Err(_) => Ok(Recorded::Now),
+        Ok(Reply::Duplicate { position }) => match read_outcome(shared, key, position).await {
+            Ok(outcome) => Ok(RecordStatus::Superseded(Box::new(outcome))),
+            Err(_) => Ok(RecordStatus::Durable),
         },
-        Ok(_) => Ok(Recorded::Now),
+        Ok(_) => Ok(RecordStatus::Durable),
         Err(error) if is_transient(error.kind) => {
             shared.retry_queue.push(command);
-            Ok(Recorded::Later)
+            Ok(RecordStatus::Pending)
         }
         Err(error) => Err(error),
     }
 }
 
-/// A request that may run once was sent and there is no whole answer: that is
-/// its outcome. Recorded, every resend is told so at once, rather than being
-/// asked to come back until the claim's deadline.
-pub async fn give_up(shared: &Shared, key: &Key, error: &Error) -> Error {
+/// Records `MayHaveRun` as the outcome of an at-most-once request that was sent
+/// but has no complete response, so that resends needn't wait until the claim's
+/// deadline.
+pub async fn record_undetermined(shared: &Shared, key: &IdempotencyKey, error: &Error) -> Error {
     let error = Error::new(Kind::MayHaveRun, error.message.clone());
     match finish(shared, key, StoredOutcome::Failed(error.clone())).await {
         Ok(_) => error,
@@ -118,16 +127,20 @@
     }
 }
 
-/// Reads a kept outcome from the entry that holds it.
-async fn kept(shared: &Shared, key: &Key, position: u64) -> Result<StoredOutcome, Error> {
+/// Reads a recorded outcome from its log entry.
+async fn read_outcome(
+    shared: &Shared,
+    key: &IdempotencyKey,
+    position: u64,
+) -> Result<StoredOutcome, Error> {
     let name = object_key::entry(shared.shards.shard_of(&key.scoped), position);
-    let away = |text: String| Error::new(Kind::PlatformUnavailable, text);
-    let found = shared.store.get(&name).await.map_err(|fault| away(fault.to_string()))?;
-    let found = found.ok_or_else(|| away(format!("`{name}` is missing")))?;
-    let entry = Entry::decode(&found.bytes).map_err(|error| away(error.to_string()))?;
-    let of_key = entry.records.into_iter().find_map(|record| match record {
-        Record::Finished { key: of, outcome, .. } if of == key.scoped => Some(outcome),
+    let unavailable = |text: String| Error::new(Kind::PlatformUnavailable, text);
+    let found = shared.store.get(&name).await.map_err(|error| unavailable(error.to_string()))?;
+    let found = found.ok_or_else(|| unavailable(format!("`{name}` is missing")))?;
+    let entry = Entry::decode(&found.bytes).map_err(|error| unavailable(error.to_string()))?;
+    let outcome = entry.records.into_iter().find_map(|record| match record {
+        Record::Finished { key: name, outcome, .. } if name == key.scoped => Some(outcome),
         _ => None,
     });
-    of_key.ok_or_else(|| away(format!("`{name}` holds no outcome of the key")))
+    outcome.ok_or_else(|| unavailable(format!("`{name}` holds no outcome of the key")))
 }
--- a/crates/daemon/src/front/plain.rs
+++ b/crates/daemon/src/front/plain.rs
@@ -1,8 +1,8 @@
-//! Calls of plain services that stand beside the engines.
+//! Forwards HTTP calls to services that aren't inference engines.
 
-use super::Front;
-use super::call::{Key, Terms};
-use super::keyed::{self, Begun, Recorded};
+use super::HttpHandler;
+use super::keyed::{self, BeginOutcome, RecordStatus};
+use super::request_options::{IdempotencyKey, RequestOptions};
 use crate::fleet::{self, Requirements, TargetGuard};
 use bytes::Bytes;
 use coordination::retry::{self, Failure};
@@ -13,22 +13,22 @@
 use transport::http::{self, BodyStream, RequestHead, Response};
 use transport::target::{AttemptError, AttemptMeta, PlainCall};
 
-const MOST_TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Routes a call to a plain service.
+/// Forwards a call to a target of the service that its path belongs to.
 ///
 /// # Errors
 ///
-/// The refusal or failure.
+/// Why there is no response.
 pub async fn call<B: BodyStream>(
-    front: &Front,
+    handler: &HttpHandler,
     head: &RequestHead,
     mut body: B,
 ) -> Result<Response, Error> {
-    let settings = &front.shared.settings;
+    let settings = &handler.shared.settings;
     let body = http::read_body(&mut body, settings.max_body_bytes, settings.body_timeout).await?;
     let (service, repeatable, deadline) = {
-        let view = front.shared.view();
+        let view = handler.shared.view();
         let bound = view.plain_service(&head.path);
         let bound = bound.ok_or_else(|| Error::new(Kind::UnknownPath, head.path.clone()))?;
         let method = head.method.as_str();
@@ -37,74 +37,77 @@
         (bound.service.name.clone(), repeatable, deadline)
     };
     let scope = format!("{service} {} {}", head.method, head.path);
-    let mut terms = Terms::read(head, &scope, &body, deadline, Instant::now())?;
-    terms.repeatable &= repeatable;
-    let Some(key) = terms.key.clone() else {
-        return run(front, head, &service, &terms, body).await;
+    let mut options = RequestOptions::read(head, &scope, &body, deadline, Instant::now())?;
+    options.repeatable &= repeatable;
+    let Some(key) = options.key.clone() else {
+        return run(handler, head, &service, &options, body).await;
     };
-    if let Begun::Kept(kept) = keyed::begin(&front.shared, &terms, &key).await? {
-        return replay(kept);
+    if let BeginOutcome::Replay(stored) = keyed::begin(&handler.shared, &options, &key).await? {
+        return replay(stored);
     }
-    // Spawned, so that the outcome is recorded even when the caller hangs up.
-    let (front, head) = (front.clone(), head.clone());
-    let task = tokio::spawn(async move { run_keyed(front, head, service, terms, key, body).await });
+    // Spawned, so that the outcome is recorded even if the caller disconnects.
+    let (handler, head) = (handler.clone(), head.clone());
+    let task =
+        tokio::spawn(async move { run_keyed(handler, head, service, options, key, body).await });
     task.await.unwrap_or_else(|error| Err(Error::new(Kind::Internal, error.to_string())))
 }
 
 async fn run_keyed(
-    front: Front,
+    handler: HttpHandler,
     head: RequestHead,
     service: String,
-    terms: Terms,
-    key: Key,
+    options: RequestOptions,
+    key: IdempotencyKey,
     body: Bytes,
 ) -> Result<Response, Error> {
-    let (status, kind, body) = match exchange(&front, &head, &service, &terms, body).await {
-        Ok(answer) => answer,
-        Err((error, was_sent)) => {
-            if terms.repeatable {
+    let (status, content_type, body) =
+        match call_targets(&handler, &head, &service, &options, body).await {
+            Ok(response) => response,
+            Err((error, was_sent)) => {
+                if options.repeatable {
+                    return Err(error);
+                }
+                if was_sent {
+                    return Err(keyed::record_undetermined(&handler.shared, &key, &error).await);
+                }
+                keyed::release(&handler.shared, &options, &key);
                 return Err(error);
             }
-            if was_sent {
-                return Err(keyed::give_up(&front.shared, &key, &error).await);
-            }
-            keyed::release(&front.shared, &terms, &key);
-            return Err(error);
-        }
-    };
-    let kept = StoredOutcome::Plain {
+        };
+    let stored = StoredOutcome::Plain {
         status: status.as_u16(),
-        content_type: kind.clone(),
+        content_type: content_type.clone(),
         body: Body::new(body.to_vec()),
     };
-    let recorded = keyed::finish(&front.shared, &key, kept).await?;
-    if let Recorded::Earlier(kept) = recorded {
-        return replay(*kept);
+    let recorded = keyed::finish(&handler.shared, &key, stored).await?;
+    if let RecordStatus::Superseded(stored) = recorded {
+        return replay(*stored);
     }
-    let mut response = http::bytes(status.as_u16(), &kind, body);
-    let value = if recorded == Recorded::Later { "later" } else { "now" };
+    let mut response = http::bytes(status.as_u16(), &content_type, body);
+    let value = if recorded == RecordStatus::Pending { "later" } else { "now" };
     http::set_header(&mut response, header::RECORDED, value);
     Ok(response)
 }
 
 async fn run(
-    front: &Front,
+    handler: &HttpHandler,
     head: &RequestHead,
     service: &str,
-    terms: &Terms,
+    options: &RequestOptions,
     body: Bytes,
 ) -> Result<Response, Error> {
-    let answer = exchange(front, head, service, terms, body).await;
-    let (status, kind, body) = answer.map_err(|(error, _)| error)?;
-    Ok(http::bytes(status.as_u16(), &kind, body))
+    let response = call_targets(handler, head, service, options, body).await;
+    let (status, content_type, body) = response.map_err(|(error, _)| error)?;
+    Ok(http::bytes(status.as_u16(), &content_type, body))
 }
 
-/// Calls targets until one answers; the error says whether anything was sent.
-async fn exchange(
-    front: &Front,
+/// Calls targets until one responds. The flag beside the error says whether a
+/// target may have received the call.
+async fn call_targets(
+    handler: &HttpHandler,
     head: &RequestHead,
     service: &str,
-    terms: &Terms,
+    options: &RequestOptions,
     body: Bytes,
 ) -> Result<(StatusCode, String, Bytes), (Error, bool)> {
     let mut tried = Vec::new();
@@ -118,53 +121,59 @@
         PlainCall { method: head.method.clone(), path, headers: head.headers.clone(), body };
     for attempt in 1.. {
         let now = Instant::now();
-        let Some(hold) = hold(front, service, &tried, now) else {
+        let Some(hold) = acquire_target(handler, service, &tried, now) else {
             return Err((Error::new(Kind::NoTarget, format!("no target of `{service}`")), sent));
         };
         let meta = AttemptMeta {
             attempt: rand::random(),
-            key: terms.key.as_ref().map_or(String::new(), |key| key.scoped.clone()),
+            key: options.key.as_ref().map_or(String::new(), |key| key.scoped.clone()),
             priority: 0,
-            timeout: terms.left(now),
+            timeout: options.remaining(now),
         };
-        let fault = match front.client.plain(hold.node.target.address, plain.clone(), &meta).await {
-            // A server's failure after it took in the call: it may have run.
+        let error = match handler.client.plain(hold.node.target.address, plain.clone(), &meta).await
+        {
+            // The server accepted the call before it failed: it may have run.
             Ok((status, ..)) if status.is_server_error() => {
-                AttemptError::new(Failure::Unknown, format!("the target answered {status}"))
+                AttemptError::new(Failure::Unknown, format!("target returned status {status}"))
             }
-            Ok(answer) => {
+            Ok(response) => {
                 hold.on_success();
-                return Ok(answer);
+                return Ok(response);
             }
-            // A plain service's refusal is no promise that it did nothing.
-            Err(fault) if fault.failure == Failure::Refused && !terms.repeatable => {
-                AttemptError { failure: Failure::Unknown, ..fault }
+            // A plain service may have run a call that it rejected.
+            Err(error) if error.failure == Failure::Refused && !options.repeatable => {
+                AttemptError { failure: Failure::Unknown, ..error }
             }
-            Err(fault) => fault,
+            Err(error) => error,
         };
         hold.on_failure(Instant::now());
         tried.push(hold.node.target.name.clone());
-        sent |= fault.failure == Failure::Unknown;
-        let unguarded = front.shared.settings.is_guard_disabled("retry");
-        let may = retry::may_retry(terms.repeatable || unguarded, fault.failure);
-        if !may || attempt >= MOST_TRIES || terms.left(Instant::now()).is_zero() {
+        sent |= error.failure == Failure::Unknown;
+        let guard_disabled = handler.shared.settings.is_guard_disabled("retry");
+        let may_retry = retry::may_retry(options.repeatable || guard_disabled, error.failure);
+        if !may_retry || attempt >= MAX_ATTEMPTS || options.remaining(Instant::now()).is_zero() {
             let kind = if sent { Kind::TargetFailed } else { Kind::NoTarget };
-            return Err((Error::new(kind, fault.message), sent));
+            return Err((Error::new(kind, error.message), sent));
         }
     }
-    Err((Error::new(Kind::Internal, "no try was made"), sent))
+    Err((Error::new(Kind::Internal, "no attempt was made"), sent))
 }
 
-fn hold(front: &Front, service: &str, tried: &[String], now: Instant) -> Option<TargetGuard> {
-    let view = front.shared.view();
+fn acquire_target(
+    handler: &HttpHandler,
+    service: &str,
+    tried: &[String],
+    now: Instant,
+) -> Option<TargetGuard> {
+    let view = handler.shared.view();
     let bound = view.services.get(service)?;
-    let here = &front.shared.settings.data_centre;
+    let here = &handler.shared.settings.data_centre;
     let wanted = Requirements { prefix: rand::random(), ..Requirements::default() };
     fleet::pick(bound, &wanted, tried, here, now)
 }
 
-fn replay(kept: StoredOutcome) -> Result<Response, Error> {
-    match kept {
+fn replay(stored: StoredOutcome) -> Result<Response, Error> {
+    match stored {
         StoredOutcome::Plain { status, content_type, body } => {
             let body = Bytes::from(body.into_bytes());
             let mut response = http::bytes(status, &content_type, body);
--- a/crates/daemon/src/front/call.rs
+++ b/crates/daemon/src/front/request_options.rs
@@ -1,4 +1,4 @@
-//! What the headers of a call say about it.
+//! Request options, parsed from the headers.
 
 use crate::clock;
 use protocol::{Error, Kind, Millis, header};
@@ -6,32 +6,32 @@
 use transport::http::RequestHead;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Longest deadline that a caller may ask for.
-const LONGEST: Duration = Duration::from_secs(600);
-const LONGEST_KEY: usize = 200;
+/// Limit of the deadline that a caller may set.
+const MAX_DEADLINE: Duration = Duration::from_secs(600);
+const MAX_KEY_BYTES: usize = 200;
 
-/// A request key.
+/// Idempotency key of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Key {
-    /// The key in the scope of its caller.
+pub struct IdempotencyKey {
+    /// The key, prefixed with the caller and the scope.
     pub scoped: String,
-    /// Digest of the request.
+    /// Digest of the scope and body, to detect a key that is used twice.
     pub digest: u64,
-    /// When it was issued.
+    /// Unix milliseconds, at most the current time.
     pub issued: Millis,
 }
 
 /// Class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Somebody waits for it.
+    /// Interactive: a caller waits for the response.
     Online,
-    /// It takes idle capacity.
+    /// Runs on idle capacity.
     Batch,
 }
 
 impl Class {
-    /// Name in headers and service levels.
+    /// The name in headers and service levels.
     pub fn name(self) -> &'static str {
         match self {
             Class::Online => "online",
@@ -40,34 +40,35 @@
     }
 }
 
-/// A call's terms.
+/// Options of one request.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    /// Id of this call, and of its first attempt.
+pub struct RequestOptions {
+    /// Random; also the attempt id in the claim.
     pub id: u64,
-    /// Class.
+    /// Online if the header is missing.
     pub class: Class,
-    /// Whether it may run more than once.
+    /// Whether it may run more than once; the default.
     pub repeatable: bool,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline: Instant,
-    /// Its key, if it has one.
-    pub key: Option<Key>,
+    /// Absent if the caller sent none.
+    pub key: Option<IdempotencyKey>,
 }
 
-impl Terms {
-    /// Reads the terms of a call.
+impl RequestOptions {
+    /// Parses the headers. `scope` separates keys of different services and paths;
+    /// `default` is the deadline without a header.
     ///
     /// # Errors
     ///
-    /// `Malformed`, with the header at fault.
+    /// `Malformed`, with the name of the invalid header.
     pub fn read(
         head: &RequestHead,
         scope: &str,
         body: &[u8],
         default: Duration,
         now: Instant,
-    ) -> Result<Terms, Error> {
+    ) -> Result<RequestOptions, Error> {
         let class = match head.header(header::REQUEST_CLASS) {
             "" | "online" => Class::Online,
             "batch" => Class::Batch,
@@ -84,25 +85,25 @@
                 let millis = text.parse().ok().filter(|ms| *ms > 0);
                 let millis =
                     millis.ok_or_else(|| malformed(header::DEADLINE_MS, "milliseconds"))?;
-                Duration::from_millis(millis).min(LONGEST)
+                Duration::from_millis(millis).min(MAX_DEADLINE)
             }
         };
         let key = read_key(head, scope, body)?;
-        Ok(Terms { id: rand::random(), class, repeatable, deadline: now + wait, key })
+        Ok(RequestOptions { id: rand::random(), class, repeatable, deadline: now + wait, key })
     }
 
-    /// Time until the caller stops waiting.
-    pub fn left(&self, now: Instant) -> Duration {
+    /// Time until the deadline; zero after it.
+    pub fn remaining(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 }
 
-fn read_key(head: &RequestHead, scope: &str, body: &[u8]) -> Result<Option<Key>, Error> {
+fn read_key(head: &RequestHead, scope: &str, body: &[u8]) -> Result<Option<IdempotencyKey>, Error> {
     let key = head.header(header::IDEMPOTENCY_KEY);
     if key.is_empty() {
         return Ok(None);
     }
-    if key.len() > LONGEST_KEY {
+    if key.len() > MAX_KEY_BYTES {
         return Err(malformed(header::IDEMPOTENCY_KEY, "at most 200 characters"));
     }
     let now = clock::millis();
@@ -110,10 +111,10 @@
         "" => now,
         text => text.parse().map_err(|_| malformed(header::KEY_ISSUED_AT, "Unix milliseconds"))?,
     };
-    // A clock that is ahead may not push a key beyond the retention window.
+    // A caller's clock that is ahead must not extend the key's retention.
     let issued: Millis = std::cmp::min(issued, now);
     let scoped = format!("{}/{scope}/{key}", head.header(header::CALLER));
-    Ok(Some(Key { scoped, digest: digest(scope, body), issued }))
+    Ok(Some(IdempotencyKey { scoped, digest: digest(scope, body), issued }))
 }
 
 fn digest(scope: &str, body: &[u8]) -> u64 {
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::control;
 use crate::fleet::lock;
-use crate::front::Front;
+use crate::front::HttpHandler;
 use crate::peers;
 use crate::shards;
 use crate::shared::{Parts, Shared};
@@ -96,7 +96,7 @@
     duties.spawn_local("peers", peer_runtime, move || {
         peers::run(of_peers, peer.0, calls, partition_of_peers, stop)
     })?;
-    let service = Front { shared: shared.clone(), client: client() };
+    let service = HttpHandler { shared: shared.clone(), client: client() };
     duties.spawn("front", front_runtime, http::serve(front.0, service, tokens.front.clone()))?;
     slog::info!(shared.log, "started"; "front" => front.1.to_string(),
         "peers" => peer.1.to_string(), "id" => format!("{:016x}", shared.id));
