--- a/crates/daemon/benches/measure/batch.rs
+++ b/crates/daemon/benches/measure/batch.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    fn unguarded(self) -> &'static str {
+    fn disabled_guards(self) -> &'static str {
         match self {
             Mode::NoPriority => "priority, yield",
             Mode::StaticSplit => "yield",
@@ -66,8 +66,8 @@
     if mode == Mode::NoPriority {
         settings.push(String::from("batch.reserve = 0"));
     }
-    let unguarded = mode.unguarded().to_owned();
-    let plan = Plan { engines: ENGINES, engine, settings, unguarded, ..Plan::default() };
+    let disabled_guards = mode.disabled_guards().to_owned();
+    let plan = Plan { engines: ENGINES, engine, settings, disabled_guards, ..Plan::default() };
     let cluster = Cluster::start(plan);
     if mode != Mode::Alone {
         let list: Vec<_> = items("filler", 30_000)
@@ -82,7 +82,7 @@
     }
     let before = tokens(&cluster);
     let began = Instant::now();
-    let to: Vec<SocketAddr> = cluster.daemons.iter().map(|daemon| daemon.front).collect();
+    let to: Vec<SocketAddr> = cluster.daemons.iter().map(|daemon| daemon.front_address).collect();
     // A fourteenth of the slots, and bursts that need seven tenths of them: near
     // saturation the tail of online requests alone differs by half from run to run.
     let online = (mode != Mode::BatchAlone).then(|| {
@@ -124,7 +124,7 @@
     let cluster = Cluster::start(plan);
     let began = Instant::now();
     std::thread::scope(|scope| {
-        for (number, engine) in cluster.engines_at.iter().enumerate() {
+        for (number, engine) in cluster.engine_addresses.iter().enumerate() {
             for lane in 0..SLOTS {
                 scope.spawn(move || {
                     let mut turn = 0;
@@ -224,7 +224,7 @@
         (0..2000).map(|n| json!({ "prompt": format!("filler {n}"), "max_tokens": 400 })).collect();
     assert_eq!(cluster.submit(0, "fill", &list).status, 201);
     std::thread::sleep(Duration::from_secs(3));
-    let to = cluster.daemons.iter().map(|daemon| daemon.front).collect();
+    let to = cluster.daemons.iter().map(|daemon| daemon.front_address).collect();
     let length = Duration::from_secs(10);
     load::send(Load {
         to,
--- a/crates/daemon/benches/measure/fleet.rs
+++ b/crates/daemon/benches/measure/fleet.rs
@@ -44,7 +44,7 @@
         let status = daemon.get("/v1/status").json();
         let count = |name: &str| status[name].as_u64().unwrap_or(0);
         sum.bytes += count("peer_bytes_sent") + count("peer_bytes_received");
-        let (ticks, resident) = daemon.usage();
+        let (ticks, resident) = daemon.cpu_ticks_and_rss_kib();
         sum.ticks += ticks;
         sum.resident += resident;
     }
@@ -100,8 +100,8 @@
             ] });
             let began = Instant::now();
             let through = n as usize % cluster.daemons.len();
-            let reply = cluster.apply(through, n + 1, &change);
-            assert_eq!(reply.status, 200, "{reply:?}");
+            let response = cluster.apply(through, n + 1, &change);
+            assert_eq!(response.status, 200, "{response:?}");
             cluster.wait_generation(n + 2);
             began.elapsed().as_secs_f64() * 1000.0
         })
--- a/crates/daemon/benches/measure/front.rs
+++ b/crates/daemon/benches/measure/front.rs
@@ -14,7 +14,7 @@
 }
 
 fn fronts(cluster: &Cluster) -> Vec<SocketAddr> {
-    cluster.daemons.iter().map(|daemon| daemon.front).collect()
+    cluster.daemons.iter().map(|daemon| daemon.front_address).collect()
 }
 
 fn row(name: &str, outcome: &Outcome) {
@@ -96,16 +96,16 @@
         })
     };
     head();
-    row("direct", &one(cluster.engines_at[0]));
-    row("through one daemon", &one(cluster.daemons[0].front));
+    row("direct", &one(cluster.engine_addresses[0]));
+    row("through one daemon", &one(cluster.daemons[0].front_address));
     for rate in [500.0, 1000.0, 2000.0] {
-        let (ticks, _) = cluster.daemons[0].usage();
+        let (ticks, _) = cluster.daemons[0].cpu_ticks_and_rss_kib();
         let began = Instant::now();
-        let to = vec![cluster.daemons[0].front];
+        let to = vec![cluster.daemons[0].front_address];
         let length = Duration::from_secs(5);
         let outcome =
             load::send(Load { to, rate, length, tokens: 5, keyed: false, burst: None, name: "y" });
-        let (after, _) = cluster.daemons[0].usage();
+        let (after, _) = cluster.daemons[0].cpu_ticks_and_rss_kib();
         let cores = (after - ticks) as f64 / 100.0 / began.elapsed().as_secs_f64();
         let served = outcome.whole as f64 / began.elapsed().as_secs_f64();
         row(&format!("{rate:.0}/s offered"), &outcome);
@@ -117,8 +117,8 @@
 fn streams(cluster: &Cluster) {
     const STREAMS: usize = 1000;
     cluster.engines[0].control(Control { token_ms: Some(400), ..Control::default() });
-    let (_, before) = cluster.daemons[0].usage();
-    let front = cluster.daemons[0].front;
+    let (_, before) = cluster.daemons[0].cpu_ticks_and_rss_kib();
+    let front = cluster.daemons[0].front_address;
     std::thread::scope(|scope| {
         let load = scope.spawn(move || {
             load::send(Load {
@@ -132,7 +132,7 @@
             })
         });
         std::thread::sleep(Duration::from_millis(3000));
-        let (_, during) = cluster.daemons[0].usage();
+        let (_, during) = cluster.daemons[0].cpu_ticks_and_rss_kib();
         let open = cluster.engines[0].running()[0];
         let each = (during - before) as f64 / f64::from(open.max(1));
         println!("{:>22} {open} of {STREAMS} open, {each:.1} KiB a stream", "");
@@ -150,7 +150,7 @@
     head();
     for times in [0.5, 0.8, 1.0, 1.5, 2.0, 3.0] {
         let cluster = start(3, 3, engine.clone());
-        chat(cluster.daemons[0].front, "warm", &[], json!({}));
+        chat(cluster.daemons[0].front_address, "warm", &[], json!({}));
         let length = Duration::from_secs(8);
         let outcome = load::send(Load {
             to: fronts(&cluster),
@@ -178,7 +178,7 @@
         engines: 6,
         engine,
         settings: production(),
-        centres: 1,
+        data_centres: 1,
         ..Plan::default()
     };
     let cluster = Cluster::start(plan);
@@ -194,17 +194,17 @@
             let count = |name: &str| status[name].as_f64().unwrap_or(0.0);
             count("peer_bytes_sent") + count("peer_bytes_received")
         };
-        let (bytes, (ticks, _)) = (peers(0), cluster.daemons[0].usage());
+        let (bytes, (ticks, _)) = (peers(0), cluster.daemons[0].cpu_ticks_and_rss_kib());
         let began = Instant::now();
         let length = Duration::from_secs(6);
         if rate > 0.0 {
-            let to = vec![cluster.daemons[0].front];
+            let to = vec![cluster.daemons[0].front_address];
             load::send(Load { to, rate, length, tokens, keyed: false, burst: None, name: "slope" });
         } else {
             std::thread::sleep(length);
         }
         let seconds = began.elapsed().as_secs_f64();
-        let (after, _) = cluster.daemons[0].usage();
+        let (after, _) = cluster.daemons[0].cpu_ticks_and_rss_kib();
         let busy = (after - ticks) as f64 / 100.0;
         let each = busy * 1000.0 / (rate * length.as_secs_f64()).max(1.0);
         println!(
--- a/crates/daemon/benches/measure/log.rs
+++ b/crates/daemon/benches/measure/log.rs
@@ -20,15 +20,20 @@
     Config { slots: 64, prefill: Duration::from_millis(1), token, ..Config::default() }
 }
 
-fn start(daemons: usize, unguarded: &str) -> Cluster {
-    let unguarded = unguarded.into();
-    let plan =
-        Plan { daemons, engine: engine(), settings: production(), unguarded, ..Plan::default() };
+fn start(daemons: usize, disabled_guards: &str) -> Cluster {
+    let disabled_guards = disabled_guards.into();
+    let plan = Plan {
+        daemons,
+        engine: engine(),
+        settings: production(),
+        disabled_guards,
+        ..Plan::default()
+    };
     Cluster::start(plan)
 }
 
 fn fronts(cluster: &Cluster) -> Vec<SocketAddr> {
-    cluster.daemons.iter().map(|daemon| daemon.front).collect()
+    cluster.daemons.iter().map(|daemon| daemon.front_address).collect()
 }
 
 fn keyed(cluster: &Cluster, rate: f64, keyed: bool) -> (load::Outcome, Counts, Counts) {
@@ -73,13 +78,13 @@
         "{:>28} {:>7} {:>12} {:>20} {:>14}",
         "mode", "whole", "per 1000 req", "whole ms p50/p99", "lost at a kill"
     );
-    for (mode, unguarded, with_key) in [
+    for (mode, disabled_guards, with_key) in [
         ("no key", "", false),
         ("grouped, durable first", "", true),
         ("one object a record", "group", true),
         ("grouped, answered first", "durable", true),
     ] {
-        let mut cluster = start(3, unguarded);
+        let mut cluster = start(3, disabled_guards);
         let (outcome, before, after) = keyed(&cluster, RATES[1], with_key);
         let writes = after.writes - before.writes;
         let lost = if with_key { lost_at_kill(&mut cluster) } else { 0 };
@@ -99,7 +104,7 @@
 /// knows of.
 fn lost_at_kill(cluster: &mut Cluster) -> usize {
     const CALLS: usize = 60;
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     let keys: Vec<String> = (0..CALLS).map(|n| format!("last {n}")).collect();
     std::thread::scope(|scope| {
         for key in &keys {
@@ -110,11 +115,11 @@
         }
     });
     cluster.daemons[0].kill();
-    let other = cluster.daemons[1].front;
+    let other = cluster.daemons[1].front_address;
     let is_lost = |key: &&String| {
         let headers = [("idempotency-key", key.as_str())];
-        let reply = chat(other, key, &headers, json!({ "max_tokens": 3 }));
-        reply.header("gatespool-replayed") != "true"
+        let response = chat(other, key, &headers, json!({ "max_tokens": 3 }));
+        response.header("gatespool-replayed") != "true"
     };
     keys.iter().filter(is_lost).count()
 }
@@ -130,7 +135,12 @@
         let mut cluster = Cluster::start(plan);
         for n in 0..200 {
             let key = format!("k{n}");
-            chat(cluster.daemons[n % 3].front, &key, &[("idempotency-key", &key)], json!({}));
+            chat(
+                cluster.daemons[n % 3].front_address,
+                &key,
+                &[("idempotency-key", &key)],
+                json!({}),
+            );
         }
         // The owner is found by who made the platform calls of the commits.
         let calls = |d: usize| {
@@ -140,10 +150,10 @@
         let owner = (0..3).max_by_key(|d| calls(*d)).expect("a daemon");
         cluster.daemons[owner].kill();
         let began = Instant::now();
-        let other = cluster.daemons[(owner + 1) % 3].front;
+        let other = cluster.daemons[(owner + 1) % 3].front_address;
         wait_until("a command is recorded", || {
-            let reply = chat(other, "next", &[("idempotency-key", "next")], json!({}));
-            reply.header("gatespool-recorded") == "now"
+            let response = chat(other, "next", &[("idempotency-key", "next")], json!({}));
+            response.header("gatespool-recorded") == "now"
         });
         println!("{:>6} {:>22.0}", round, began.elapsed().as_secs_f64() * 1000.0);
     }
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -8,17 +8,17 @@
 use standin::platform::Control;
 use std::collections::HashMap;
 use std::time::Duration;
-use util::client::{Reply, call, chat};
+use util::client::{Response, call, chat};
 use util::cluster::{Cluster, Plan};
 use util::{wait_for, wait_until};
 
-fn offer(cluster: &Cluster, daemon: usize, key: &str) -> Reply {
+fn offer(cluster: &Cluster, daemon: usize, key: &str) -> Response {
     let headers = [
         ("idempotency-key", key),
         ("gatespool-repeatable", "false"),
         ("gatespool-deadline-ms", "3000"),
     ];
-    chat(cluster.daemons[daemon].front, &format!("offer {key}"), &headers, json!({}))
+    chat(cluster.daemons[daemon].front_address, &format!("offer {key}"), &headers, json!({}))
 }
 
 /// Most runs of one prompt, over all engines.
@@ -32,7 +32,7 @@
 fn an_offer_whose_instance_is_killed_is_not_made_again() {
     let engine = Config { token: Duration::from_millis(100), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     let sent = std::thread::spawn(move || {
         let headers = [("idempotency-key", "a"), ("gatespool-repeatable", "false")];
         chat(front, "offer a", &headers, json!({}))
@@ -42,8 +42,8 @@
     assert_eq!(sent.join().expect("an answer").status, 0);
     for daemon in [1, 2, 1] {
         let again = wait_for("the resend is answered", || {
-            let reply = offer(&cluster, daemon, "a");
-            (reply.json()["error"]["type"] != "platform_away").then_some(reply)
+            let response = offer(&cluster, daemon, "a");
+            (response.json()["error"]["type"] != "platform_away").then_some(response)
         });
         let kind = again.json()["error"]["type"].clone();
         assert!(kind == "in_progress" || kind == "may_have_run", "{again:?}");
@@ -62,8 +62,8 @@
     });
     for n in 0..5 {
         let kept = wait_for("the outcome is kept", || {
-            let reply = offer(&cluster, n % 3, &format!("k{n}"));
-            (reply.status == 200).then_some(reply)
+            let response = offer(&cluster, n % 3, &format!("k{n}"));
+            (response.status == 200).then_some(response)
         });
         assert_eq!(kept.header("gatespool-replayed"), "true");
     }
@@ -106,7 +106,7 @@
 fn a_holder_paused_between_claim_and_answer_runs_it_once() {
     let engine = Config { token: Duration::from_millis(60), ..Config::default() };
     let cluster = Cluster::start(Plan { engine, ..Plan::default() });
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     let sent = std::thread::spawn(move || {
         let headers = [
             ("idempotency-key", "a"),
@@ -127,9 +127,9 @@
     assert_eq!(most_runs(&cluster), 1);
 }
 
-fn post_offer(cluster: &Cluster, daemon: usize, key: &str) -> Reply {
+fn post_offer(cluster: &Cluster, daemon: usize, key: &str) -> Response {
     let headers = [("idempotency-key", key), ("gatespool-deadline-ms", "3000")];
-    call("POST", cluster.daemons[daemon].front, "/offers/new", &headers, "400 rupees")
+    call("POST", cluster.daemons[daemon].front_address, "/offers/new", &headers, "400 rupees")
 }
 
 #[test]
@@ -187,13 +187,14 @@
          gatespool-repeatable: false\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     );
-    let mut stream = std::net::TcpStream::connect(cluster.daemons[0].front).expect("connected");
+    let mut stream =
+        std::net::TcpStream::connect(cluster.daemons[0].front_address).expect("connected");
     std::io::Write::write_all(&mut stream, head.as_bytes()).expect("sent");
     wait_until("the offer is being made", || cluster.runs().len() == 1);
     drop(stream);
     let kept = wait_for("the outcome is kept", || {
-        let reply = offer(&cluster, 1, "a");
-        (reply.status == 200).then_some(reply)
+        let response = offer(&cluster, 1, "a");
+        (response.status == 200).then_some(response)
     });
     assert_eq!(kept.header("gatespool-replayed"), "true");
     assert_eq!(most_runs(&cluster), 1);
--- a/crates/daemon/tests/cancel_stops.rs
+++ b/crates/daemon/tests/cancel_stops.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use standin::engine::Config;
 use std::time::Duration;
-use util::client::{Reply, call};
+use util::client::{Response, call};
 use util::cluster::{Cluster, Plan, items};
 use util::{wait_for, wait_until};
 
@@ -20,8 +20,8 @@
     (cluster, job)
 }
 
-fn cancel(cluster: &Cluster, daemon: usize, job: &str) -> Reply {
-    call("POST", cluster.daemons[daemon].front, &format!("/v1/jobs/{job}/cancel"), &[], "")
+fn cancel(cluster: &Cluster, daemon: usize, job: &str) -> Response {
+    call("POST", cluster.daemons[daemon].front_address, &format!("/v1/jobs/{job}/cancel"), &[], "")
 }
 
 /// Items of the cancelled job that were given a slot.
@@ -57,9 +57,9 @@
 #[test]
 fn a_cancelled_job_stops_everywhere() {
     let (cluster, job) = start(4000);
-    let reply = cancel(&cluster, 1, &job);
+    let response = cancel(&cluster, 1, &job);
     let at_cancel = started(&cluster);
-    assert_eq!(reply.json()["phase"], "cancelled", "{reply:?}");
+    assert_eq!(response.json()["phase"], "cancelled", "{response:?}");
     check_stopped(&cluster, at_cancel);
     check_readers_agree(&cluster, &job, 4000);
 }
@@ -69,8 +69,8 @@
     let (cluster, job) = start(4000);
     cluster.daemons[2].freeze();
     wait_until("the cancel is recorded", || {
-        let reply = cancel(&cluster, 1, &job);
-        reply.status == 200 && reply.json()["phase"] == "cancelled"
+        let response = cancel(&cluster, 1, &job);
+        response.status == 200 && response.json()["phase"] == "cancelled"
     });
     let at_cancel = started(&cluster);
     cluster.daemons[2].thaw();
@@ -82,9 +82,9 @@
 fn a_cancel_while_the_platform_is_away_stops_at_once_and_is_recorded_later() {
     let (cluster, job) = start(4000);
     cluster.platform_down(true);
-    let reply = cancel(&cluster, 1, &job);
-    assert_eq!(reply.json()["error"]["type"], "not_recorded", "{reply:?}");
-    assert!(!reply.header("retry-after").is_empty());
+    let response = cancel(&cluster, 1, &job);
+    assert_eq!(response.json()["error"]["type"], "not_recorded", "{response:?}");
+    assert!(!response.header("retry-after").is_empty());
     wait_until("running streams stop", || cluster.engines.iter().all(|e| e.running()[1] == 0));
     let stopped_at = cluster.runs().len();
     cluster.platform_down(false);
--- a/crates/daemon/tests/config_in_force.rs
+++ b/crates/daemon/tests/config_in_force.rs
@@ -50,9 +50,9 @@
             let calls: Vec<_> = (1..=8).map(offer).collect();
             calls.into_iter().map(|call| call.join().expect("an answer")).collect()
         });
-        let accepted = replies.iter().filter(|reply| reply.status == 200).count();
+        let accepted = replies.iter().filter(|response| response.status == 200).count();
         assert_eq!(accepted, 1, "{replies:?}");
-        let refused = replies.iter().filter(|reply| reply.status != 200);
+        let refused = replies.iter().filter(|response| response.status != 200);
         assert!(refused.into_iter().all(|r| r.json()["error"]["type"] == "stale_revision"));
         cluster.wait_generation(revision + 1);
         let first = rate(&cluster.daemons[0]);
@@ -101,8 +101,8 @@
         assert!(!ready || fresh.generation() == 2, "it serves an older configuration");
         ready
     });
-    let reply = chat(fresh.front, "which edition?", &[], json!({}));
-    assert_eq!(reply.status, 200, "{reply:?}");
+    let response = chat(fresh.front_address, "which edition?", &[], json!({}));
+    assert_eq!(response.status, 200, "{response:?}");
 }
 
 #[test]
@@ -111,8 +111,8 @@
     cluster.platform_down(true);
     cluster.daemons.clear();
     let fresh = cluster.new_daemon();
-    let reply = chat(fresh.front, "anyone?", &[], json!({}));
-    assert_eq!(reply.json()["error"]["type"], "not_ready");
+    let response = chat(fresh.front_address, "anyone?", &[], json!({}));
+    assert_eq!(response.json()["error"]["type"], "not_ready");
     assert_eq!(fresh.get("/ready").status, 503);
     cluster.platform_down(false);
     fresh.wait_ready();
@@ -124,13 +124,13 @@
 fn an_instance_with_another_number_of_shards_serves_nothing() {
     let mut cluster = Cluster::start(Plan::default());
     let other = cluster.new_daemon_in("patan-hall", "log.shards = 5");
-    let log = cluster.folder.join("daemon-4.log");
+    let log = cluster.dir.join("daemon-4.log");
     wait_until("it says why", || {
         let text = std::fs::read_to_string(&log).unwrap_or_default();
         text.contains("log.shards differs")
     });
     assert_eq!(other.get("/ready").status, 503);
-    assert_eq!(chat(other.front, "x", &[], json!({})).json()["error"]["type"], "not_ready");
+    assert_eq!(chat(other.front_address, "x", &[], json!({})).json()["error"]["type"], "not_ready");
 }
 
 #[test]
@@ -138,8 +138,8 @@
     let cluster = Cluster::start(Plan::default());
     let lose_prefix = Some(String::from("config/"));
     fault(&cluster, Control { lose: Some(1), lose_prefix, ..Control::default() });
-    let reply = cluster.apply(0, 1, &limit(7));
-    assert_eq!((reply.status, reply.json()["generation"].clone()), (200, json!(2)));
+    let response = cluster.apply(0, 1, &limit(7));
+    assert_eq!((response.status, response.json()["generation"].clone()), (200, json!(2)));
     cluster.wait_generation(2);
     assert_eq!(cluster.platform.keys("config/e/").len(), 2);
 }
@@ -151,9 +151,9 @@
         "object": "target", "name": "t9", "address": "127.0.0.1:1", "data_centre": "x",
         "service": "no-such", "slots": 4,
     }] });
-    let reply = cluster.apply(0, 1, &change);
-    assert_eq!(reply.status, 422);
-    let message = reply.json()["error"]["message"].as_str().unwrap_or_default().to_owned();
+    let response = cluster.apply(0, 1, &change);
+    assert_eq!(response.status, 422);
+    let message = response.json()["error"]["message"].as_str().unwrap_or_default().to_owned();
     assert!(message.contains("target/t9") && message.contains("`service`"), "{message}");
     assert_eq!(cluster.daemons[0].generation(), 1);
 }
@@ -162,8 +162,8 @@
 fn a_change_while_the_platform_is_away_is_refused() {
     let cluster = Cluster::start(Plan::default());
     cluster.platform_down(true);
-    let reply = cluster.apply(0, 1, &limit(7));
-    assert_eq!(reply.status, 503, "{reply:?}");
-    assert!(!reply.header("retry-after").is_empty());
+    let response = cluster.apply(0, 1, &limit(7));
+    assert_eq!(response.status, 503, "{response:?}");
+    assert!(!response.header("retry-after").is_empty());
     assert!(cluster.daemons.iter().all(|daemon| daemon.generation() == 1));
 }
--- a/crates/daemon/tests/contract.rs
+++ b/crates/daemon/tests/contract.rs
@@ -12,7 +12,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
-use util::client::{Reply, call, chat, get, post};
+use util::client::{Response, call, chat, get, post};
 use util::cluster::{Cluster, Plan, items};
 
 fn contract() -> Value {
@@ -28,20 +28,20 @@
 }
 
 #[track_caller]
-fn check(reply: &Reply, status: u16, schema: &str) {
-    assert_eq!(reply.status, status, "{reply:?}");
+fn check(response: &Response, status: u16, schema: &str) {
+    assert_eq!(response.status, status, "{response:?}");
     let errors: Vec<String> =
-        validator(schema).iter_errors(&reply.json()).map(|error| error.to_string()).collect();
-    assert!(errors.is_empty(), "{errors:?} in {reply:?}");
+        validator(schema).iter_errors(&response.json()).map(|error| error.to_string()).collect();
+    assert!(errors.is_empty(), "{errors:?} in {response:?}");
 }
 
 /// An error answer: the schema, the status of its row, and when to come back.
 #[track_caller]
-fn check_error(reply: &Reply, kind: Kind) {
-    check(reply, kind.properties().status, "Error");
-    assert_eq!(reply.kind(), Some(kind));
-    let says_when = !reply.header("retry-after").is_empty();
-    assert_eq!(says_when, kind.properties().retry != Retry::Never, "{reply:?}");
+fn check_error(response: &Response, kind: Kind) {
+    check(response, kind.properties().status, "Error");
+    assert_eq!(response.error_kind(), Some(kind));
+    let says_when = !response.header("retry-after").is_empty();
+    assert_eq!(says_when, kind.properties().retry != Retry::Never, "{response:?}");
 }
 
 #[test]
@@ -61,7 +61,7 @@
 #[test]
 fn answers_fit_the_contract() {
     let cluster = Cluster::start(Plan::default());
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     assert_eq!(get(front, "/v1/openapi.json").json(), contract());
     check(&chat(front, "which edition?", &[], json!({})), 200, "Completion");
     let streamed = chat(front, "which edition?", &[], json!({ "stream": true }));
@@ -97,7 +97,7 @@
 #[test]
 fn errors_of_callers_fit_the_contract() {
     let cluster = Cluster::start(Plan::default());
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     let path = "/v1/chat/completions";
     check_error(&call("POST", front, path, &[], "{ not json"), Kind::Malformed);
     check_error(&get(front, "/v1/nothing"), Kind::UnknownPath);
@@ -126,7 +126,7 @@
 #[test]
 fn errors_of_targets_and_limits_fit_the_contract() {
     let cluster = Cluster::start(Plan::default());
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     let limit = json!({ "put": [
         { "object": "limit", "caller": "greedy", "rate": 0.01, "burst": 1.0 }
     ] });
@@ -149,7 +149,7 @@
 #[test]
 fn errors_of_an_outage_fit_the_contract() {
     let cluster = Cluster::start(Plan::default());
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     cluster.platform_down(true);
     let once = [("idempotency-key", "o"), ("gatespool-repeatable", "false")];
     check_error(&chat(front, "offer", &once, json!({})), Kind::PlatformUnavailable);
@@ -162,7 +162,7 @@
 fn a_slow_caller_is_refused() {
     let settings = vec![String::from("front.body_timeout_ms = 300")];
     let cluster = Cluster::start(Plan { settings, ..Plan::default() });
-    let mut stream = TcpStream::connect(cluster.daemons[0].front).expect("a connection");
+    let mut stream = TcpStream::connect(cluster.daemons[0].front_address).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 1000\r\n\r\n{";
     stream.write_all(head.as_bytes()).expect("sent");
@@ -177,12 +177,12 @@
 #[test]
 fn junk_ends_its_own_connection_only() {
     let cluster = Cluster::start(Plan::default());
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     for junk in [&b"\x16\x03\x01\x02\x00"[..], b"GET / HTTP/9.9\r\n\r\n", b"\r\n\r\n\0\0\0"] {
         let mut stream = TcpStream::connect(front).expect("a connection");
         stream.write_all(junk).expect("sent");
     }
-    let mut stream = TcpStream::connect(cluster.daemons[0].peer).expect("a connection");
+    let mut stream = TcpStream::connect(cluster.daemons[0].peer_address).expect("a connection");
     stream.write_all(&[0xff; 4096]).expect("sent");
     drop(stream);
     assert_eq!(chat(front, "after", &[], json!({})).status, 200);
@@ -203,18 +203,18 @@
     let mut texts = HashSet::new();
     for daemon in &cluster.daemons {
         let auth = [("authorization", "Bearer some-token")];
-        let whole = post(daemon.front, "/v1/chat/completions", &auth, &body);
+        let whole = post(daemon.front_address, "/v1/chat/completions", &auth, &body);
         assert_eq!(whole.header("content-type"), "application/json");
         texts.insert(whole.text());
         let mut streamed = body.clone();
         streamed["stream"] = json!(true);
         let bytes = Bytes::from(streamed.to_string());
-        let reply = call("POST", daemon.front, "/v1/chat/completions", &auth, bytes);
-        assert_eq!(reply.header("content-type"), "text/event-stream");
-        let (text, done) = reply.streamed();
+        let response = call("POST", daemon.front_address, "/v1/chat/completions", &auth, bytes);
+        assert_eq!(response.header("content-type"), "text/event-stream");
+        let (text, done) = response.streamed_text();
         assert!(done);
         texts.insert(text);
-        let ids = get(daemon.front, "/v1/models").json()["data"][0]["id"].clone();
+        let ids = get(daemon.front_address, "/v1/models").json()["data"][0]["id"].clone();
         assert_eq!(ids, "pustak-llm");
     }
     assert_eq!(texts.len(), 1, "{texts:?}");
--- a/crates/daemon/tests/cut_off.rs
+++ b/crates/daemon/tests/cut_off.rs
@@ -16,30 +16,34 @@
 /// from the platform too when `platform` says so.
 fn cut(cluster: &Cluster, one: usize, platform: bool) {
     let away = |n: usize| n != one;
-    let peers = (0..cluster.daemons.len()).filter(|n| away(*n)).map(|n| cluster.daemons[n].peer);
-    let targets = (0..cluster.engines_at.len()).filter(|n| n % 3 != one);
+    let peers =
+        (0..cluster.daemons.len()).filter(|n| away(*n)).map(|n| cluster.daemons[n].peer_address);
+    let targets = (0..cluster.engine_addresses.len()).filter(|n| n % 3 != one);
     let mut gone: Vec<SocketAddr> = peers.collect();
-    gone.extend(targets.map(|n| cluster.engines_at[n]));
+    gone.extend(targets.map(|n| cluster.engine_addresses[n]));
     if platform {
-        gone.push(cluster.platform_at);
+        gone.push(cluster.platform_address);
     }
-    cluster.daemons[one].cut_off(&gone);
+    cluster.daemons[one].set_unreachable(&gone);
     for other in (0..cluster.daemons.len()).filter(|n| away(*n)) {
-        let mut gone = vec![cluster.daemons[one].peer];
+        let mut gone = vec![cluster.daemons[one].peer_address];
         gone.extend(
-            (0..cluster.engines_at.len()).filter(|n| n % 3 == one).map(|n| cluster.engines_at[n]),
+            (0..cluster.engine_addresses.len())
+                .filter(|n| n % 3 == one)
+                .map(|n| cluster.engine_addresses[n]),
         );
-        cluster.daemons[other].cut_off(&gone);
+        cluster.daemons[other].set_unreachable(&gone);
     }
     let all = cluster.daemons.len();
     wait_until("the cut is noticed", || {
-        let noticed = |n: usize| cluster.daemons[n].alive() == if n == one { 1 } else { all - 1 };
+        let noticed =
+            |n: usize| cluster.daemons[n].alive_members() == if n == one { 1 } else { all - 1 };
         (0..all).all(noticed)
     });
 }
 
 fn heal(cluster: &Cluster) {
-    cluster.daemons.iter().for_each(|daemon| daemon.cut_off(&[]));
+    cluster.daemons.iter().for_each(|daemon| daemon.set_unreachable(&[]));
     cluster.wait_members();
 }
 
@@ -51,9 +55,9 @@
 fn cut_off_from_everything_it_serves_what_it_can() {
     let cluster = Cluster::start(Plan::default());
     cut(&cluster, 0, true);
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     let plain = chat(front, "which edition?", &[], json!({ "stream": true }));
-    assert_eq!(plain.streamed(), (text::whole("which edition?", None), true));
+    assert_eq!(plain.streamed_text(), (text::whole("which edition?", None), true));
     let keyed = chat(front, "keyed", &[("idempotency-key", "k")], json!({}));
     assert_eq!((keyed.status, keyed.header("gatespool-recorded")), (200, "later"));
     let once = [("idempotency-key", "o"), ("gatespool-repeatable", "false")];
@@ -70,7 +74,8 @@
     cluster.wait_generation(2);
     // The answer that was given while cut off is recorded, and read elsewhere.
     wait_until("the outcome is recorded", || {
-        let again = chat(cluster.daemons[1].front, "keyed", &[("idempotency-key", "k")], json!({}));
+        let again =
+            chat(cluster.daemons[1].front_address, "keyed", &[("idempotency-key", "k")], json!({}));
         again.header("gatespool-replayed") == "true" && again.text() == keyed.text()
     });
     assert!(cluster.runs().iter().all(|run| run.prompt != "offer"));
@@ -110,9 +115,11 @@
 #[test]
 fn cut_off_from_each_other_they_agree_through_the_platform() {
     let cluster = Cluster::start(Plan::default());
-    let peers: Vec<SocketAddr> = cluster.daemons.iter().map(|daemon| daemon.peer).collect();
-    cluster.daemons.iter().for_each(|daemon| daemon.cut_off(&peers));
-    wait_until("each is alone", || cluster.daemons.iter().all(|daemon| daemon.alive() == 1));
+    let peers: Vec<SocketAddr> = cluster.daemons.iter().map(|daemon| daemon.peer_address).collect();
+    cluster.daemons.iter().for_each(|daemon| daemon.set_unreachable(&peers));
+    wait_until("each is alone", || {
+        cluster.daemons.iter().all(|daemon| daemon.alive_members() == 1)
+    });
     std::thread::scope(|scope| {
         for n in 0..45 {
             let cluster = &cluster;
@@ -120,7 +127,7 @@
                 let key = format!("offer-{}", n % 15);
                 let headers =
                     [("idempotency-key", key.as_str()), ("gatespool-repeatable", "false")];
-                chat(cluster.daemons[n % 3].front, &key, &headers, json!({}));
+                chat(cluster.daemons[n % 3].front_address, &key, &headers, json!({}));
             });
         }
     });
--- a/crates/daemon/tests/exactly_once.rs
+++ b/crates/daemon/tests/exactly_once.rs
@@ -12,8 +12,8 @@
 use util::cluster::{Cluster, Plan, items};
 use util::{wait_for, wait_until};
 
-fn job_of(reply: &util::client::Reply) -> String {
-    reply.json()["job"].as_str().expect("its id").to_owned()
+fn job_of(response: &util::client::Response) -> String {
+    response.json()["job"].as_str().expect("its id").to_owned()
 }
 
 /// Every item has the one right outcome, and the counts agree.
@@ -141,7 +141,7 @@
         let calls: Vec<_> = (0..6).map(|n| send(n % 3)).collect();
         calls.into_iter().map(|call| call.join().expect("an answer")).collect()
     });
-    let accepted = replies.iter().filter(|reply| reply.status == 201).count();
+    let accepted = replies.iter().filter(|response| response.status == 201).count();
     assert_eq!(accepted, 1, "{replies:?}");
     check_results(&cluster, 0, &job_of(&replies[0]), "describe", 64);
     assert_eq!(repeated(&cluster), 0);
@@ -169,12 +169,13 @@
 fn an_answer_that_was_acknowledged_outlives_its_instance() {
     let mut cluster = Cluster::start(Plan::default());
     let headers = [("idempotency-key", "answer-1")];
-    let first = chat(cluster.daemons[0].front, "which edition?", &headers, json!({}));
+    let first = chat(cluster.daemons[0].front_address, "which edition?", &headers, json!({}));
     assert_eq!((first.status, first.header("gatespool-recorded")), (200, "now"));
     cluster.daemons[0].kill();
     let again = wait_for("the resend is answered", || {
-        let reply = chat(cluster.daemons[1].front, "which edition?", &headers, json!({}));
-        (reply.status == 200).then_some(reply)
+        let response =
+            chat(cluster.daemons[1].front_address, "which edition?", &headers, json!({}));
+        (response.status == 200).then_some(response)
     });
     assert_eq!(again.header("gatespool-replayed"), "true");
     assert_eq!(again.text(), first.text());
@@ -188,7 +189,12 @@
     let ask = |cluster: &Cluster, daemon: usize, n: usize| {
         let key = format!("answer-{n}");
         let prompt = format!("question {n}");
-        chat(cluster.daemons[daemon].front, &prompt, &[("idempotency-key", &key)], json!({}))
+        chat(
+            cluster.daemons[daemon].front_address,
+            &prompt,
+            &[("idempotency-key", &key)],
+            json!({}),
+        )
     };
     for n in 0..30 {
         assert_eq!(ask(&cluster, n % 3, n).status, 200);
@@ -202,8 +208,8 @@
     cluster.daemons.push(fresh);
     for n in 0..30 {
         let again = wait_for("the resend is answered", || {
-            let reply = ask(&cluster, 0, n);
-            (reply.status == 200).then_some(reply)
+            let response = ask(&cluster, 0, n);
+            (response.status == 200).then_some(response)
         });
         assert_eq!(again.header("gatespool-replayed"), "true", "question {n}");
     }
@@ -218,7 +224,7 @@
     let mut cluster = Cluster::start(Plan { settings, ..Plan::default() });
     let ask = |cluster: &Cluster, daemon: usize, n: usize| {
         let key = format!("answer-{n}");
-        chat(cluster.daemons[daemon].front, &key, &[("idempotency-key", &key)], json!({}))
+        chat(cluster.daemons[daemon].front_address, &key, &[("idempotency-key", &key)], json!({}))
     };
     let rate = |cluster: &Cluster, rate: f64| {
         cluster.platform_fault(Control { writes_per_second: Some(rate), ..Control::default() });
@@ -241,8 +247,8 @@
     let runs = cluster.runs().len();
     for n in 0..24 {
         let again = wait_for("the resend is answered", || {
-            let reply = ask(&cluster, 0, n);
-            (reply.status == 200).then_some(reply)
+            let response = ask(&cluster, 0, n);
+            (response.status == 200).then_some(response)
         });
         assert_eq!(again.header("gatespool-replayed"), "true", "answer {n}");
     }
@@ -262,7 +268,7 @@
     cluster.wait_job(0, &job, "finished");
     let asked = |cluster: &Cluster, n: usize| {
         let key = format!("answer-{n}");
-        chat(cluster.daemons[0].front, &key, &[("idempotency-key", &key)], json!({}))
+        chat(cluster.daemons[0].front_address, &key, &[("idempotency-key", &key)], json!({}))
     };
     let mut n = 0;
     wait_until("the job's objects and the first entries are deleted", || {
@@ -277,8 +283,8 @@
     cluster.daemons.clear();
     cluster.daemons.push(fresh);
     let again = wait_for("the resend is answered", || {
-        let reply = asked(&cluster, n);
-        (reply.status == 200).then_some(reply)
+        let response = asked(&cluster, n);
+        (response.status == 200).then_some(response)
     });
     assert_eq!(again.header("gatespool-replayed"), "true");
 }
@@ -288,16 +294,17 @@
     let settings =
         vec![String::from("batch.chunk_items = 256"), String::from("batch.enabled = false")];
     let cluster = Cluster::start(Plan { settings, ..Plan::default() });
-    let (_, before) = cluster.daemons[0].usage();
+    let (_, before) = cluster.daemons[0].cpu_ticks_and_rss_kib();
     let accepted = cluster.submit(0, "night", &items("Describe copy number", 290_000));
     assert_eq!(accepted.status, 201, "{accepted:?}");
     let job = job_of(&accepted);
-    let (_, after) = cluster.daemons[0].usage();
+    let (_, after) = cluster.daemons[0].cpu_ticks_and_rss_kib();
     // The body is some 12 MB; a chunk is some 10 kB.
     assert!(after < before + 40_000, "resident memory grew from {before} to {after} KiB");
     assert!(cluster.platform.counts().largest < 1 << 20);
     assert_eq!(cluster.status(1, &job)["items"], 290_000);
-    let cancel = call("POST", cluster.daemons[2].front, &format!("/v1/jobs/{job}/cancel"), &[], "");
+    let cancel =
+        call("POST", cluster.daemons[2].front_address, &format!("/v1/jobs/{job}/cancel"), &[], "");
     assert_eq!(cancel.json()["phase"], "cancelled");
     let path = format!("/v1/jobs/{job}/results?from=289500&limit=1000");
     let page = cluster.daemons[1].get(&path).json();
@@ -310,7 +317,7 @@
 #[test]
 fn a_chunk_whose_holder_lost_its_targets_is_given_back() {
     let engine = Config { token: Duration::from_millis(20), ..Config::default() };
-    let plan = Plan { daemons: 1, engines: 1, engine, centres: 1, ..Plan::default() };
+    let plan = Plan { daemons: 1, engines: 1, engine, data_centres: 1, ..Plan::default() };
     let mut cluster = Cluster::start(plan);
     let job = job_of(&cluster.submit(0, "night", &items("describe", 200)));
     wait_until("work began", || cluster.runs().len() > 8);
--- a/crates/daemon/tests/gateway_batch.rs
+++ b/crates/daemon/tests/gateway_batch.rs
@@ -19,8 +19,9 @@
     for n in 0..3 {
         assert_eq!(fleet.wait_results(n, "job"), results, "the same order everywhere");
         let path = "/items/job?id=b";
-        let reply = client::call("GET", fleet.gateways[n].front, path, &[("host", HOST)], "");
-        assert_eq!((reply.status, &reply.body[..]), (200, &b"prompt"[..]));
+        let response =
+            client::call("GET", fleet.gateways[n].front_address, path, &[("host", HOST)], "");
+        assert_eq!((response.status, &response.body[..]), (200, &b"prompt"[..]));
     }
     assert_eq!(fleet.results(1, "unknown", 0).status, 404);
 }
@@ -39,8 +40,8 @@
 fn an_answer_of_the_platform_that_is_lost_loses_no_job() {
     let fleet = Fleet::start(Plan::default());
     fleet.objects.set_faults(Faults { lost: 1, ..Faults::default() });
-    let reply = fleet.submit(0, "lost", &["a"]);
-    assert_eq!(reply.status, 202, "{reply:?}");
+    let response = fleet.submit(0, "lost", &["a"]);
+    assert_eq!(response.status, 202, "{response:?}");
     assert_results(&fleet.wait_results(1, "lost"), &["a"], 10);
     assert_eq!(fleet.runs("/batch/").len(), 1);
 }
@@ -52,9 +53,9 @@
     let fleet = Fleet::start(Plan::default());
     let late_by = Duration::from_millis(1_500);
     fleet.objects.set_faults(Faults { late: 1, late_by, ..Faults::default() });
-    let reply = fleet.submit(0, "late", &["a"]);
+    let response = fleet.submit(0, "late", &["a"]);
     std::thread::sleep(Duration::from_millis(2_000));
-    match reply.status {
+    match response.status {
         202 => assert_results(&fleet.wait_results(1, "late"), &["a"], 10),
         503 => panic!("nobody can promise that the write isn't done"),
         _ => {
@@ -68,9 +69,9 @@
 fn without_the_platform_a_job_is_refused_and_never_runs() {
     let fleet = Fleet::start(Plan::default());
     fleet.objects.set_faults(Faults { away: true, ..Faults::default() });
-    let reply = fleet.submit(0, "refused", &["a"]);
-    assert_eq!(reply.status, 503, "{reply:?}");
-    assert!(!reply.header("retry-after").is_empty());
+    let response = fleet.submit(0, "refused", &["a"]);
+    assert_eq!(response.status, 503, "{response:?}");
+    assert!(!response.header("retry-after").is_empty());
     fleet.objects.set_faults(Faults::default());
     std::thread::sleep(Duration::from_millis(1_500));
     assert!(fleet.objects.get(JOBS, "refused").is_none());
@@ -110,12 +111,12 @@
 
 #[test]
 fn what_may_wait_on_a_route_is_bounded_over_all_instances() {
-    let plan = Plan { waiting_tokens: 350, ..slow_plan() };
+    let plan = Plan { max_queued_tokens: 350, ..slow_plan() };
     let fleet = Fleet::start(plan);
     assert_eq!(fleet.submit(0, "first", &["a", "b", "c"]).status, 202);
     std::thread::sleep(Duration::from_millis(200));
-    let reply = fleet.submit(1, "second", &["d"]);
-    assert_eq!(reply.status, 429, "{reply:?}");
+    let response = fleet.submit(1, "second", &["d"]);
+    assert_eq!(response.status, 429, "{response:?}");
     assert_eq!(fleet.submit(2, "first", &["a", "b", "c"]).status, 202, "it was taken before");
     fleet.wait_results(0, "first");
     wait_until("there is room again", || fleet.submit(1, "second", &["d"]).status == 202);
@@ -147,7 +148,7 @@
     assert_eq!(fleet.wait_results(1, "long"), results, "the same, at the same positions");
     let body = client::call(
         "GET",
-        fleet.gateways[0].front,
+        fleet.gateways[0].front_address,
         "/items/long?id=item-59",
         &[("host", HOST)],
         "",
@@ -192,14 +193,14 @@
 /// which took it for open ever after: its tokens filled the route there for good.
 #[test]
 fn a_lost_word_that_a_job_is_settled_is_made_up_for() {
-    let fleet = Fleet::start(Plan { waiting_tokens: 100, ..slow_plan() });
+    let fleet = Fleet::start(Plan { max_queued_tokens: 100, ..slow_plan() });
     assert_eq!(fleet.submit(0, "first", &["a"]).status, 202);
     // The next instance of the same data centre hears of it before the 202.
     assert_eq!(fleet.submit(1, "second", &["b"]).status, 429);
     // From now on nobody reaches that one, which reaches everybody.
-    let address = [fleet.gateways[1].peer];
-    fleet.gateways[0].cut_off(&address);
-    fleet.gateways[2].cut_off(&address);
+    let address = [fleet.gateways[1].peer_address];
+    fleet.gateways[0].set_unreachable(&address);
+    fleet.gateways[2].set_unreachable(&address);
     std::thread::sleep(Duration::from_millis(200)); // Cuts are read every 50 ms.
     assert_eq!(fleet.end(0, "first").status, 200);
     wait_until("there is room again", || fleet.submit(1, "second", &["b"]).status == 202);
--- a/crates/daemon/tests/gateway_crash.rs
+++ b/crates/daemon/tests/gateway_crash.rs
@@ -6,7 +6,7 @@
 use standin::runner::{Config, Runner};
 use std::net::SocketAddr;
 use std::time::Duration;
-use util::gateway::{Fleet, Plan, data_of};
+use util::gateway::{Fleet, Plan, event_data};
 use util::wait_until;
 
 /// Targets before the gateways of these tests.
@@ -47,8 +47,8 @@
 fn a_request_that_crashed_three_targets_reaches_no_further_one() {
     let fleet = fleet("/ask/deadly");
     for n in 0..12 {
-        let reply = fleet.send(n % 3, "/ask/deadly", &format!("try-{n}"));
-        assert!(reply.status != 200 || !reply.whole, "{reply:?}");
+        let response = fleet.send(n % 3, "/ask/deadly", &format!("try-{n}"));
+        assert!(response.status != 200 || !response.is_complete, "{response:?}");
         // The caller comes again after a while.
         std::thread::sleep(Duration::from_millis(100));
     }
@@ -60,8 +60,8 @@
 /// Has a request crash targets until it is held; gives how many it crashed.
 fn crash_until_held(fleet: &Fleet, path: &str) -> usize {
     for n in 0..6 {
-        let reply = fleet.send(n % 2, path, &format!("{path}-{n}"));
-        if reply.status == 503 {
+        let response = fleet.send(n % 2, path, &format!("{path}-{n}"));
+        if response.status == 503 {
             break;
         }
         std::thread::sleep(Duration::from_millis(100));
@@ -73,9 +73,9 @@
 fn who_sends_a_held_request_is_refused_at_once_and_told_when_to_come_back() {
     let fleet = fleet("/ask/deadly");
     assert_eq!(crash_until_held(&fleet, "/ask/deadly"), 3);
-    let reply = fleet.send(2, "/ask/deadly", "refused");
-    assert_eq!(reply.status, 503);
-    let after: f64 = reply.header("retry-after").parse().expect("seconds");
+    let response = fleet.send(2, "/ask/deadly", "refused");
+    assert_eq!(response.status, 503);
+    let after: f64 = response.header("retry-after").parse().expect("seconds");
     assert!((8.0..=12.0).contains(&after), "{after}");
 }
 
@@ -83,8 +83,8 @@
 fn a_stream_that_may_be_resumed_stops_being_sent_on() {
     let fleet = fleet("/talk/deadly");
     for n in 0..6 {
-        let reply = fleet.send(n % 3, "/talk/deadly", &format!("talk-{n}"));
-        assert!(!reply.whole || reply.status != 200, "{reply:?}");
+        let response = fleet.send(n % 3, "/talk/deadly", &format!("talk-{n}"));
+        assert!(!response.is_complete || response.status != 200, "{response:?}");
         std::thread::sleep(Duration::from_millis(100));
     }
     // One call is sent to two targets, so the word of the third crash may come too late
@@ -121,9 +121,9 @@
     // Whatever became of these calls, their like is served when it comes again.
     for n in 0..12 {
         let id = format!("again-{n}");
-        let reply = fleet.send(n % 3, &format!("/talk/{n}"), &id);
-        assert_eq!((reply.status, reply.whole), (200, true), "{reply:?}");
-        assert_eq!(data_of(&reply), Runner::text(&id, 30));
+        let response = fleet.send(n % 3, &format!("/talk/{n}"), &id);
+        assert_eq!((response.status, response.is_complete), (200, true), "{response:?}");
+        assert_eq!(event_data(&response), Runner::text(&id, 30));
     }
 }
 
@@ -178,9 +178,10 @@
 #[test]
 fn an_instance_that_is_cut_off_from_the_others_learns_what_is_held() {
     let fleet = fleet("/ask/deadly");
-    let peers: Vec<SocketAddr> = fleet.gateways.iter().map(|gateway| gateway.peer).collect();
-    fleet.gateways[2].cut_off(&peers[..2]);
-    fleet.gateways[..2].iter().for_each(|gateway| gateway.cut_off(&peers[2..]));
+    let peers: Vec<SocketAddr> =
+        fleet.gateways.iter().map(|gateway| gateway.peer_address).collect();
+    fleet.gateways[2].set_unreachable(&peers[..2]);
+    fleet.gateways[..2].iter().for_each(|gateway| gateway.set_unreachable(&peers[2..]));
     // The cut is taken note of within 50 ms.
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(crash_until_held(&fleet, "/ask/deadly"), 3);
--- a/crates/daemon/tests/gateway_holders.rs
+++ b/crates/daemon/tests/gateway_holders.rs
@@ -7,7 +7,7 @@
 use standin::objects::Faults;
 use standin::runner::Config;
 use std::time::Duration;
-use util::batch::{Lines, assert_results, slow_plan};
+use util::batch::{LogLines, assert_results, slow_plan};
 use util::gateway::{Fleet, Plan};
 use util::proxy::Mode;
 use util::wait_until;
@@ -18,8 +18,8 @@
     let items = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"];
     assert_eq!(fleet.submit(0, "orphan", &items).status, 202);
     wait_until("some results are listed", || {
-        let reply = fleet.results(1, "orphan", 0);
-        reply.status == 200 && !reply.json()["results"].as_array().expect("a list").is_empty()
+        let response = fleet.results(1, "orphan", 0);
+        response.status == 200 && !response.json()["results"].as_array().expect("a list").is_empty()
     });
     let before = fleet.results(1, "orphan", 0).json()["results"].clone();
     let before = before.as_array().expect("a list").clone();
@@ -93,16 +93,18 @@
 fn a_holder_that_is_no_member_hears_of_its_jobs_end() {
     let fleet = Fleet::start(slow_plan());
     assert_eq!(fleet.submit(0, "cut", &["a", "b"]).status, 202);
-    let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer).collect();
-    fleet.gateways[2].cut_off(&peers[..2]);
-    fleet.gateways[0].cut_off(&peers[2..]);
-    fleet.gateways[1].cut_off(&peers[2..]);
+    let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer_address).collect();
+    fleet.gateways[2].set_unreachable(&peers[..2]);
+    fleet.gateways[0].set_unreachable(&peers[2..]);
+    fleet.gateways[1].set_unreachable(&peers[2..]);
     // A suspect is still a member, and would be asked itself.
     let has_lost_both = |line: Value| line["lost"] == 2;
-    wait_until("it is alone", || fleet.log(2).last_of("members").is_some_and(has_lost_both));
-    fleet.gateways.iter().for_each(|gateway| gateway.cut_off(&[]));
+    wait_until("it is alone", || fleet.log(2).last_message("members").is_some_and(has_lost_both));
+    fleet.gateways.iter().for_each(|gateway| gateway.set_unreachable(&[]));
     assert_eq!(fleet.end(2, "cut").status, 200);
-    wait_until("the holder hears of it", || fleet.log(0).last_of("job ended elsewhere").is_some());
+    wait_until("the holder hears of it", || {
+        fleet.log(0).last_message("job ended elsewhere").is_some()
+    });
 }
 
 /// Regression: a holder whose job had been taken over while it was cut off found that
@@ -119,10 +121,10 @@
     assert_eq!(fleet.submit(0, "taken", &items).status, 202);
     wait_until("some are done", || fleet.runs("/batch/").len() > 8);
     fleet.gateways[0].freeze();
-    let is_taken_over = |n: usize| fleet.log(n).last_of("job taken over").is_some();
+    let is_taken_over = |n: usize| fleet.log(n).last_message("job taken over").is_some();
     wait_until("another takes over", || is_taken_over(1) || is_taken_over(2));
     fleet.gateways[0].thaw();
-    wait_until("it finds out", || fleet.log(0).last_of("job overtaken").is_some());
+    wait_until("it finds out", || fleet.log(0).last_message("job overtaken").is_some());
     let results = fleet.wait_results(1, "taken");
     assert_eq!(results.len(), items.len());
     let lines = fleet.log(0);
@@ -136,19 +138,21 @@
 /// and gave up. The job lay for the rest of the day.
 #[test]
 fn a_holder_that_cannot_read_its_job_tries_again() {
-    let (fleet, proxies) = Fleet::start_proxied(Plan::default());
+    let (fleet, proxies) = Fleet::start_with_platform_proxies(Plan::default());
     let late_by = Duration::from_millis(300);
     fleet.objects.set_faults(Faults { late: 1, late_by, ..Faults::default() });
     std::thread::scope(|scope| {
         let first = scope.spawn(|| fleet.submit(0, "lying", &["a"]).status);
         std::thread::sleep(Duration::from_millis(150));
-        proxies[0].set(Mode::Silent);
+        proxies[0].set_mode(Mode::Stall);
         // By the word of another instance, or nobody can say.
         assert!(matches!(first.join().expect("an answer"), 202 | 502));
     });
     assert_eq!(fleet.submit(1, "lying", &["a"]).status, 202);
-    wait_until("its holder can't read it", || fleet.log(0).last_of("job not taken over").is_some());
-    proxies[0].set(Mode::Pass);
+    wait_until("its holder can't read it", || {
+        fleet.log(0).last_message("job not taken over").is_some()
+    });
+    proxies[0].set_mode(Mode::Pass);
     assert_results(&fleet.wait_results(1, "lying"), &["a"], 10);
 }
 
@@ -158,9 +162,9 @@
     let fleet = Fleet::start(Plan::default());
     let late_by = Duration::from_millis(300);
     fleet.objects.set_faults(Faults { late: 1, late_by, ..Faults::default() });
-    let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer).collect();
+    let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer_address).collect();
     let cut = |addresses: &[std::net::SocketAddr]| {
-        fleet.gateways[1..].iter().for_each(|gateway| gateway.cut_off(addresses));
+        fleet.gateways[1..].iter().for_each(|gateway| gateway.set_unreachable(addresses));
         std::thread::sleep(Duration::from_millis(80)); // Cuts are read every 50 ms.
     };
     std::thread::scope(|scope| {
@@ -183,14 +187,14 @@
 #[test]
 fn an_instance_that_stops_while_cut_off_passes_its_jobs_on_once_it_can() {
     let fleet = Fleet::start(slow_plan());
-    let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer).collect();
-    fleet.gateways[0].cut_off(&peers[1..]);
-    fleet.gateways[1].cut_off(&peers[..1]);
-    fleet.gateways[2].cut_off(&peers[..1]);
+    let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer_address).collect();
+    fleet.gateways[0].set_unreachable(&peers[1..]);
+    fleet.gateways[1].set_unreachable(&peers[..1]);
+    fleet.gateways[2].set_unreachable(&peers[..1]);
     let has_lost = |line: Value, lost| line["lost"] == lost;
     for (n, lost) in [(0, 2), (1, 1), (2, 1)] {
         wait_until("the cut is noticed", || {
-            fleet.log(n).last_of("members").is_some_and(|line| has_lost(line, lost))
+            fleet.log(n).last_message("members").is_some_and(|line| has_lost(line, lost))
         });
     }
     // The look through all jobs that follows a loss is over.
@@ -198,7 +202,7 @@
     assert_eq!(fleet.submit(0, "alone", &["a"]).status, 202);
     fleet.gateways[0].terminate();
     std::thread::sleep(Duration::from_millis(500));
-    fleet.gateways.iter().for_each(|gateway| gateway.cut_off(&[]));
+    fleet.gateways.iter().for_each(|gateway| gateway.set_unreachable(&[]));
     assert_results(&fleet.wait_results(2, "alone"), &["a"], 40);
 }
 
@@ -206,12 +210,12 @@
 /// holder had learnt and not yet written was lost when it stopped.
 #[test]
 fn an_item_that_can_never_be_done_runs_once_though_its_job_changes_hands() {
-    let (fleet, proxies) = Fleet::start_proxied(slow_plan());
+    let (fleet, proxies) = Fleet::start_with_platform_proxies(slow_plan());
     fleet.runners.iter().for_each(|runner| runner.fail("never", 422));
     assert_eq!(fleet.submit(0, "handed", &["never", "a", "b"]).status, 202);
     wait_until("it was tried", || !fleet.runs("/batch/never").is_empty());
     // The verdict reaches the holder, and not the platform.
-    proxies[0].set(Mode::Silent);
+    proxies[0].set_mode(Mode::Stall);
     std::thread::sleep(Duration::from_millis(100));
     fleet.gateways[0].terminate();
     let results = fleet.wait_results(1, "handed");
@@ -227,16 +231,16 @@
 #[test]
 fn a_holder_that_was_overtaken_tells_what_it_has_learnt() {
     let fleet = Fleet::start(slow_plan());
-    let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer).collect();
+    let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer_address).collect();
     // Two rounds on the slots that there are, so that some are under way all the time.
     let items: Vec<String> = (10..26).map(|n| format!("item-{n}")).collect();
     let items: Vec<&str> = items.iter().map(String::as_str).collect();
     assert_eq!(fleet.submit(0, "taken", &items).status, 202);
-    fleet.gateways[0].cut_off(&peers[1..]);
-    fleet.gateways[1].cut_off(&peers[..1]);
-    fleet.gateways[2].cut_off(&peers[..1]);
-    wait_until("it finds out", || fleet.log(0).last_of("job overtaken").is_some());
-    fleet.gateways.iter().for_each(|gateway| gateway.cut_off(&[]));
-    wait_until("it tells", || fleet.log(0).last_of("what was learnt passed on").is_some());
+    fleet.gateways[0].set_unreachable(&peers[1..]);
+    fleet.gateways[1].set_unreachable(&peers[..1]);
+    fleet.gateways[2].set_unreachable(&peers[..1]);
+    wait_until("it finds out", || fleet.log(0).last_message("job overtaken").is_some());
+    fleet.gateways.iter().for_each(|gateway| gateway.set_unreachable(&[]));
+    wait_until("it tells", || fleet.log(0).last_message("what was learnt passed on").is_some());
     assert_results(&fleet.wait_results(1, "taken"), &items, 40);
 }
--- a/crates/daemon/tests/gateway_leaving.rs
+++ b/crates/daemon/tests/gateway_leaving.rs
@@ -62,7 +62,7 @@
 /// Has the watches that wait begin anew, so that they have most of their time left.
 fn renew_watches(fleet: &Fleet) {
     let before = fleet.objects.counts().watches;
-    fleet.touch_entry(1);
+    fleet.touch_runner_entry(1);
     wait_until("watches begin anew", || fleet.objects.counts().watches > before);
     // Several watch; a watcher pauses after a change.
     std::thread::sleep(Duration::from_millis(500));
@@ -76,7 +76,7 @@
     renew_watches(&fleet);
     fleet.objects.strand_watches();
     let left = Instant::now();
-    fleet.set_state(0, "draining");
+    fleet.set_runner_state(0, "draining");
     send_on(&fleet, &[0, 1, 2], WATCHED);
     check_left_alone(&fleet, 0, left);
 }
@@ -86,13 +86,13 @@
 #[test]
 fn another_watches_when_the_platform_is_silent_to_a_watcher() {
     let plan = Plan { gateways: vec!["east", "east", "east"], ..Plan::default() };
-    let (fleet, proxies) = Fleet::start_proxied(plan);
+    let (fleet, proxies) = Fleet::start_with_platform_proxies(plan);
     renew_watches(&fleet);
     let watchers: Vec<usize> = (0..3).filter(|n| watches_targets(&fleet, *n)).collect();
     assert_eq!(watchers.len(), 1, "one in each data centre");
-    watchers.iter().for_each(|n| proxies[*n].set(Mode::Silent));
+    watchers.iter().for_each(|n| proxies[*n].set_mode(Mode::Stall));
     let left = Instant::now();
-    fleet.set_state(0, "draining");
+    fleet.set_runner_state(0, "draining");
     send_on(&fleet, &[0, 1, 2], WATCHED);
     check_left_alone(&fleet, 0, left);
 }
@@ -108,22 +108,23 @@
         runners: vec![("east", runner("r0")), ("east", runner("r1")), ("west", runner("r2"))],
         ..Plan::default()
     };
-    let (fleet, proxies) = Fleet::start_proxied(plan);
+    let (fleet, proxies) = Fleet::start_with_platform_proxies(plan);
     // The account of the east hears nothing new: not from the platform, nor by
     // asking others. They reach it, and it answers what they ask.
-    let peers: Vec<SocketAddr> = fleet.gateways.iter().map(|gateway| gateway.peer).collect();
-    proxies[0].set(Mode::Silent);
-    fleet.gateways[0].cut_off(&peers[1..]);
-    fleet.gateways[1..].iter().for_each(|gateway| gateway.cut_off(&peers[..1]));
+    let peers: Vec<SocketAddr> =
+        fleet.gateways.iter().map(|gateway| gateway.peer_address).collect();
+    proxies[0].set_mode(Mode::Stall);
+    fleet.gateways[0].set_unreachable(&peers[1..]);
+    fleet.gateways[1..].iter().for_each(|gateway| gateway.set_unreachable(&peers[..1]));
     std::thread::sleep(Duration::from_millis(200));
     let left = Instant::now();
-    fleet.set_state(0, "draining");
+    fleet.set_runner_state(0, "draining");
     let knows = |n: usize| {
         let lines = fleet.log(n);
         lines.iter().any(|l| l["msg"] == "target" && l["target"] == "r0" && l["leaving"] == true)
     };
     wait_until("the west knows", || knows(1) && knows(2));
-    fleet.gateways[1..].iter().for_each(|gateway| gateway.cut_off(&[]));
+    fleet.gateways[1..].iter().for_each(|gateway| gateway.set_unreachable(&[]));
     std::thread::sleep((left + BOUND).saturating_duration_since(Instant::now()));
     assert!(!knows(0), "the premise: the account's keeper doesn't know");
     let items: Vec<String> = (0..24).map(|n| format!("item-{n}")).collect();
@@ -144,27 +145,27 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let plan = Plan { gateways: vec!["east", "east", "east", "west", "west"], ..Plan::default() };
     let all: Vec<usize> = (0..plan.gateways.len()).collect();
-    let (fleet, proxies) = Fleet::start_proxied(plan);
+    let (fleet, proxies) = Fleet::start_with_platform_proxies(plan);
     for round in 0..ROUNDS {
         renew_watches(&fleet);
         let mut gateways = all.clone();
         gateways.shuffle(&mut rng);
         let (struck, sound) = gateways.split_at(rng.random_range(1..all.len()));
-        let mode = [Mode::Silent, Mode::OneWay, Mode::Reset][rng.random_range(0..3)];
-        struck.iter().for_each(|n| proxies[*n].set(mode));
+        let mode = [Mode::Stall, Mode::StallResponses, Mode::Reset][rng.random_range(0..3)];
+        struck.iter().for_each(|n| proxies[*n].set_mode(mode));
         std::thread::sleep(Duration::from_millis(rng.random_range(0..1_500)));
         let left = Instant::now();
         let has_word = rng.random_bool(0.5);
         if has_word {
-            fleet.set_state(0, "draining");
+            fleet.set_runner_state(0, "draining");
         } else {
             fleet.objects.remove("servers", "r0");
         }
         println!("seed {seed}, round {round}: {mode:?} for {struck:?}, word {has_word}");
         send_on(&fleet, sound, Duration::from_millis(700));
         check_left_alone(&fleet, 0, left);
-        proxies.iter().for_each(|proxy| proxy.set(Mode::Pass));
-        fleet.set_state(0, "ready");
+        proxies.iter().for_each(|proxy| proxy.set_mode(Mode::Pass));
+        fleet.set_runner_state(0, "ready");
         wait_until("all use it again", || {
             let before = fleet.runners[0].runs().len();
             all.iter().for_each(|n| {
--- a/crates/daemon/tests/gateway_online.rs
+++ b/crates/daemon/tests/gateway_online.rs
@@ -5,7 +5,7 @@
 use standin::objects;
 use standin::runner::{Config, Faults, Runner};
 use std::time::{Duration, Instant};
-use util::gateway::{Fleet, Plan, data_of};
+use util::gateway::{Fleet, Plan, event_data};
 use util::{wait_for, wait_until};
 
 #[test]
@@ -13,11 +13,11 @@
     let fleet = Fleet::start(Plan::default());
     for n in 0..3 {
         let id = format!("whole-{n}");
-        let reply = fleet.send(n, "/ask/1", &id);
-        assert_eq!((reply.status, reply.whole), (200, true));
-        assert_eq!(data_of(&reply), Runner::text(&id, 10));
-        assert_eq!(reply.header("x-gatespool-request-id"), id);
-        assert!(reply.header("x-gatespool-server-stamp").ends_with(&id));
+        let response = fleet.send(n, "/ask/1", &id);
+        assert_eq!((response.status, response.is_complete), (200, true));
+        assert_eq!(event_data(&response), Runner::text(&id, 10));
+        assert_eq!(response.header("x-gatespool-request-id"), id);
+        assert!(response.header("x-gatespool-server-stamp").ends_with(&id));
     }
     assert_eq!(fleet.send(0, "/nowhere/1", "lost").status, 404);
 }
@@ -32,8 +32,8 @@
 fn a_stream_that_may_run_once_is_broken_off_and_not_sent_again() {
     let fleet = Fleet::start(Plan::default());
     fleet.runners.iter().for_each(|r| r.set_faults(Faults { cut: 1, ..Faults::default() }));
-    let reply = fleet.send(0, "/ask/cut", "once");
-    assert!(!reply.whole, "a broken answer must not look whole: {reply:?}");
+    let response = fleet.send(0, "/ask/cut", "once");
+    assert!(!response.is_complete, "a broken answer must not look whole: {response:?}");
     assert_eq!(fleet.runs("/ask/cut").len(), 1);
 }
 
@@ -52,9 +52,9 @@
         // The first run is to be cut; the next one isn't.
         wait_until("the first run", || !fleet.runs("/talk/cut").is_empty());
         fleet.runners.iter().for_each(|r| r.set_faults(Faults::default()));
-        let reply = call.join().expect("an answer");
-        assert!(reply.whole);
-        assert_eq!(data_of(&reply), Runner::text("again", 10));
+        let response = call.join().expect("an answer");
+        assert!(response.is_complete);
+        assert_eq!(event_data(&response), Runner::text("again", 10));
     });
     let runs = fleet.runs("/talk/cut");
     assert_eq!(runs.iter().filter(|run| run.after == Some(2)).count(), 1, "{runs:?}");
@@ -64,8 +64,8 @@
 fn an_answer_to_another_request_reaches_nobody() {
     let fleet = Fleet::start(Plan::default());
     fleet.runners.iter().for_each(|r| r.set_faults(Faults { foreign: 1, ..Faults::default() }));
-    let reply = fleet.send(0, "/ask/foreign", "mine");
-    assert_eq!(reply.status, 502, "it may have run, so no refusal: {reply:?}");
+    let response = fleet.send(0, "/ask/foreign", "mine");
+    assert_eq!(response.status, 502, "it may have run, so no refusal: {response:?}");
     assert_eq!(fleet.runs("/ask/foreign").len(), 1);
 }
 
@@ -74,9 +74,9 @@
     let fleet = Fleet::start(Plan::default());
     fleet.runners.iter().for_each(|r| r.set_faults(Faults { full: true, ..Faults::default() }));
     let began = Instant::now();
-    let reply = fleet.send(0, "/ask/full", "refused");
-    assert_eq!(reply.status, 503);
-    let after: f64 = reply.header("retry-after").parse().expect("seconds");
+    let response = fleet.send(0, "/ask/full", "refused");
+    assert_eq!(response.status, 503);
+    let after: f64 = response.header("retry-after").parse().expect("seconds");
     assert!(after > 0.0 && after <= 1.5);
     assert!(began.elapsed() < Duration::from_secs(1), "given up on, so answered at once");
     assert!(fleet.runs("/ask/full").is_empty());
@@ -85,15 +85,15 @@
 /// Once a target may have run a request, no later refusal may deny it.
 #[test]
 fn no_refusal_after_a_send_that_may_have_run() {
-    let fleet = Fleet::start(Plan { attempts: 3, ..Plan::default() });
+    let fleet = Fleet::start(Plan { max_attempts: 3, ..Plan::default() });
     let foreign = Faults { foreign: 1, full: false, ..Faults::default() };
     fleet.runners[0].set_faults(foreign);
     fleet.runners[1].set_faults(Faults { full: true, ..Faults::default() });
     // The first target runs it and answers under another id; by the second it is
     // turned away.
-    let reply = fleet.send(0, "/talk/denied", "denied");
+    let response = fleet.send(0, "/talk/denied", "denied");
     if !fleet.runs("/talk/denied").is_empty() {
-        assert_eq!(reply.status, 502, "{reply:?}");
+        assert_eq!(response.status, 502, "{response:?}");
     }
 }
 
@@ -118,8 +118,8 @@
         for n in 0..3 {
             let fleet = &fleet;
             scope.spawn(move || {
-                let reply = fleet.send(n, "/ask/urgent", &format!("urgent-{n}"));
-                assert_eq!((reply.status, reply.whole), (200, true));
+                let response = fleet.send(n, "/ask/urgent", &format!("urgent-{n}"));
+                assert_eq!((response.status, response.is_complete), (200, true));
             });
         }
         wait_until("online runs", || fleet.runs("/ask/urgent").len() == 3);
@@ -156,16 +156,16 @@
             wait_until("it runs", || fleet.runs("/ask/first").len() > n);
         }
         let began = Instant::now();
-        let reply = fleet.send(0, "/ask/next", "next");
-        assert_eq!((reply.status, reply.whole), (200, true));
+        let response = fleet.send(0, "/ask/next", "next");
+        assert_eq!((response.status, response.is_complete), (200, true));
         assert!(began.elapsed() < Duration::from_secs(2), "waited {:?}", began.elapsed());
     });
     let next = |run: &standin::runner::Run| run.path == "/ask/next";
     assert_eq!(fleet.runners[1].runs().iter().filter(|run| next(run)).count(), 1);
     // Its other place was given up: the slot of the first data centre isn't held
     // for a request that was served elsewhere.
-    let reply = fleet.send(0, "/ask/last", "last");
-    assert_eq!(reply.status, 200);
+    let response = fleet.send(0, "/ask/last", "last");
+    assert_eq!(response.status, 200);
     let last = |run: &standin::runner::Run| run.path == "/ask/last";
     assert_eq!(fleet.runners[0].runs().iter().filter(|run| last(run)).count(), 1);
 }
@@ -188,8 +188,8 @@
         scope.spawn(|| fleet.send(0, "/ask/first", "first"));
         wait_until("it runs", || !fleet.runs("/ask/first").is_empty());
         fleet.gateways[1..].iter().for_each(|gateway| gateway.freeze());
-        let reply = fleet.send(0, "/ask/next", "next");
-        assert_eq!((reply.status, reply.whole), (200, true));
+        let response = fleet.send(0, "/ask/next", "next");
+        assert_eq!((response.status, response.is_complete), (200, true));
         fleet.gateways[1..].iter().for_each(|gateway| gateway.thaw());
     });
     // Lines are written by a thread of their own.
@@ -204,7 +204,7 @@
 #[test]
 fn a_leaving_target_receives_nothing_new() {
     let fleet = Fleet::start(Plan::default());
-    fleet.set_state(0, "draining");
+    fleet.set_runner_state(0, "draining");
     std::thread::sleep(Duration::from_millis(1_000));
     for n in 0..12 {
         assert_eq!(fleet.send(n % 3, "/ask/left", &format!("left-{n}")).status, 200);
@@ -230,8 +230,8 @@
     std::thread::sleep(Duration::from_millis(1_000));
     for n in 0..3 {
         assert_eq!(fleet.send(n, "/ask/lapsed", &format!("lapsed-{n}")).status, 200);
-        fleet.set_state(0, "ready");
-        fleet.set_state(1, "ready");
+        fleet.set_runner_state(0, "ready");
+        fleet.set_runner_state(1, "ready");
     }
 }
 
@@ -259,13 +259,13 @@
     let slow = Config { pace: Duration::from_millis(60), events: 20, ..Config::default() };
     let runners = vec![("east", Config { id: "r0".into(), ..slow })];
     let mut fleet = Fleet::start(Plan { runners, ..Plan::default() });
-    let front = fleet.gateways[0].front;
+    let front = fleet.gateways[0].front_address;
     let call = std::thread::spawn(move || util::gateway::send_to(front, "/ask/stop", "stop", &[]));
     wait_until("it runs", || fleet.runs("/ask/stop").len() == 1);
     fleet.gateways[0].terminate();
-    let reply = call.join().expect("an answer");
-    assert!(reply.whole);
-    assert_eq!(data_of(&reply), Runner::text("stop", 20));
+    let response = call.join().expect("an answer");
+    assert!(response.is_complete);
+    assert_eq!(event_data(&response), Runner::text("stop", 20));
     assert!(fleet.gateways[0].wait_exit().success());
 }
 
@@ -279,7 +279,7 @@
     {
         use std::io::{Read, Write};
         let mut stream =
-            std::net::TcpStream::connect(fleet.gateways[0].front).expect("a connection");
+            std::net::TcpStream::connect(fleet.gateways[0].front_address).expect("a connection");
         let request = "POST /ask/left HTTP/1.1\r\nHost: a.example\r\nContent-Length: 0\r\n\
                        X-Gatespool-Request-Id: leaver\r\n\r\n";
         stream.write_all(request.as_bytes()).expect("sent");
@@ -339,7 +339,7 @@
 #[test]
 fn new_seeds_are_used_after_a_reload() {
     let fleet = Fleet::start(Plan::default());
-    let file = fleet.folder.join("gateway-2.ini");
+    let file = fleet.dir.join("gateway-2.ini");
     let text = std::fs::read_to_string(&file).expect("its settings");
     let seeds = text.lines().find(|line| line.starts_with("seeds = ")).expect("its seeds");
     std::fs::write(&file, text.replace(seeds, "seeds = 127.0.0.1:9")).expect("a file");
--- a/crates/daemon/tests/gateway_registry.rs
+++ b/crates/daemon/tests/gateway_registry.rs
@@ -44,8 +44,8 @@
     fleet.configure(7);
     fleet.wait_ready();
     for n in 0..12 {
-        let reply = fleet.send(n % 3, "/ask/sound", &format!("sound-{n}"));
-        assert_eq!((reply.status, reply.whole), (200, true));
+        let response = fleet.send(n % 3, "/ask/sound", &format!("sound-{n}"));
+        assert_eq!((response.status, response.is_complete), (200, true));
     }
     assert!(runs_of(&fleet, 0, "/ask/sound") > 0 && runs_of(&fleet, 1, "/ask/sound") > 0);
     let named = |line: &Value| line["target"].as_str().is_some_and(|id| id.starts_with("a-stray"));
@@ -66,7 +66,7 @@
         assert_eq!(fleet.send(n % 3, "/ask/bad", &format!("bad-{n}")).status, 200);
     }
     assert_eq!(runs_of(&fleet, 0, "/ask/bad"), 0);
-    fleet.set_state(0, "ready");
+    fleet.set_runner_state(0, "ready");
     wait_until("it is used again", || {
         fleet.send(0, "/ask/good", "good");
         runs_of(&fleet, 0, "/ask/good") > 0
@@ -82,14 +82,14 @@
     // Soon after a start a removal counts only once it has lasted.
     std::thread::sleep(Duration::from_millis(2_600));
     // After a change a watch rests for a moment; what comes then comes in one answer.
-    fleet.touch_entry(0);
+    fleet.touch_runner_entry(0);
     std::thread::sleep(Duration::from_millis(60));
     fleet.objects.remove("servers", "r0");
-    fleet.reborn(0, 1);
+    fleet.reregister(0, 1);
     std::thread::sleep(Duration::from_millis(600));
     for n in 0..6 {
-        let reply = fleet.send(n % 3, "/ask/back", &format!("back-{n}"));
-        assert_eq!((reply.status, reply.whole), (200, true));
+        let response = fleet.send(n % 3, "/ask/back", &format!("back-{n}"));
+        assert_eq!((response.status, response.is_complete), (200, true));
     }
 }
 
@@ -106,12 +106,12 @@
         fleet.send(n % 3, "/ask/down", &format!("down-{n}"));
     }
     std::thread::sleep(Duration::from_millis(400));
-    fleet.reborn(0, 2);
+    fleet.reregister(0, 2);
     std::thread::sleep(Duration::from_millis(300));
     for n in 0..3 {
         let began = Instant::now();
-        let reply = fleet.send(n, "/ask/up", &format!("up-{n}"));
-        assert_eq!((reply.status, reply.whole), (200, true), "{reply:?}");
+        let response = fleet.send(n, "/ask/up", &format!("up-{n}"));
+        assert_eq!((response.status, response.is_complete), (200, true), "{response:?}");
         assert!(began.elapsed() < Duration::from_millis(300), "waited {:?}", began.elapsed());
     }
 }
--- a/crates/daemon/tests/gateway_silence.rs
+++ b/crates/daemon/tests/gateway_silence.rs
@@ -23,11 +23,12 @@
 fn a_configuration_is_in_force_in_time_though_connections_fell_silent() {
     let runners = vec![("east", Config { id: String::from("r0"), ..Config::default() })];
     let fleet = Fleet::start(Plan { gateways: vec!["east"; 10], runners, ..Plan::default() });
-    let peers: Vec<SocketAddr> = fleet.gateways.iter().map(|gateway| gateway.peer).collect();
+    let peers: Vec<SocketAddr> =
+        fleet.gateways.iter().map(|gateway| gateway.peer_address).collect();
     for version in 8..11 {
         // Connections are open to most by now, by heartbeats and comparisons.
         std::thread::sleep(Duration::from_millis(2_500));
-        fleet.gateways.iter().for_each(|gateway| gateway.silence(&peers));
+        fleet.gateways.iter().for_each(|gateway| gateway.set_unresponsive(&peers));
         std::thread::sleep(Duration::from_millis(60));
         fleet.configure(version);
         let acknowledged = Instant::now();
@@ -36,6 +37,6 @@
             std::thread::sleep(Duration::from_millis(20));
         }
         assert!(behind().is_empty(), "version {version} isn't in force at {:?}", behind());
-        fleet.gateways.iter().for_each(|gateway| gateway.silence(&[]));
+        fleet.gateways.iter().for_each(|gateway| gateway.set_unresponsive(&[]));
     }
 }
--- a/crates/daemon/tests/gateway_suspended.rs
+++ b/crates/daemon/tests/gateway_suspended.rs
@@ -42,7 +42,7 @@
         wait_until("it runs", || !fleet.runs("/ask/first").is_empty());
         let next = scope.spawn(|| fleet.send(0, "/plain/next", "next"));
         std::thread::sleep(Duration::from_millis(300));
-        fleet.gateways[0].suspend(asleep);
+        fleet.gateways[0].simulate_suspension(asleep);
         next.join().expect("an answer").status
     });
     let told = |line: &serde_json::Value| line["msg"] == "was suspended";
@@ -61,7 +61,7 @@
 #[test]
 fn a_gateway_that_wakes_knows_the_configuration_of_the_moment() {
     let fleet = fleet();
-    fleet.gateways[0].suspend(Duration::from_secs(20));
+    fleet.gateways[0].simulate_suspension(Duration::from_secs(20));
     fleet.configure(8);
     wait_until("it is in force", || {
         let in_force = |line: &serde_json::Value| line["version"] == 8;
--- a/crates/daemon/tests/honest_refusal.rs
+++ b/crates/daemon/tests/honest_refusal.rs
@@ -8,7 +8,7 @@
 use std::collections::HashSet;
 use std::sync::Mutex;
 use std::time::Duration;
-use util::client::{Reply, chat, millis};
+use util::client::{Response, chat, unix_millis};
 use util::cluster::{Cluster, Plan, items};
 
 /// Prompts that were refused as not run.
@@ -19,17 +19,17 @@
             let refused = &refused;
             scope.spawn(move || {
                 let prompt = format!("{name} {n}");
-                let front = cluster.daemons[n % cluster.daemons.len()].front;
+                let front = cluster.daemons[n % cluster.daemons.len()].front_address;
                 let repeatable = if once { "false" } else { "true" };
                 let headers = [
                     ("idempotency-key", prompt.as_str()),
                     ("gatespool-repeatable", repeatable),
                     ("gatespool-deadline-ms", "4000"),
                 ];
-                let reply = chat(front, &prompt, &headers, json!({}));
-                check_refusal(&reply);
-                let is_refused = reply.status >= 400;
-                if is_refused && reply.json()["error"]["ran"] == "not_run" {
+                let response = chat(front, &prompt, &headers, json!({}));
+                check_refusal(&response);
+                let is_refused = response.status >= 400;
+                if is_refused && response.json()["error"]["ran"] == "not_run" {
                     refused.lock().expect("no panic").insert(prompt);
                 }
             });
@@ -40,9 +40,9 @@
 
 /// An error that asks to come back says when.
 #[track_caller]
-fn check_refusal(reply: &Reply) {
-    if reply.status == 503 || reply.status == 429 {
-        assert!(!reply.header("retry-after").is_empty(), "{reply:?}");
+fn check_refusal(response: &Response) {
+    if response.status == 503 || response.status == 429 {
+        assert!(!response.header("retry-after").is_empty(), "{response:?}");
     }
 }
 
@@ -89,7 +89,7 @@
         util::wait_until("the offer is made", || {
             let prompt = format!("away {n}");
             let headers = [("idempotency-key", prompt.as_str()), ("gatespool-repeatable", "false")];
-            chat(cluster.daemons[n % 3].front, &prompt, &headers, json!({})).status == 200
+            chat(cluster.daemons[n % 3].front_address, &prompt, &headers, json!({})).status == 200
         });
     }
     let runs = cluster.runs();
@@ -101,10 +101,10 @@
 fn a_key_from_before_the_retention_window_is_refused() {
     let settings = vec![String::from("log.retention_s = 60")];
     let cluster = Cluster::start(Plan { settings, ..Plan::default() });
-    let old = (millis() - 61_000).to_string();
+    let old = (unix_millis() - 61_000).to_string();
     let headers = [("idempotency-key", "old"), ("gatespool-issued", old.as_str())];
-    let reply = chat(cluster.daemons[0].front, "old", &headers, json!({}));
-    assert_eq!(reply.json()["error"]["type"], "key_expired");
+    let response = chat(cluster.daemons[0].front_address, "old", &headers, json!({}));
+    assert_eq!(response.json()["error"]["type"], "key_expired");
     assert!(cluster.runs().is_empty());
 }
 
@@ -116,14 +116,14 @@
         for n in 0..12 {
             let cluster = &cluster;
             scope.spawn(move || {
-                let front = cluster.daemons[n % 3].front;
+                let front = cluster.daemons[n % 3].front_address;
                 let headers = [("gatespool-deadline-ms", "20000")];
                 let began = std::time::Instant::now();
-                let reply = chat(front, &format!("crowd {n}"), &headers, json!({}));
-                check_refusal(&reply);
-                if reply.status == 503 {
+                let response = chat(front, &format!("crowd {n}"), &headers, json!({}));
+                check_refusal(&response);
+                if response.status == 503 {
                     // A limit, not a timing: a tenth of the deadline.
-                    assert!(began.elapsed() < Duration::from_secs(10), "{reply:?}");
+                    assert!(began.elapsed() < Duration::from_secs(10), "{response:?}");
                 }
             });
         }
--- a/crates/daemon/tests/leaving_target.rs
+++ b/crates/daemon/tests/leaving_target.rs
@@ -8,7 +8,7 @@
 use standin::engine::Control as EngineControl;
 use standin::platform::Control;
 use std::time::Duration;
-use util::client::{call, chat, millis};
+use util::client::{call, chat, unix_millis};
 use util::cluster::{Cluster, Plan, items};
 use util::wait_until;
 
@@ -26,8 +26,9 @@
 fn check_no_new_work(cluster: &Cluster, with_jobs: bool) {
     let before = cluster.engines[0].runs().len();
     for n in 0..30 {
-        let reply = chat(cluster.daemons[n % 3].front, &format!("question {n}"), &[], json!({}));
-        assert_eq!(reply.status, 200, "{reply:?}");
+        let response =
+            chat(cluster.daemons[n % 3].front_address, &format!("question {n}"), &[], json!({}));
+        assert_eq!(response.status, 200, "{response:?}");
     }
     if with_jobs {
         let accepted = cluster.submit(1, "night", &items("describe", 60));
@@ -38,7 +39,7 @@
 }
 
 fn list_as_leaving(cluster: &Cluster) {
-    cluster.platform.list_target("t0", cluster.engines_at[0], true);
+    cluster.platform.list_target("t0", cluster.engine_addresses[0], true);
 }
 
 /// The limit of the promise, with room for a busy machine; a wait, no verdict
@@ -77,13 +78,13 @@
 fn by_an_operators_order(#[case] down: bool) {
     let cluster = Cluster::start(Plan::default());
     cluster.platform_down(down);
-    let front = cluster.daemons[2].front;
+    let front = cluster.daemons[2].front_address;
     assert_eq!(call("POST", front, "/v1/targets/t0/leave", &[], "").status, 200);
     wait_left(&cluster);
     check_no_new_work(&cluster, !down);
     assert_eq!(call("POST", front, "/v1/targets/t0/return", &[], "").status, 200);
     wait_until("it is used again", || {
-        chat(cluster.daemons[0].front, &format!("again {}", millis()), &[], json!({}));
+        chat(cluster.daemons[0].front_address, &format!("again {}", unix_millis()), &[], json!({}));
         !cluster.engines[0].runs().is_empty()
     });
 }
@@ -105,7 +106,7 @@
 #[test]
 fn a_daemon_cut_off_from_the_platform_hears_it_from_its_peers() {
     let cluster = Cluster::start(Plan::default());
-    cluster.daemons[1].cut_off(&[cluster.platform_at]);
+    cluster.daemons[1].set_unreachable(&[cluster.platform_address]);
     list_as_leaving(&cluster);
     wait_left(&cluster);
     check_no_new_work(&cluster, false);
@@ -116,7 +117,7 @@
 fn a_stale_list_takes_nothing_back() {
     let cluster = Cluster::start(Plan::default());
     let objects = cluster.platform.objects();
-    cluster.platform.list_target("t0", cluster.engines_at[0], false);
+    cluster.platform.list_target("t0", cluster.engine_addresses[0], false);
     let stale = objects.get(platform::target::KIND, "t0").expect("the entry");
     list_as_leaving(&cluster);
     wait_left(&cluster);
@@ -137,12 +138,12 @@
         ..standin::engine::Config::default()
     };
     let cluster = Cluster::start(Plan { engine, engines: 1, ..Plan::default() });
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     let asked = std::thread::spawn(move || chat(front, "running", &[], json!({ "stream": true })));
     wait_until("it runs", || cluster.engines[0].running()[0] == 1);
-    let front = cluster.daemons[1].front;
+    let front = cluster.daemons[1].front_address;
     assert_eq!(call("POST", front, "/v1/targets/t0/leave", &[], "").status, 200);
-    let (text, done) = asked.join().expect("an answer").streamed();
+    let (text, done) = asked.join().expect("an answer").streamed_text();
     assert!(done, "cut off after {text:?}");
     assert_eq!(text, standin::text::whole("running", None));
 }
--- a/crates/daemon/tests/meets_without_seeds.rs
+++ b/crates/daemon/tests/meets_without_seeds.rs
@@ -10,7 +10,7 @@
 fn an_instance_without_seeds_finds_the_others() {
     let mut cluster = Cluster::start(Plan::default());
     let lone = cluster.new_daemon_in("patan-hall", "peers.seeds = ");
-    wait_until("it meets the others", || lone.alive() == 4);
+    wait_until("it meets the others", || lone.alive_members() == 4);
     cluster.daemons.push(lone);
     cluster.wait_members();
 }
--- a/crates/daemon/tests/online_first.rs
+++ b/crates/daemon/tests/online_first.rs
@@ -44,10 +44,10 @@
     std::thread::scope(|scope| {
         let calls: Vec<_> = (0..calls)
             .map(|n| {
-                let front = cluster.daemons[n % cluster.daemons.len()].front;
+                let front = cluster.daemons[n % cluster.daemons.len()].front_address;
                 let prompt = format!("online {name} {n}");
                 let extra = json!({ "max_tokens": tokens, "stream": true });
-                scope.spawn(move || chat(front, &prompt, &[], extra).streamed().1)
+                scope.spawn(move || chat(front, &prompt, &[], extra).streamed_text().1)
             })
             .collect();
         calls
--- a/crates/daemon/tests/orders_fenced.rs
+++ b/crates/daemon/tests/orders_fenced.rs
@@ -42,9 +42,9 @@
                     let mut served = 0;
                     while !done.load(Ordering::Relaxed) {
                         let prompt = format!("during {daemon} {served}");
-                        let front = cluster.daemons[daemon].front;
-                        let reply = chat(front, &prompt, &[], json!({}));
-                        assert_eq!(reply.status, 200, "{reply:?}");
+                        let front = cluster.daemons[daemon].front_address;
+                        let response = chat(front, &prompt, &[], json!({}));
+                        assert_eq!(response.status, 200, "{response:?}");
                         served += 1;
                     }
                     served
@@ -65,9 +65,11 @@
 #[test]
 fn controllers_that_do_not_see_each_other_order_once() {
     let cluster = start(6, false);
-    let peers: Vec<SocketAddr> = cluster.daemons.iter().map(|daemon| daemon.peer).collect();
-    cluster.daemons.iter().for_each(|daemon| daemon.cut_off(&peers));
-    wait_until("each is alone", || cluster.daemons.iter().all(|daemon| daemon.alive() == 1));
+    let peers: Vec<SocketAddr> = cluster.daemons.iter().map(|daemon| daemon.peer_address).collect();
+    cluster.daemons.iter().for_each(|daemon| daemon.set_unreachable(&peers));
+    wait_until("each is alone", || {
+        cluster.daemons.iter().all(|daemon| daemon.alive_members() == 1)
+    });
     assert_eq!(cluster.apply(0, 1, &version("v2")).status, 200);
     wait_until("every target runs v2", || all_run(&cluster, "v2"));
     let orders: Vec<usize> = cluster.engines.iter().map(|e| e.orders().len()).collect();
@@ -94,8 +96,8 @@
     });
     cluster.daemons[1].freeze();
     wait_until("the change is accepted", || {
-        let reply = cluster.apply(0, 2, &version("v1"));
-        reply.status == 200 || cluster.daemons[0].generation() >= 3
+        let response = cluster.apply(0, 2, &version("v1"));
+        response.status == 200 || cluster.daemons[0].generation() >= 3
     });
     wait_until("every target runs v1 again", || all_run(&cluster, "v1"));
     let last: Vec<_> = cluster.engines.iter().map(|e| e.orders().len()).collect();
@@ -116,8 +118,9 @@
     assert_eq!(cluster.apply(0, 1, &version("v2")).status, 200);
     cluster.wait_generation(2);
     for n in 0..20 {
-        let reply = chat(cluster.daemons[n % 3].front, &format!("only {n}"), &[], json!({}));
-        assert_eq!(reply.status, 200, "{reply:?}");
+        let response =
+            chat(cluster.daemons[n % 3].front_address, &format!("only {n}"), &[], json!({}));
+        assert_eq!(response.status, 200, "{response:?}");
     }
     assert_eq!(cluster.engines[0].version(), "v1");
 }
@@ -131,7 +134,7 @@
     });
     cluster.daemons[2].kill();
     wait_until("every target runs v2", || all_run(&cluster, "v2"));
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     wait_until("every target is used again", || {
         let list = cluster.daemons[0].get("/v1/targets").json();
         let list = list.as_array().cloned().unwrap_or_default();
--- a/crates/daemon/tests/planned_stop.rs
+++ b/crates/daemon/tests/planned_stop.rs
@@ -16,7 +16,7 @@
 fn running_requests_end_whole() {
     let engine = Config { token: Duration::from_millis(60), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     let calls: Vec<_> = (0..12)
         .map(|n| {
             std::thread::spawn(move || {
@@ -24,8 +24,8 @@
                 let headers = [("idempotency-key", key.as_str())];
                 let headers = if n % 3 == 0 { &headers[..] } else { &[] };
                 let prompt = format!("running {n}");
-                let reply = chat(front, &prompt, headers, json!({ "stream": n % 2 == 0 }));
-                (n, prompt, reply)
+                let response = chat(front, &prompt, headers, json!({ "stream": n % 2 == 0 }));
+                (n, prompt, response)
             })
         })
         .collect();
@@ -34,12 +34,12 @@
     let not_ready = || cluster.daemons[0].get("/ready").status != 200;
     wait_until("readiness is withdrawn", not_ready);
     for call in calls {
-        let (n, prompt, reply) = call.join().expect("an answer");
+        let (n, prompt, response) = call.join().expect("an answer");
         let expected = text::whole(&prompt, None);
         if n % 2 == 0 {
-            assert_eq!(reply.streamed(), (expected, true), "{reply:?}");
+            assert_eq!(response.streamed_text(), (expected, true), "{response:?}");
         } else {
-            assert_eq!(reply.text(), expected);
+            assert_eq!(response.text(), expected);
         }
     }
     assert!(cluster.daemons[0].wait_exit().success());
@@ -52,8 +52,8 @@
     let mut cluster = Cluster::start(Plan { settings, ..Plan::default() });
     cluster.daemons[0].terminate();
     wait_until("readiness is withdrawn", || cluster.daemons[0].get("/ready").status != 200);
-    let reply = chat(cluster.daemons[0].front, "one more", &[], json!({}));
-    assert_eq!(reply.status, 200, "{reply:?}");
+    let response = chat(cluster.daemons[0].front_address, "one more", &[], json!({}));
+    assert_eq!(response.status, 200, "{response:?}");
     assert!(cluster.daemons[0].wait_exit().success());
 }
 
@@ -87,13 +87,13 @@
     let settings =
         vec![String::from("stop.bound_ms = 1500"), String::from("targets.idle_ms = 60000")];
     let mut cluster = Cluster::start(Plan { settings, engines: 1, ..Plan::default() });
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     let frozen = standin::engine::Control { frozen: Some(true), ..Default::default() };
     cluster.engines[0].control(frozen);
     let asked = std::thread::spawn(move || chat(front, "hangs", &[], json!({ "stream": true })));
     wait_until("it runs", || cluster.engines[0].running()[0] == 1);
     cluster.daemons[0].terminate();
     assert!(cluster.daemons[0].wait_exit().success());
-    let reply = asked.join().expect("an answer");
-    assert!(!reply.streamed().1);
+    let response = asked.join().expect("an answer");
+    assert!(!response.streamed_text().1);
 }
--- a/crates/daemon/tests/soak/deadly.rs
+++ b/crates/daemon/tests/soak/deadly.rs
@@ -47,7 +47,7 @@
 /// Plays the day of a seed and gives what was broken.
 pub fn play(seed: u64) -> Vec<String> {
     let mut fleet = fleet();
-    let fronts: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.front).collect();
+    let fronts: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.front_address).collect();
     let over = AtomicBool::new(false);
     let mut began = Vec::new();
     std::thread::scope(|scope| {
@@ -89,7 +89,7 @@
             let now = fleet.runners[n].life().starts.load(Ordering::Relaxed);
             if now != *known {
                 *known = now;
-                fleet.reborn(n, now);
+                fleet.reregister(n, now);
             }
         }
         if let Some((at, n)) = undo
@@ -107,7 +107,7 @@
                 && seed >= SUSPENDED
             {
                 asleep[n] += time;
-                fleet.gateways[n].suspend(asleep[n]);
+                fleet.gateways[n].simulate_suspension(asleep[n]);
             }
             strike(fleet, fault);
             undo = Some((Instant::now() + time, n));
@@ -137,10 +137,10 @@
         Fault::Stop(n) => fleet.gateways[n].terminate(),
         Fault::Freeze(n, _) => fleet.gateways[n].freeze(),
         Fault::Peers(n, _) => {
-            let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer).collect();
-            fleet.gateways[n].cut_off(&peers);
+            let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer_address).collect();
+            fleet.gateways[n].set_unreachable(&peers);
             for (_, other) in fleet.gateways.iter().enumerate().filter(|(m, _)| *m != n) {
-                other.cut_off(&[peers[n]]);
+                other.set_unreachable(&[peers[n]]);
             }
         }
         Fault::Store(faults, _) => fleet.objects.set_faults(faults),
@@ -152,7 +152,7 @@
 fn restore(fleet: &mut Fleet, n: usize) -> Vec<Start> {
     let mut began = Vec::new();
     fleet.objects.set_faults(objects::Faults::default());
-    fleet.gateways.iter().for_each(|gateway| gateway.cut_off(&[]));
+    fleet.gateways.iter().for_each(|gateway| gateway.set_unreachable(&[]));
     if fleet.gateways[n].is_running() {
         fleet.gateways[n].thaw();
     }
@@ -182,7 +182,7 @@
     println!(
         "{} runs of the deadly request, {served} others served; logs in {}",
         runs.len(),
-        fleet.folder.display()
+        fleet.dir.display()
     );
     let mut broken = Vec::new();
     if runs.len() < 3 {
--- a/crates/daemon/tests/soak/faults.rs
+++ b/crates/daemon/tests/soak/faults.rs
@@ -47,8 +47,8 @@
     match rng.random_range(0..4) {
         0 => Mode::Delay(millis(rng, 5, 120)),
         1 => Mode::Reset,
-        2 => Mode::Silent,
-        _ => Mode::OneWay,
+        2 => Mode::Stall,
+        _ => Mode::StallResponses,
     }
 }
 
--- a/crates/daemon/tests/soak/world.rs
+++ b/crates/daemon/tests/soak/world.rs
@@ -51,7 +51,7 @@
     world.asleep = (seed >= SUSPENDED).then(|| vec![Duration::ZERO; world.fleet.gateways.len()]);
     let over = Arc::new(AtomicBool::new(false));
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    let fronts: Vec<_> = world.fleet.gateways.iter().map(|gateway| gateway.front).collect();
+    let fronts: Vec<_> = world.fleet.gateways.iter().map(|gateway| gateway.front_address).collect();
     let (record, version) = (world.record.clone(), world.version.clone());
     let mut tasks = Vec::new();
     for n in 0..CALLERS[0] {
@@ -76,7 +76,7 @@
         }
         callers::settle(fronts, record.clone(), Instant::now() + SETTLE).await;
     });
-    println!("seed {seed}: {}; logs in {}", record.counts(), world.fleet.folder.display());
+    println!("seed {seed}: {}; logs in {}", record.counts(), world.fleet.dir.display());
     let runs = world.fleet.runs("/");
     record.broken(&runs)
 }
@@ -93,7 +93,7 @@
         let plan = Plan { runners, ..Plan::default() };
         let gateways = plan.gateways.len();
         let mut proxies = Vec::new();
-        let fleet = Fleet::start_behind(plan, |address| {
+        let fleet = Fleet::start_behind_proxies(plan, |address| {
             let proxy = Proxy::start(address);
             proxies.push(proxy.clone());
             proxy.address
@@ -181,27 +181,28 @@
                     self.fleet.gateways[n].freeze();
                     if let Some(asleep) = &mut self.asleep {
                         asleep[n] += time;
-                        self.fleet.gateways[n].suspend(asleep[n]);
+                        self.fleet.gateways[n].simulate_suspension(asleep[n]);
                     }
                     self.later(time, Undo::Thaw(n));
                 }
             }
             Fault::Platform(n, mode, time) => {
-                self.platforms[n].set(mode);
+                self.platforms[n].set_mode(mode);
                 self.later(time, Undo::Platform(n));
             }
             Fault::Runner(n, mode, time) => {
-                self.runners[n].set(mode);
+                self.runners[n].set_mode(mode);
                 self.later(time, Undo::Runner(n));
             }
             Fault::Peers(n, time) => {
-                let own = self.fleet.gateways[n].peer;
+                let own = self.fleet.gateways[n].peer_address;
                 let gateways = self.fleet.gateways.iter();
-                let others: Vec<_> = gateways.map(|g| g.peer).filter(|peer| *peer != own).collect();
-                self.fleet.gateways[n].cut_off(&others);
+                let others: Vec<_> =
+                    gateways.map(|g| g.peer_address).filter(|peer| *peer != own).collect();
+                self.fleet.gateways[n].set_unreachable(&others);
                 for (other, gateway) in self.fleet.gateways.iter().enumerate() {
                     if other != n {
-                        gateway.cut_off(&[own]);
+                        gateway.set_unreachable(&[own]);
                     }
                 }
                 self.later(time, Undo::Peers);
@@ -216,7 +217,7 @@
                 self.later(time, Undo::Engine(n));
             }
             Fault::Leave(n, time) => {
-                self.fleet.set_state(n, "draining");
+                self.fleet.set_runner_state(n, "draining");
                 self.later(time, Undo::Return(n));
             }
             Fault::Configure => self.configure(),
@@ -244,12 +245,12 @@
                     self.fleet.gateways[n].thaw();
                 }
             }
-            Undo::Platform(n) => self.platforms[n].set(Mode::Pass),
-            Undo::Runner(n) => self.runners[n].set(Mode::Pass),
-            Undo::Peers => self.fleet.gateways.iter().for_each(|g| g.cut_off(&[])),
+            Undo::Platform(n) => self.platforms[n].set_mode(Mode::Pass),
+            Undo::Runner(n) => self.runners[n].set_mode(Mode::Pass),
+            Undo::Peers => self.fleet.gateways.iter().for_each(|g| g.set_unreachable(&[])),
             Undo::Store => self.fleet.objects.set_faults(objects::Faults::default()),
             Undo::Engine(n) => self.fleet.runners[n].set_faults(runner::Faults::default()),
-            Undo::Return(n) => self.fleet.set_state(n, "ready"),
+            Undo::Return(n) => self.fleet.set_runner_state(n, "ready"),
         }
     }
 
--- a/crates/daemon/tests/util/batch.rs
+++ b/crates/daemon/tests/util/batch.rs
@@ -29,13 +29,13 @@
 }
 
 /// Lines of a log.
-pub trait Lines {
+pub trait LogLines {
     /// The last line with this message.
-    fn last_of(&self, msg: &str) -> Option<Value>;
+    fn last_message(&self, msg: &str) -> Option<Value>;
 }
 
-impl Lines for Vec<Value> {
-    fn last_of(&self, msg: &str) -> Option<Value> {
+impl LogLines for Vec<Value> {
+    fn last_message(&self, msg: &str) -> Option<Value> {
         self.iter().rev().find(|line| line["msg"] == msg).cloned()
     }
 }
--- a/crates/daemon/tests/util/client.rs
+++ b/crates/daemon/tests/util/client.rs
@@ -14,11 +14,11 @@
 use tokio::runtime::Runtime;
 
 static RUNTIME: LazyLock<Runtime> = LazyLock::new(|| Runtime::new().expect("a runtime"));
-const LIMIT: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// An answer.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct Response {
     /// Status; 0 when the connection failed.
     pub status: u16,
     /// Headers.
@@ -26,10 +26,10 @@
     /// Body.
     pub body: Bytes,
     /// Whether the body came to its end.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
-impl Reply {
+impl Response {
     /// The body as JSON.
     #[track_caller]
     pub fn json(&self) -> Value {
@@ -37,7 +37,7 @@
     }
 
     /// Kind of the error answer, if it is one.
-    pub fn kind(&self) -> Option<Kind> {
+    pub fn error_kind(&self) -> Option<Kind> {
         let body: protocol::error::Body = serde_json::from_slice(&self.body).ok()?;
         Some(body.error.kind)
     }
@@ -53,8 +53,8 @@
         self.json()["choices"][0]["message"]["content"].as_str().expect("a text").to_owned()
     }
 
-    /// Text of a streamed completion, and whether it was closed as whole.
-    pub fn streamed(&self) -> (String, bool) {
+    /// Text of a streamed completion, and whether it was closed as complete.
+    pub fn streamed_text(&self) -> (String, bool) {
         let body = String::from_utf8_lossy(&self.body);
         let mut text = String::new();
         let mut done = false;
@@ -76,7 +76,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
-) -> Reply {
+) -> Response {
     let mut builder = Request::builder().method(method).uri(format!("http://{to}{path}"));
     for (name, value) in headers {
         builder = builder.header(*name, *value);
@@ -86,9 +86,14 @@
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new()).build(connector);
-        match tokio::time::timeout(LIMIT, exchange(&client, request)).await {
-            Ok(Some(reply)) => reply,
-            _ => Reply { status: 0, headers: HeaderMap::new(), body: Bytes::new(), whole: false },
+        match tokio::time::timeout(CALL_TIMEOUT, exchange(&client, request)).await {
+            Ok(Some(response)) => response,
+            _ => Response {
+                status: 0,
+                headers: HeaderMap::new(),
+                body: Bytes::new(),
+                is_complete: false,
+            },
         }
     })
 }
@@ -96,37 +101,37 @@
 async fn exchange(
     client: &Client<HttpConnector, Full<Bytes>>,
     request: Request<Full<Bytes>>,
-) -> Option<Reply> {
+) -> Option<Response> {
     let response = client.request(request).await.ok()?;
     let status = response.status().as_u16();
     let headers = response.headers().clone();
     let mut body = response.into_body();
     let mut bytes = Vec::new();
-    let mut whole = true;
+    let mut is_complete = true;
     while let Some(frame) = body.frame().await {
         match frame {
             Ok(frame) => bytes.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
             Err(_) => {
-                whole = false;
+                is_complete = false;
                 break;
             }
         }
     }
-    Some(Reply { status, headers, body: bytes.into(), whole })
+    Some(Response { status, headers, body: bytes.into(), is_complete })
 }
 
 /// Reads.
-pub fn get(to: SocketAddr, path: &str) -> Reply {
+pub fn get(to: SocketAddr, path: &str) -> Response {
     call("GET", to, path, &[], Bytes::new())
 }
 
 /// Sends JSON.
-pub fn post(to: SocketAddr, path: &str, headers: &[(&str, &str)], body: &Value) -> Reply {
+pub fn post(to: SocketAddr, path: &str, headers: &[(&str, &str)], body: &Value) -> Response {
     call("POST", to, path, headers, serde_json::to_vec(body).expect("JSON"))
 }
 
 /// Asks for a chat completion.
-pub fn chat(to: SocketAddr, prompt: &str, headers: &[(&str, &str)], extra: Value) -> Reply {
+pub fn chat(to: SocketAddr, prompt: &str, headers: &[(&str, &str)], extra: Value) -> Response {
     let mut body = serde_json::json!({
         "model": "pustak-llm",
         "messages": [{ "role": "user", "content": prompt }],
@@ -138,7 +143,7 @@
 }
 
 /// Unix milliseconds.
-pub fn millis() -> u64 {
+pub fn unix_millis() -> u64 {
     let passed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     passed.expect("a clock").as_millis() as u64
 }
--- a/crates/daemon/tests/util/cluster.rs
+++ b/crates/daemon/tests/util/cluster.rs
@@ -1,6 +1,6 @@
 //! Stand-ins and daemons of one test.
 
-use super::client::{self, Reply};
+use super::client::{self, Response};
 use super::daemon::Daemon;
 use super::wait_until;
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 /// Data centres in turn.
-pub const CENTRES: [&str; 3] = ["kirtipur-hall", "patan-hall", "bhaktapur-hall"];
+pub const DATA_CENTRES: [&str; 3] = ["kirtipur-hall", "patan-hall", "bhaktapur-hall"];
 
 /// What a test starts.
 #[derive(Clone, Debug)]
@@ -28,9 +28,9 @@
     pub settings: Vec<String>,
     /// Guards switched off, to see the test fail; named by a variable of the
     /// environment, so that the guarded test itself is what is run.
-    pub unguarded: String,
+    pub disabled_guards: String,
     /// Data centres used; all three by default.
-    pub centres: usize,
+    pub data_centres: usize,
 }
 
 impl Default for Plan {
@@ -40,8 +40,8 @@
             engines: 3,
             engine: Config::default(),
             settings: Vec::new(),
-            unguarded: std::env::var("GATESPOOL_UNGUARDED").unwrap_or_default(),
-            centres: 3,
+            disabled_guards: std::env::var("GATESPOOL_UNGUARDED").unwrap_or_default(),
+            data_centres: 3,
         }
     }
 }
@@ -51,11 +51,11 @@
     /// The platform.
     pub platform: Platform,
     /// Its address.
-    pub platform_at: SocketAddr,
+    pub platform_address: SocketAddr,
     /// The engines.
     pub engines: Vec<Engine>,
     /// Their addresses.
-    pub engines_at: Vec<SocketAddr>,
+    pub engine_addresses: Vec<SocketAddr>,
     /// The plain service.
     pub plain: Plain,
     /// The daemons.
@@ -63,12 +63,12 @@
     /// The plan.
     pub plan: Plan,
     /// Folder of this test's files.
-    pub folder: PathBuf,
-    started: usize,
-    running: Vec<Running>,
+    pub dir: PathBuf,
+    started_daemons: usize,
+    servers: Vec<Running>,
 }
 
-static FOLDERS: AtomicU32 = AtomicU32::new(0);
+static DIR_COUNT: AtomicU32 = AtomicU32::new(0);
 
 /// Settings of the tests: short times, so that lapses needn't be waited for long.
 const SETTINGS: &[&str] = &[
@@ -95,34 +95,35 @@
     /// Starts the plan and applies a configuration for it.
     #[track_caller]
     pub fn start(plan: Plan) -> Cluster {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let number = DIR_COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("{}-{number}", std::process::id());
-        let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::create_dir_all(&folder).expect("a folder");
+        let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+        std::fs::create_dir_all(&dir).expect("a directory");
         let platform = Platform::default();
         let plain = Plain::default();
-        let mut running = vec![
-            serve::start(any, platform.clone()).expect("the platform"),
-            serve::start(any, plain.clone()).expect("the plain service"),
+        let mut servers = vec![
+            serve::start(any_port, platform.clone()).expect("the platform"),
+            serve::start(any_port, plain.clone()).expect("the plain service"),
         ];
         let engines: Vec<Engine> =
             (0..plan.engines).map(|_| Engine::new(plan.engine.clone())).collect();
-        let started = engines.iter().map(|e| serve::start(any, e.clone()).expect("an engine"));
-        running.extend(started);
-        let engines_at = running[2..].iter().map(|r| r.address).collect();
-        let platform_at = running[0].address;
+        let engine_servers =
+            engines.iter().map(|e| serve::start(any_port, e.clone()).expect("an engine"));
+        servers.extend(engine_servers);
+        let engine_addresses = servers[2..].iter().map(|r| r.address).collect();
+        let platform_address = servers[0].address;
         let mut cluster = Cluster {
             platform,
-            platform_at,
+            platform_address,
             engines,
-            engines_at,
+            engine_addresses,
             plain,
             daemons: Vec::new(),
             plan,
-            folder,
-            started: 0,
-            running,
+            dir,
+            started_daemons: 0,
+            servers,
         };
         for _ in 0..cluster.plan.daemons {
             let daemon = cluster.new_daemon();
@@ -131,8 +132,8 @@
         cluster.daemons.iter().for_each(Daemon::wait_ready);
         cluster.wait_members();
         let change = cluster.change();
-        let reply = cluster.apply(0, 0, &change);
-        assert_eq!(reply.status, 200, "the configuration is accepted: {reply:?}");
+        let response = cluster.apply(0, 0, &change);
+        assert_eq!(response.status, 200, "the configuration is accepted: {response:?}");
         cluster.wait_generation(1);
         cluster
     }
@@ -140,28 +141,28 @@
     /// Starts one more daemon, in the next data centre.
     #[track_caller]
     pub fn new_daemon(&mut self) -> Daemon {
-        let centre = CENTRES[self.started % self.plan.centres];
-        self.new_daemon_in(centre, "")
+        let data_centre = DATA_CENTRES[self.started_daemons % self.plan.data_centres];
+        self.new_daemon_in(data_centre, "")
     }
 
     /// Starts one more daemon in `centre`, with more lines of settings.
     #[track_caller]
-    pub fn new_daemon_in(&mut self, centre: &str, more: &str) -> Daemon {
-        let seeds: Vec<String> = self.daemons.iter().map(|d| d.peer.to_string()).collect();
+    pub fn new_daemon_in(&mut self, data_centre: &str, more: &str) -> Daemon {
+        let seeds: Vec<String> = self.daemons.iter().map(|d| d.peer_address.to_string()).collect();
         let mut lines: Vec<String> = SETTINGS.iter().map(ToString::to_string).collect();
-        lines.push(format!("instance.data_centre = {centre}"));
-        lines.push(format!("platform.address = {}", self.platform_at));
+        lines.push(format!("instance.data_centre = {data_centre}"));
+        lines.push(format!("platform.address = {}", self.platform_address));
         lines.push(format!("peers.seeds = {}", seeds.join(", ")));
         lines.push(String::from("front.listen = 127.0.0.1:0"));
         lines.push(String::from("peers.listen = 127.0.0.1:0"));
-        if !self.plan.unguarded.is_empty() {
-            lines.push(format!("faults.unguarded = {}", self.plan.unguarded));
+        if !self.plan.disabled_guards.is_empty() {
+            lines.push(format!("faults.unguarded = {}", self.plan.disabled_guards));
         }
         lines.extend(self.plan.settings.iter().cloned());
         lines.extend(more.lines().map(str::to_owned));
-        self.started += 1;
-        let name = format!("daemon-{}", self.started);
-        Daemon::start(&self.folder, &name, &ini(&lines))
+        self.started_daemons += 1;
+        let name = format!("daemon-{}", self.started_daemons);
+        Daemon::start(&self.dir, &name, &ini(&lines))
     }
 
     /// The change that configures this cluster.
@@ -169,7 +170,7 @@
         let target = |number: usize, at: &SocketAddr| {
             json!({
                 "object": "target", "name": format!("t{number}"), "address": at.to_string(),
-                "data_centre": CENTRES[number % self.plan.centres], "service": "pustak-llm",
+                "data_centre": DATA_CENTRES[number % self.plan.data_centres], "service": "pustak-llm",
                 "slots": self.plan.engine.slots, "checks_fence": self.plan.engine.checks_fence,
             })
         };
@@ -185,25 +186,25 @@
                 "repeatable": ["GET"],
             }),
             json!({
-                "object": "target", "name": "p0", "address": self.running[1].address.to_string(),
-                "data_centre": CENTRES[0], "service": "offers", "slots": 64,
+                "object": "target", "name": "p0", "address": self.servers[1].address.to_string(),
+                "data_centre": DATA_CENTRES[0], "service": "offers", "slots": 64,
             }),
         ];
-        put.extend(self.engines_at.iter().enumerate().map(|(n, at)| target(n, at)));
+        put.extend(self.engine_addresses.iter().enumerate().map(|(n, at)| target(n, at)));
         json!({ "put": put })
     }
 
     /// Offers a change through one daemon.
-    pub fn apply(&self, daemon: usize, revision: u64, change: &Value) -> Reply {
+    pub fn apply(&self, daemon: usize, revision: u64, change: &Value) -> Response {
         let offer = json!({ "revision": revision, "author": "test", "change": change });
-        client::post(self.daemons[daemon].front, "/v1/config", &[], &offer)
+        client::post(self.daemons[daemon].front_address, "/v1/config", &[], &offer)
     }
 
     /// Waits until every daemon knows every other.
     #[track_caller]
     pub fn wait_members(&self) {
         let all = self.daemons.len();
-        wait_until("all members meet", || self.daemons.iter().all(|d| d.alive() == all));
+        wait_until("all members meet", || self.daemons.iter().all(|d| d.alive_members() == all));
     }
 
     /// Waits until a generation is in force on every daemon.
@@ -230,29 +231,29 @@
     }
 
     /// Submits a job.
-    pub fn submit(&self, daemon: usize, key: &str, items: &[Value]) -> Reply {
+    pub fn submit(&self, daemon: usize, key: &str, items: &[Value]) -> Response {
         self.submit_due(daemon, key, items, 0)
     }
 
     /// Submits a job with a due time.
-    pub fn submit_due(&self, daemon: usize, key: &str, items: &[Value], due: u64) -> Reply {
+    pub fn submit_due(&self, daemon: usize, key: &str, items: &[Value], due: u64) -> Response {
         let mut lines = vec![json!({ "service": "pustak-llm", "due": due }).to_string()];
         lines.extend(items.iter().map(Value::to_string));
         let headers = [("idempotency-key", key)];
-        let front = self.daemons[daemon].front;
+        let front = self.daemons[daemon].front_address;
         client::call("POST", front, "/v1/jobs", &headers, lines.join("\n"))
     }
 
     /// Where a job stands, asked through one daemon.
     pub fn status(&self, daemon: usize, job: &str) -> Value {
-        let reply = self.daemons[daemon].get(&format!("/v1/jobs/{job}"));
-        if reply.status == 200 { reply.json() } else { Value::Null }
+        let response = self.daemons[daemon].get(&format!("/v1/jobs/{job}"));
+        if response.status == 200 { response.json() } else { Value::Null }
     }
 
     /// Waits for the end of a job.
     #[track_caller]
     pub fn wait_job(&self, daemon: usize, job: &str, phase: &str) -> Value {
-        let end = std::time::Instant::now() + super::LIMIT;
+        let end = std::time::Instant::now() + super::WAIT_TIMEOUT;
         loop {
             let status = self.status(daemon, job);
             if status["phase"] == phase {
@@ -272,13 +273,13 @@
         };
         let running: Vec<[u32; 2]> = self.engines.iter().map(Engine::running).collect();
         let daemons: String = self.daemons.iter().map(of).collect();
-        let log = self.folder.join("log.json");
+        let log = self.dir.join("log.json");
         let entries = self.platform.keys("log/").into_iter().map(|key| {
             let value = self.platform.value(&key).unwrap_or_default();
             format!("{key} {}\n", String::from_utf8_lossy(&value))
         });
         drop(std::fs::write(log, entries.collect::<String>()));
-        format!("{daemons}running {running:?}, files in {}", self.folder.display())
+        format!("{daemons}running {running:?}, files in {}", self.dir.display())
     }
 
     /// All results of a job, read through one daemon.
@@ -289,8 +290,8 @@
         loop {
             let path = format!("/v1/jobs/{job}/results?from={from}&limit=500");
             let page = super::wait_for("a page of results", || {
-                let reply = self.daemons[daemon].get(&path);
-                (reply.status == 200).then(|| reply.json())
+                let response = self.daemons[daemon].get(&path);
+                (response.status == 200).then(|| response.json())
             });
             all.extend(page["results"].as_array().cloned().unwrap_or_default());
             match page["next"].as_u64() {
--- a/crates/daemon/tests/util/daemon.rs
+++ b/crates/daemon/tests/util/daemon.rs
@@ -1,6 +1,6 @@
 //! One daemon as a process.
 
-use super::client::{self, Reply};
+use super::client::{self, Response};
 use super::wait_until;
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader, Write};
@@ -13,48 +13,58 @@
 /// A daemon's process; killed when this is dropped.
 pub struct Daemon {
     /// Where callers are served.
-    pub front: SocketAddr,
+    pub front_address: SocketAddr,
     /// Where peers are served.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     /// File of addresses that this daemon can't reach.
-    pub cut: PathBuf,
+    pub partition_file: PathBuf,
     /// File of the suspensions that it takes for real.
-    pub suspended: PathBuf,
+    pub suspension_file: PathBuf,
     child: Child,
     is_stopping: AtomicBool,
 }
 
 impl Daemon {
     /// Starts a daemon with the settings in `ini`, to which its own cut file is
-    /// added; `name` names its files in `folder`.
+    /// added; `name` names its files in `dir`.
     #[track_caller]
-    pub fn start(folder: &Path, name: &str, ini: &str) -> Daemon {
-        let cut = folder.join(format!("{name}.cut"));
-        std::fs::write(&cut, "").expect("a cut file");
-        let suspended = folder.join(format!("{name}.suspended"));
-        std::fs::write(&suspended, "").expect("a file of suspensions");
-        let settings = folder.join(format!("{name}.ini"));
-        let faults =
-            format!("[faults]\ncut = {}\nsuspended = {}\n", cut.display(), suspended.display());
+    pub fn start(dir: &Path, name: &str, ini: &str) -> Daemon {
+        let partition_file = dir.join(format!("{name}.cut"));
+        std::fs::write(&partition_file, "").expect("a cut file");
+        let suspension_file = dir.join(format!("{name}.suspended"));
+        std::fs::write(&suspension_file, "").expect("a file of suspensions");
+        let settings = dir.join(format!("{name}.ini"));
+        let faults = format!(
+            "[faults]\ncut = {}\nsuspended = {}\n",
+            partition_file.display(),
+            suspension_file.display()
+        );
         let text = if ini.contains("[faults]\n") {
             ini.replace("[faults]\n", &faults)
         } else {
             format!("{ini}\n{faults}")
         };
         std::fs::write(&settings, text).expect("a settings file");
-        let fault = std::fs::File::create(folder.join(format!("{name}.err"))).expect("a file");
+        let stderr = std::fs::File::create(dir.join(format!("{name}.err"))).expect("a file");
         let mut child = Command::new(env!("CARGO_BIN_EXE_gatespoold"))
             .arg("--settings")
             .arg(&settings)
             .stdout(Stdio::piped())
-            .stderr(fault)
+            .stderr(stderr)
             .spawn()
             .expect("the daemon starts");
-        let log = folder.join(format!("{name}.log"));
+        let log = dir.join(format!("{name}.log"));
         let log = std::fs::File::options().append(true).create(true).open(log).expect("a log");
         let stdout = child.stdout.take().expect("its output");
-        let (front, peer) = addresses(stdout, log, folder);
-        Daemon { front, peer, cut, suspended, child, is_stopping: AtomicBool::new(false) }
+        let (front_address, peer_address) = addresses(stdout, log, dir);
+        Daemon {
+            front_address,
+            peer_address,
+            partition_file,
+            suspension_file,
+            child,
+            is_stopping: AtomicBool::new(false),
+        }
     }
 
     /// Waits until it serves.
@@ -64,26 +74,26 @@
     }
 
     /// Reads.
-    pub fn get(&self, path: &str) -> Reply {
-        client::get(self.front, path)
+    pub fn get(&self, path: &str) -> Response {
+        client::get(self.front_address, path)
     }
 
     /// Generation of the configuration in force here.
     pub fn generation(&self) -> u64 {
-        let reply = self.get("/v1/status");
-        if reply.status != 200 {
+        let response = self.get("/v1/status");
+        if response.status != 200 {
             return 0;
         }
-        reply.json()["generation"].as_u64().unwrap_or(0)
+        response.json()["generation"].as_u64().unwrap_or(0)
     }
 
     /// Members that it takes for alive, itself counted.
-    pub fn alive(&self) -> usize {
-        let reply = self.get("/v1/instances");
-        if reply.status != 200 {
+    pub fn alive_members(&self) -> usize {
+        let response = self.get("/v1/instances");
+        if response.status != 200 {
             return 0;
         }
-        let list = reply.json();
+        let list = response.json();
         let list = list.as_array().cloned().unwrap_or_default();
         list.iter().filter(|member| member["state"] == "alive").count()
     }
@@ -133,25 +143,25 @@
     }
 
     /// Has its clock count `asleep` as slept since its start.
-    pub fn suspend(&self, asleep: Duration) {
-        std::fs::write(&self.suspended, asleep.as_millis().to_string()).expect("the file");
+    pub fn simulate_suspension(&self, asleep: Duration) {
+        std::fs::write(&self.suspension_file, asleep.as_millis().to_string()).expect("the file");
     }
 
     /// Makes addresses unreachable from here; an empty list heals.
-    pub fn cut_off(&self, addresses: &[SocketAddr]) {
+    pub fn set_unreachable(&self, addresses: &[SocketAddr]) {
         let lines: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
-        std::fs::write(&self.cut, lines.join("\n")).expect("the cut file");
+        std::fs::write(&self.partition_file, lines.join("\n")).expect("the cut file");
     }
 
     /// Has the connections that are open to these addresses go silent for good; new ones
     /// work.
-    pub fn silence(&self, addresses: &[SocketAddr]) {
+    pub fn set_unresponsive(&self, addresses: &[SocketAddr]) {
         let lines: Vec<String> = addresses.iter().map(|at| format!("silent {at}")).collect();
-        std::fs::write(&self.cut, lines.join("\n")).expect("the cut file");
+        std::fs::write(&self.partition_file, lines.join("\n")).expect("the cut file");
     }
 
     /// CPU time used, in clock ticks of 10 ms, and resident memory in KiB.
-    pub fn usage(&self) -> (u64, u64) {
+    pub fn cpu_ticks_and_rss_kib(&self) -> (u64, u64) {
         let id = self.child.id();
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
         let after = stat.rsplit(')').next().unwrap_or_default();
@@ -180,13 +190,13 @@
 fn addresses(
     stdout: std::process::ChildStdout,
     mut log: std::fs::File,
-    folder: &Path,
+    dir: &Path,
 ) -> (SocketAddr, SocketAddr) {
     let mut lines = BufReader::new(stdout).lines();
     let mut found = None;
     while found.is_none() {
         let line = lines.next().and_then(Result::ok);
-        let line = line.unwrap_or_else(|| panic!("no start; see {}", folder.display()));
+        let line = line.unwrap_or_else(|| panic!("no start; see {}", dir.display()));
         writeln!(log, "{line}").expect("the log");
         let line: serde_json::Value = serde_json::from_str(&line).expect("lines of JSON");
         if line["msg"] == "started" {
--- a/crates/daemon/tests/util/gateway.rs
+++ b/crates/daemon/tests/util/gateway.rs
@@ -1,6 +1,6 @@
 //! Gateways as processes, before the platform's stand-ins.
 
-use super::client::{self, Reply};
+use super::client::{self, Response};
 use super::daemon::Daemon;
 use super::proxy::Proxy;
 use super::{wait_for, wait_until};
@@ -15,7 +15,7 @@
 /// Host of all routes.
 pub const HOST: &str = "a.example";
 
-static FOLDERS: AtomicU32 = AtomicU32::new(0);
+static DIR_COUNT: AtomicU32 = AtomicU32::new(0);
 
 /// What to start.
 pub struct Plan {
@@ -24,9 +24,9 @@
     /// Data centres and kinds of the runners.
     pub runners: Vec<(&'static str, runner::Config)>,
     /// Attempts of the resumable route.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Tokens that may wait on the batch route.
-    pub waiting_tokens: u64,
+    pub max_queued_tokens: u64,
     /// Lines added to the settings, `section.key = value`.
     pub settings: Vec<String>,
 }
@@ -37,8 +37,8 @@
         Plan {
             gateways: vec!["east", "east", "west"],
             runners: vec![("east", runner(0)), ("west", runner(1))],
-            attempts: 2,
-            waiting_tokens: 0,
+            max_attempts: 2,
+            max_queued_tokens: 0,
             settings: Vec::new(),
         }
     }
@@ -51,19 +51,19 @@
     /// The runners.
     pub runners: Vec<Runner>,
     /// Addresses of the runners.
-    pub addresses: Vec<SocketAddr>,
+    pub runner_addresses: Vec<SocketAddr>,
     /// The gateways.
     pub gateways: Vec<Daemon>,
     /// Folder of settings and logs.
-    pub folder: PathBuf,
+    pub dir: PathBuf,
     /// What `Plan` said of the settings of each gateway.
     plan: Plan,
-    platforms: Vec<SocketAddr>,
-    _running: Vec<Running>,
+    platform_addresses: Vec<SocketAddr>,
+    _servers: Vec<Running>,
 }
 
 /// Addresses on loopback, with any free port.
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -80,44 +80,48 @@
     /// Starts all without a configuration.
     #[track_caller]
     pub fn start_unconfigured(plan: Plan) -> Fleet {
-        Fleet::start_behind(plan, |address| address)
+        Fleet::start_behind_proxies(plan, |address| address)
     }
 
     /// Starts all without a configuration; `place` gives the address at which
     /// the gateways reach the platform (one for each gateway) and each runner.
     #[track_caller]
-    pub fn start_behind(plan: Plan, mut place: impl FnMut(SocketAddr) -> SocketAddr) -> Fleet {
-        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+    pub fn start_behind_proxies(
+        plan: Plan,
+        mut proxy: impl FnMut(SocketAddr) -> SocketAddr,
+    ) -> Fleet {
+        let number = DIR_COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("gatespool-gateway-{}-{number}", std::process::id());
-        let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).expect("a folder");
+        let dir = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&dir).expect("a directory");
         let objects = Objects::default();
-        let store = serve::start(any(), objects.clone()).expect("the platform");
-        let platforms = plan.gateways.iter().map(|_| place(store.address)).collect();
-        let mut running = vec![store];
+        let store = serve::start(any_port(), objects.clone()).expect("the platform");
+        let platform_addresses = plan.gateways.iter().map(|_| proxy(store.address)).collect();
+        let mut servers = vec![store];
         let mut runners = Vec::new();
-        let mut addresses = Vec::new();
+        let mut runner_addresses = Vec::new();
         for (data_centre, config) in &plan.runners {
             let runner = Runner::new(config.clone());
-            let one = serve::start_mortal(any(), runner.clone(), runner.life()).expect("a runner");
-            let address = place(one.address);
-            objects.put("servers", &config.id, entry(address, data_centre, config, "ready"));
-            addresses.push(address);
-            running.push(one);
+            let server =
+                serve::start_mortal(any_port(), runner.clone(), runner.life()).expect("a runner");
+            let address = proxy(server.address);
+            objects.put("servers", &config.id, runner_entry(address, data_centre, config, "ready"));
+            runner_addresses.push(address);
+            servers.push(server);
             runners.push(runner);
         }
         let mut fleet = Fleet {
             objects,
             runners,
-            addresses,
+            runner_addresses,
             gateways: Vec::new(),
-            folder,
+            dir,
             plan,
-            platforms,
-            _running: running,
+            platform_addresses,
+            _servers: servers,
         };
         for n in 0..fleet.plan.gateways.len() {
-            let gateway = fleet.launch(n, any(), any());
+            let gateway = fleet.start_gateway(n, any_port(), any_port());
             fleet.gateways.push(gateway);
         }
         fleet
@@ -126,10 +130,10 @@
     /// Starts all with a proxy before the platform for each gateway, and waits until
     /// every gateway is ready. Gives the gateways' proxies besides.
     #[track_caller]
-    pub fn start_proxied(plan: Plan) -> (Fleet, Vec<Proxy>) {
+    pub fn start_with_platform_proxies(plan: Plan) -> (Fleet, Vec<Proxy>) {
         let mut proxies = Vec::new();
         let gateways = plan.gateways.len();
-        let fleet = Fleet::start_behind(plan, |address| {
+        let fleet = Fleet::start_behind_proxies(plan, |address| {
             let proxy = Proxy::start(address);
             proxies.push(proxy.clone());
             proxy.address
@@ -140,31 +144,31 @@
         (fleet, proxies)
     }
 
-    fn launch(&self, n: usize, front: SocketAddr, peer: SocketAddr) -> Daemon {
-        let seeds: Vec<String> = self.gateways.iter().map(|g| g.peer.to_string()).collect();
-        let place = self.plan.gateways[n];
+    fn start_gateway(&self, n: usize, front: SocketAddr, peer: SocketAddr) -> Daemon {
+        let seeds: Vec<String> = self.gateways.iter().map(|g| g.peer_address.to_string()).collect();
+        let data_centre = self.plan.gateways[n];
         let mut ini = format!(
-            "[instance]\nname = gateway-{n}\nduty = gateway\ndata_centre = {place}\n\
+            "[instance]\nname = gateway-{n}\nduty = gateway\ndata_centre = {data_centre}\n\
              [front]\nlisten = {front}\n\
              [peers]\nlisten = {peer}\nseeds = {}\nping_ms = 100\nsuspect_ms = 400\n\
              [platform]\naddress = {}\ntimeout_ms = 400\n\
              [stop]\ngrace_ms = 300\nbound_s = 8\n",
             seeds.join(","),
-            self.platforms[n],
+            self.platform_addresses[n],
         );
         for line in &self.plan.settings {
             let (section, rest) = line.split_once('.').expect("section.key = value");
             ini.push_str(&format!("[{section}]\n{rest}\n"));
         }
-        Daemon::start(&self.folder, &format!("gateway-{n}"), &ini)
+        Daemon::start(&self.dir, &format!("gateway-{n}"), &ini)
     }
 
     /// Starts a gateway again that was killed or has stopped, where it was.
     #[track_caller]
     pub fn restart(&mut self, n: usize) {
-        let (front, peer) = (self.gateways[n].front, self.gateways[n].peer);
+        let (front, peer) = (self.gateways[n].front_address, self.gateways[n].peer_address);
         self.gateways[n].kill();
-        self.gateways[n] = self.launch(n, front, peer);
+        self.gateways[n] = self.start_gateway(n, front, peer);
     }
 
     /// Writes a version of the configuration.
@@ -181,19 +185,19 @@
                 "service": "llm", "max_attempts": 1, "resumable": false,
             })
         };
-        let mut talk = route("talk", "/talk/", "stream");
-        talk["max_attempts"] = json!(self.plan.attempts);
-        talk["resumable"] = json!(true);
+        let mut resumable = route("talk", "/talk/", "stream");
+        resumable["max_attempts"] = json!(self.plan.max_attempts);
+        resumable["resumable"] = json!(true);
         let mut batch = route("batch", "/batch/", "batch");
         batch["max_attempts"] = json!(3);
         batch["due_ms"] = json!(5_000);
         batch["max_wait_s"] = json!(60);
-        batch["queue_max"] = json!(self.plan.waiting_tokens);
+        batch["queue_max"] = json!(self.plan.max_queued_tokens);
         let mut plain = route("plain", "/plain/", "safe");
         plain["max_attempts"] = json!(2);
         json!({
             "version": version,
-            "routes": [route("ask", "/ask/", "stream"), talk, batch, plain],
+            "routes": [route("ask", "/ask/", "stream"), resumable, batch, plain],
             "services": [{ "name": "llm", "health_path": "/healthz", "max_conns": 200 }],
             "limits": { "max_body_bytes": 4_000_000, "idle_timeout_ms": 15_000 },
         })
@@ -210,12 +214,12 @@
         }
         let others = self.gateways.len() - 1;
         for n in 0..self.gateways.len() {
-            wait_until("members know each other", || self.others_known(n) >= others);
+            wait_until("members know each other", || self.alive_peers(n) >= others);
         }
     }
 
     /// Members that a gateway knows by its last line about them.
-    fn others_known(&self, n: usize) -> usize {
+    fn alive_peers(&self, n: usize) -> usize {
         let lines = self.log(n);
         let last = lines.iter().rev().find(|line| line["msg"] == "members");
         last.and_then(|line| line["alive"].as_u64()).unwrap_or(0) as usize
@@ -223,23 +227,29 @@
 
     /// Lines that a gateway has logged.
     pub fn log(&self, n: usize) -> Vec<Value> {
-        let path = self.folder.join(format!("gateway-{n}.log"));
+        let path = self.dir.join(format!("gateway-{n}.log"));
         let text = std::fs::read_to_string(path).unwrap_or_default();
         text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
     }
 
     /// Sends a request to a gateway.
-    pub fn send(&self, n: usize, path: &str, id: &str) -> Reply {
+    pub fn send(&self, n: usize, path: &str, id: &str) -> Response {
         self.send_with(n, path, id, &[])
     }
 
     /// Sends a request with further headers.
-    pub fn send_with(&self, n: usize, path: &str, id: &str, more: &[(&str, &str)]) -> Reply {
-        send_to(self.gateways[n].front, path, id, more)
+    pub fn send_with(
+        &self,
+        n: usize,
+        path: &str,
+        id: &str,
+        extra_headers: &[(&str, &str)],
+    ) -> Response {
+        send_to(self.gateways[n].front_address, path, id, extra_headers)
     }
 
     /// Submits a job of items with these ids, 100 tokens each.
-    pub fn submit(&self, n: usize, job: &str, items: &[&str]) -> Reply {
+    pub fn submit(&self, n: usize, job: &str, items: &[&str]) -> Response {
         let item = |id: &&str| {
             json!({
                 "id": id, "path": format!("/batch/{id}"), "headers": {},
@@ -249,7 +259,7 @@
         let items: Vec<Value> = items.iter().map(item).collect();
         let headers = [("host", HOST), ("x-gatespool-request-id", job)];
         client::post(
-            self.gateways[n].front,
+            self.gateways[n].front_address,
             &format!("/batch/{job}"),
             &headers,
             &json!({ "items": items }),
@@ -257,29 +267,29 @@
     }
 
     /// Reads a job's results from a position on.
-    pub fn results(&self, n: usize, job: &str, from: usize) -> Reply {
+    pub fn results(&self, n: usize, job: &str, from: usize) -> Response {
         let headers = [("host", HOST), ("x-gatespool-wait-ms", "200")];
         let path = format!("/lots/{job}?since_rev={from}");
-        client::call("GET", self.gateways[n].front, &path, &headers, Vec::new())
+        client::call("GET", self.gateways[n].front_address, &path, &headers, Vec::new())
     }
 
     /// Ends a job.
-    pub fn end(&self, n: usize, job: &str) -> Reply {
+    pub fn end(&self, n: usize, job: &str) -> Response {
         let path = format!("/lots/{job}");
-        client::call("DELETE", self.gateways[n].front, &path, &[("host", HOST)], Vec::new())
+        client::call("DELETE", self.gateways[n].front_address, &path, &[("host", HOST)], Vec::new())
     }
 
     /// Waits until all results of a job are listed, and gives them.
     #[track_caller]
     pub fn wait_results(&self, n: usize, job: &str) -> Vec<Value> {
         wait_for("all results", || {
-            let reply = self.results(n, job, 0);
-            if reply.status != 200 {
+            let response = self.results(n, job, 0);
+            if response.status != 200 {
                 return None;
             }
-            let answer = reply.json();
-            let results = answer["results"].as_array()?.clone();
-            (results.len() as u64 == answer["total"].as_u64()?).then_some(results)
+            let page = response.json();
+            let results = page["results"].as_array()?.clone();
+            (results.len() as u64 == page["total"].as_u64()?).then_some(results)
         })
     }
 
@@ -290,46 +300,55 @@
     }
 
     /// Has the entry of a runner change in a field that says nothing of its use.
-    pub fn touch_entry(&self, n: usize) {
-        let (place, config) = &self.plan.runners[n];
-        let mut entry = entry(self.addresses[n], place, config, "ready");
+    pub fn touch_runner_entry(&self, n: usize) {
+        let (data_centre, config) = &self.plan.runners[n];
+        let mut entry = runner_entry(self.runner_addresses[n], data_centre, config, "ready");
         entry["version"] = json!("v2");
         self.objects.put("servers", &config.id, entry);
     }
 
     /// Writes the entry of a runner that has started again under its id.
-    pub fn reborn(&self, n: usize, born: u64) {
-        let (place, config) = &self.plan.runners[n];
-        let mut entry = entry(self.addresses[n], place, config, "ready");
-        entry["born"] = json!(born);
+    pub fn reregister(&self, n: usize, started_at: u64) {
+        let (data_centre, config) = &self.plan.runners[n];
+        let mut entry = runner_entry(self.runner_addresses[n], data_centre, config, "ready");
+        entry["born"] = json!(started_at);
         self.objects.put("servers", &config.id, entry);
     }
 
     /// Writes the entry of a runner anew.
-    pub fn set_state(&self, n: usize, state: &str) {
-        let (place, config) = &self.plan.runners[n];
-        self.objects.put("servers", &config.id, entry(self.addresses[n], place, config, state));
+    pub fn set_runner_state(&self, n: usize, state: &str) {
+        let (data_centre, config) = &self.plan.runners[n];
+        self.objects.put(
+            "servers",
+            &config.id,
+            runner_entry(self.runner_addresses[n], data_centre, config, state),
+        );
     }
 }
 
 /// Sends a request to an address.
-pub fn send_to(to: SocketAddr, path: &str, id: &str, more: &[(&str, &str)]) -> Reply {
+pub fn send_to(to: SocketAddr, path: &str, id: &str, extra_headers: &[(&str, &str)]) -> Response {
     let mut headers =
         vec![("host", HOST), ("x-gatespool-request-id", id), ("x-gatespool-deadline-ms", "5000")];
-    headers.extend(more);
+    headers.extend(extra_headers);
     client::call("POST", to, path, &headers, "a prompt")
 }
 
-fn entry(address: SocketAddr, place: &str, config: &runner::Config, state: &str) -> Value {
+fn runner_entry(
+    address: SocketAddr,
+    data_centre: &str,
+    config: &runner::Config,
+    state: &str,
+) -> Value {
     json!({
-        "service": "llm", "addr": address.to_string(), "zone": place, "version": "v1",
+        "service": "llm", "addr": address.to_string(), "zone": data_centre, "version": "v1",
         "slots": config.slots, "state": state, "cold_left_ms": 0, "seq": 1,
     })
 }
 
 /// The data of a stream's events, in order.
-pub fn data_of(reply: &Reply) -> String {
-    let text = String::from_utf8_lossy(&reply.body);
+pub fn event_data(response: &Response) -> String {
+    let text = String::from_utf8_lossy(&response.body);
     let data: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
     data.join("\n")
 }
--- a/crates/daemon/tests/util/mod.rs
+++ b/crates/daemon/tests/util/mod.rs
@@ -13,12 +13,12 @@
 use std::time::{Duration, Instant};
 
 /// Limit of every wait; long, since only a failure ever reaches it.
-pub const LIMIT: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until `condition` gives a value.
 #[track_caller]
 pub fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + LIMIT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = condition() {
             return value;
--- a/crates/daemon/tests/util/proxy.rs
+++ b/crates/daemon/tests/util/proxy.rs
@@ -17,13 +17,13 @@
     /// All are closed, new ones too.
     Reset,
     /// Nothing passes, and nobody is told.
-    Silent,
+    Stall,
     /// Answers don't come back.
-    OneWay,
+    StallResponses,
 }
 
 /// Time between looks of a silenced connection.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The proxy; it ends with the test's process.
 #[derive(Clone)]
@@ -51,7 +51,7 @@
     }
 
     /// Changes what happens from now on.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         *self.mode.lock().unwrap_or_else(PoisonError::into_inner) = mode;
         self.changed.notify_waiters();
     }
@@ -63,32 +63,32 @@
     async fn serve(self, listener: std::net::TcpListener, target: SocketAddr) {
         let listener = TcpListener::from_std(listener).expect("a listener");
         loop {
-            let Ok((near, _)) = listener.accept().await else {
+            let Ok((client, _)) = listener.accept().await else {
                 continue;
             };
             if self.mode() != Mode::Reset {
-                tokio::spawn(self.clone().pass(near, target));
+                tokio::spawn(self.clone().forward(client, target));
             }
         }
     }
 
-    async fn pass(self, near: TcpStream, target: SocketAddr) {
-        let Ok(far) = TcpStream::connect(target).await else {
+    async fn forward(self, client: TcpStream, target: SocketAddr) {
+        let Ok(server) = TcpStream::connect(target).await else {
             return;
         };
-        let _nodelay = (near.set_nodelay(true), far.set_nodelay(true));
-        let (near_in, near_out) = near.into_split();
-        let (far_in, far_out) = far.into_split();
-        let there = self.clone().one_way(near_in, far_out, false);
-        let back = self.clone().one_way(far_in, near_out, true);
+        let _nodelay = (client.set_nodelay(true), server.set_nodelay(true));
+        let (client_read, client_write) = client.into_split();
+        let (server_read, server_write) = server.into_split();
+        let requests = self.clone().copy(client_read, server_write, false);
+        let responses = self.clone().copy(server_read, client_write, true);
         tokio::select! {
-            () = there => {}
-            () = back => {}
-            () = self.reset() => {}
+            () = requests => {}
+            () = responses => {}
+            () = self.wait_for_reset() => {}
         }
     }
 
-    async fn reset(&self) {
+    async fn wait_for_reset(&self) {
         loop {
             let changed = self.changed.notified();
             if self.mode() == Mode::Reset {
@@ -98,11 +98,11 @@
         }
     }
 
-    async fn one_way(
+    async fn copy(
         self,
         mut from: tokio::net::tcp::OwnedReadHalf,
         mut to: tokio::net::tcp::OwnedWriteHalf,
-        is_back: bool,
+        is_response: bool,
     ) {
         let mut buffer = vec![0_u8; 16 << 10];
         loop {
@@ -114,8 +114,8 @@
             }
             loop {
                 match self.mode() {
-                    Mode::Silent => tokio::time::sleep(LOOK).await,
-                    Mode::OneWay if is_back => tokio::time::sleep(LOOK).await,
+                    Mode::Stall => tokio::time::sleep(POLL_INTERVAL).await,
+                    Mode::StallResponses if is_response => tokio::time::sleep(POLL_INTERVAL).await,
                     Mode::Delay(time) => {
                         tokio::time::sleep(time).await;
                         break;
--- a/crates/daemon/tests/whole_answers.rs
+++ b/crates/daemon/tests/whole_answers.rs
@@ -6,7 +6,7 @@
 use standin::engine::{Config, Control};
 use standin::text;
 use std::time::Duration;
-use util::client::{Reply, chat};
+use util::client::{Response, chat};
 use util::cluster::{Cluster, Plan};
 use util::wait_until;
 
@@ -23,13 +23,13 @@
         cut_all(&cluster, 1);
         for n in 0..6 {
             let prompt = format!("question {round} {n}");
-            let front = cluster.daemons[n % 3].front;
-            let reply = chat(front, &prompt, &[], json!({ "stream": stream }));
+            let front = cluster.daemons[n % 3].front_address;
+            let response = chat(front, &prompt, &[], json!({ "stream": stream }));
             let expected = text::whole(&prompt, None);
             if stream {
-                assert_eq!(reply.streamed(), (expected, true));
+                assert_eq!(response.streamed_text(), (expected, true));
             } else {
-                assert_eq!(reply.text(), expected);
+                assert_eq!(response.text(), expected);
             }
         }
     }
@@ -39,11 +39,14 @@
 
 /// A part is never passed for the whole: no closing event, or an error.
 #[track_caller]
-fn check_not_whole(reply: &Reply) {
-    let (_, done) = reply.streamed();
-    assert!(!done, "a part was closed as whole: {reply:?}");
-    let body = String::from_utf8_lossy(&reply.body);
-    assert!(!reply.whole || body.contains("\"error\""), "no word of the fault: {reply:?}");
+fn check_not_whole(response: &Response) {
+    let (_, done) = response.streamed_text();
+    assert!(!done, "a part was closed as whole: {response:?}");
+    let body = String::from_utf8_lossy(&response.body);
+    assert!(
+        !response.is_complete || body.contains("\"error\""),
+        "no word of the fault: {response:?}"
+    );
 }
 
 #[test]
@@ -51,12 +54,12 @@
     let cluster = Cluster::start(Plan::default());
     cut_all(&cluster, 1000);
     for daemon in &cluster.daemons {
-        let streamed = chat(daemon.front, "cut everywhere", &[], json!({ "stream": true }));
+        let streamed = chat(daemon.front_address, "cut everywhere", &[], json!({ "stream": true }));
         check_not_whole(&streamed);
-        let plain = chat(daemon.front, "cut everywhere", &[], json!({}));
+        let plain = chat(daemon.front_address, "cut everywhere", &[], json!({}));
         assert_ne!(plain.status, 200, "{plain:?}");
         let once = [("gatespool-repeatable", "false"), ("idempotency-key", "w")];
-        let streamed = chat(daemon.front, "a wicket", &once, json!({ "stream": true }));
+        let streamed = chat(daemon.front_address, "a wicket", &once, json!({ "stream": true }));
         check_not_whole(&streamed);
     }
 }
@@ -65,13 +68,13 @@
 fn a_kill_mid_stream_is_not_taken_for_the_end() {
     let engine = Config { token: Duration::from_millis(50), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
-    let front = cluster.daemons[0].front;
+    let front = cluster.daemons[0].front_address;
     let asked =
         std::thread::spawn(move || chat(front, "interrupted", &[], json!({ "stream": true })));
     wait_until("the stream runs", || cluster.runs().iter().any(|run| run.tokens > 1));
     cluster.daemons[0].kill();
-    let reply = asked.join().expect("an answer");
-    assert!(!reply.streamed().1, "a part was closed as whole: {reply:?}");
+    let response = asked.join().expect("an answer");
+    assert!(!response.streamed_text().1, "a part was closed as whole: {response:?}");
 }
 
 #[test]
@@ -85,14 +88,14 @@
             scope.spawn(move || {
                 let prompt = format!("caller {n}");
                 let key = format!("key-{n}");
-                let front = cluster.daemons[n % 3].front;
+                let front = cluster.daemons[n % 3].front_address;
                 let headers = [("idempotency-key", key.as_str())];
-                let reply = chat(front, &prompt, &headers, json!({ "stream": true }));
-                let (got, done) = reply.streamed();
-                if reply.status == 200 && done {
+                let response = chat(front, &prompt, &headers, json!({ "stream": true }));
+                let (got, done) = response.streamed_text();
+                if response.status == 200 && done {
                     assert_eq!(got, text::whole(&prompt, None));
                 } else {
-                    check_not_whole(&reply);
+                    check_not_whole(&response);
                 }
             });
         }
@@ -109,12 +112,12 @@
     std::thread::scope(|scope| {
         let calls: Vec<_> = (0..12)
             .map(|n| {
-                let front = cluster.daemons[n % 3].front;
+                let front = cluster.daemons[n % 3].front_address;
                 let prompt = format!("moving {n}");
                 let headers = [("gatespool-deadline-ms", "20000")];
                 scope.spawn(move || {
-                    let reply = chat(front, &prompt, &headers, json!({ "stream": true }));
-                    (prompt, reply.streamed())
+                    let response = chat(front, &prompt, &headers, json!({ "stream": true }));
+                    (prompt, response.streamed_text())
                 })
             })
             .collect();
@@ -133,12 +136,12 @@
 fn a_resend_reads_what_the_first_caller_saw_end() {
     let cluster = Cluster::start(Plan::default());
     let headers = [("idempotency-key", "seen")];
-    let first = chat(cluster.daemons[0].front, "seen", &headers, json!({ "stream": true }));
-    let (text, done) = first.streamed();
+    let first = chat(cluster.daemons[0].front_address, "seen", &headers, json!({ "stream": true }));
+    let (text, done) = first.streamed_text();
     assert!(done);
     // The closing event followed the durable outcome: no wait is needed here.
-    let again = chat(cluster.daemons[1].front, "seen", &headers, json!({ "stream": true }));
-    assert_eq!(again.streamed(), (text, true));
+    let again = chat(cluster.daemons[1].front_address, "seen", &headers, json!({ "stream": true }));
+    assert_eq!(again.streamed_text(), (text, true));
     assert_eq!(again.header("gatespool-replayed"), "true");
     assert_eq!(cluster.runs().len(), 1);
 }
--- a/crates/daemon/tests/whole_path.rs
+++ b/crates/daemon/tests/whole_path.rs
@@ -13,11 +13,11 @@
     let cluster = Cluster::start(Plan::default());
     let prompt = "condition of the 1998 edition?";
     for daemon in &cluster.daemons {
-        let plain = chat(daemon.front, prompt, &[], json!({}));
+        let plain = chat(daemon.front_address, prompt, &[], json!({}));
         assert_eq!(plain.status, 200, "{plain:?}");
         assert_eq!(plain.text(), text::whole(prompt, None));
-        let streamed = chat(daemon.front, prompt, &[], json!({ "stream": true }));
-        assert_eq!(streamed.streamed(), (text::whole(prompt, None), true));
+        let streamed = chat(daemon.front_address, prompt, &[], json!({ "stream": true }));
+        assert_eq!(streamed.streamed_text(), (text::whole(prompt, None), true));
     }
 }
 
@@ -40,8 +40,8 @@
 #[test]
 fn a_plain_service_is_routed_to() {
     let cluster = Cluster::start(Plan::default());
-    let reply = util::client::get(cluster.daemons[1].front, "/offers/7");
-    assert_eq!(reply.status, 200, "{reply:?}");
-    assert_eq!(reply.json()["path"], "/offers/7");
+    let response = util::client::get(cluster.daemons[1].front_address, "/offers/7");
+    assert_eq!(response.status, 200, "{response:?}");
+    assert_eq!(response.json()["path"], "/offers/7");
     assert_eq!(cluster.plain.calls().len(), 1);
 }
