--- a/crates/daemon/tests/util/batch.rs
+++ b/crates/daemon/tests/util/batch.rs
@@ -1,11 +1,11 @@
-//! What the tests of batch jobs share.
+//! Helpers of the batch job tests.
 
 use super::gateway::Plan;
 use serde_json::Value;
 use standin::runner::{Config, Runner};
 use std::time::Duration;
 
-/// A runner that takes 1.6 s for an answer.
+/// A runner that takes 1.6 s per response.
 pub fn slow(id: &str) -> Config {
     Config { id: id.to_owned(), pace: Duration::from_millis(40), events: 40, ..Config::default() }
 }
@@ -15,12 +15,12 @@
     Plan { runners: vec![("east", slow("r0")), ("west", slow("r1"))], ..Plan::default() }
 }
 
-/// Checks that these items have whole results of so many events, each once.
+/// Asserts that each of `items` has exactly one result, complete with `events` events.
 #[track_caller]
 pub fn assert_results(results: &[Value], items: &[&str], events: u64) {
     let mut ids: Vec<&str> = results.iter().filter_map(|result| result["id"].as_str()).collect();
     ids.sort_unstable();
-    assert_eq!(ids, items, "each item once");
+    assert_eq!(ids, items, "exactly one result per item");
     for result in results {
         let id = result["id"].as_str().expect("an id");
         assert_eq!(result["state"], "complete");
@@ -28,9 +28,9 @@
     }
 }
 
-/// Lines of a log.
+/// Queries on parsed log lines.
 pub trait LogLines {
-    /// The last line with this message.
+    /// The last line with the message `msg`.
     fn last_message(&self, msg: &str) -> Option<Value>;
 }
 
--- a/crates/daemon/tests/util/client.rs
+++ b/crates/daemon/tests/util/client.rs
@@ -1,4 +1,4 @@
-//! A small blocking HTTP client.
+//! A blocking HTTP client.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -16,16 +16,15 @@
 static RUNTIME: LazyLock<Runtime> = LazyLock::new(|| Runtime::new().expect("a runtime"));
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An answer.
+/// An HTTP response.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Status; 0 when the connection failed.
+    /// Status code; 0 if no response arrived.
     pub status: u16,
-    /// Headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body, as far as it was received.
     pub body: Bytes,
-    /// Whether the body came to its end.
+    /// Whether the body was received to its end.
     pub is_complete: bool,
 }
 
@@ -33,43 +32,43 @@
     /// The body as JSON.
     #[track_caller]
     pub fn json(&self) -> Value {
-        serde_json::from_slice(&self.body).unwrap_or_else(|_| panic!("no JSON: {self:?}"))
+        serde_json::from_slice(&self.body).unwrap_or_else(|_| panic!("body isn't JSON: {self:?}"))
     }
 
-    /// Kind of the error answer, if it is one.
+    /// Error kind; `None` if the response isn't an error.
     pub fn error_kind(&self) -> Option<Kind> {
         let body: protocol::error::Body = serde_json::from_slice(&self.body).ok()?;
         Some(body.error.kind)
     }
 
-    /// A header as text.
+    /// Value of a header; empty if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default()
     }
 
-    /// Text of an unstreamed completion.
+    /// Text of a completion that wasn't streamed.
     #[track_caller]
     pub fn text(&self) -> String {
-        self.json()["choices"][0]["message"]["content"].as_str().expect("a text").to_owned()
+        self.json()["choices"][0]["message"]["content"].as_str().expect("a string").to_owned()
     }
 
-    /// Text of a streamed completion, and whether it was closed as complete.
+    /// Text of a streamed completion, and whether its final event arrived.
     pub fn streamed_text(&self) -> (String, bool) {
         let body = String::from_utf8_lossy(&self.body);
         let mut text = String::new();
-        let mut done = false;
+        let mut is_done = false;
         for data in body.lines().filter_map(|line| line.strip_prefix("data: ")) {
-            done |= data == DONE;
+            is_done |= data == DONE;
             if let Ok(chunk) = serde_json::from_str::<Chunk>(data) {
                 let content = chunk.choices.into_iter().next().and_then(|c| c.delta.content);
                 text.push_str(&content.unwrap_or_default());
             }
         }
-        (text, done)
+        (text, is_done)
     }
 }
 
-/// Makes one call.
+/// Sends a request on a connection of its own.
 pub fn call(
     method: &str,
     to: SocketAddr,
@@ -120,17 +119,17 @@
     Some(Response { status, headers, body: bytes.into(), is_complete })
 }
 
-/// Reads.
+/// Sends a GET request.
 pub fn get(to: SocketAddr, path: &str) -> Response {
     call("GET", to, path, &[], Bytes::new())
 }
 
-/// Sends JSON.
+/// Posts a JSON body.
 pub fn post(to: SocketAddr, path: &str, headers: &[(&str, &str)], body: &Value) -> Response {
     call("POST", to, path, headers, serde_json::to_vec(body).expect("JSON"))
 }
 
-/// Asks for a chat completion.
+/// Requests a chat completion; `extra` adds fields to the body.
 pub fn chat(to: SocketAddr, prompt: &str, headers: &[(&str, &str)], extra: Value) -> Response {
     let mut body = serde_json::json!({
         "model": "pustak-llm",
@@ -142,8 +141,8 @@
     post(to, "/v1/chat/completions", headers, &body)
 }
 
-/// Unix milliseconds.
+/// Current Unix time in milliseconds.
 pub fn unix_millis() -> u64 {
-    let passed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    passed.expect("a clock").as_millis() as u64
+    let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    elapsed.expect("a time after 1970").as_millis() as u64
 }
--- a/crates/daemon/tests/util/cluster.rs
+++ b/crates/daemon/tests/util/cluster.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and daemons of one test.
+//! A cluster of daemons with stand-ins for the platform and the targets.
 
 use super::client::{self, Response};
 use super::daemon::Daemon;
@@ -12,24 +12,24 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Data centres in turn.
+/// Data centres, assigned to daemons and targets in turn.
 pub const DATA_CENTRES: [&str; 3] = ["kirtipur-hall", "patan-hall", "bhaktapur-hall"];
 
-/// What a test starts.
+/// What [`Cluster::start`] starts.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// How an engine behaves.
+    /// Behaviour of each engine.
     pub engine: Config,
-    /// Lines of settings, as `section.key = value`.
+    /// Additional settings, as `section.key = value`.
     pub settings: Vec<String>,
-    /// Guards switched off, to see the test fail; named by a variable of the
-    /// environment, so that the guarded test itself is what is run.
+    /// Guards to disable, to see the test fail; `GATESPOOL_UNGUARDED` by default, so that the
+    /// test needn't be changed for it.
     pub disabled_guards: String,
-    /// Data centres used; all three by default.
+    /// Number of data centres; all three by default.
     pub data_centres: usize,
 }
 
@@ -46,23 +46,17 @@
     }
 }
 
-/// Everything of one test.
+/// Daemons and stand-ins of one test.
 pub struct Cluster {
-    /// The platform.
     pub platform: Platform,
-    /// Its address.
     pub platform_address: SocketAddr,
-    /// The engines.
     pub engines: Vec<Engine>,
-    /// Their addresses.
     pub engine_addresses: Vec<SocketAddr>,
-    /// The plain service.
+    /// Target of the service with the plain protocol.
     pub plain: Plain,
-    /// The daemons.
     pub daemons: Vec<Daemon>,
-    /// The plan.
     pub plan: Plan,
-    /// Folder of this test's files.
+    /// Directory of the test's files.
     pub dir: PathBuf,
     started_daemons: usize,
     servers: Vec<Running>,
@@ -70,7 +64,7 @@
 
 static DIR_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// Settings of the tests: short times, so that lapses needn't be waited for long.
+/// Settings with short timeouts, so that expiries don't slow the tests.
 const SETTINGS: &[&str] = &[
     "peers.ping_ms = 100",
     "peers.suspect_ms = 600",
@@ -92,7 +86,7 @@
 ];
 
 impl Cluster {
-    /// Starts the plan and applies a configuration for it.
+    /// Starts all that `plan` names and applies a configuration for it.
     #[track_caller]
     pub fn start(plan: Plan) -> Cluster {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -133,7 +127,7 @@
         cluster.wait_members();
         let change = cluster.change();
         let response = cluster.apply(0, 0, &change);
-        assert_eq!(response.status, 200, "the configuration is accepted: {response:?}");
+        assert_eq!(response.status, 200, "configuration rejected: {response:?}");
         cluster.wait_generation(1);
         cluster
     }
@@ -145,7 +139,7 @@
         self.new_daemon_in(data_centre, "")
     }
 
-    /// Starts one more daemon in `centre`, with more lines of settings.
+    /// Starts one more daemon in `data_centre`, with additional settings.
     #[track_caller]
     pub fn new_daemon_in(&mut self, data_centre: &str, more: &str) -> Daemon {
         let seeds: Vec<String> = self.daemons.iter().map(|d| d.peer_address.to_string()).collect();
@@ -165,7 +159,7 @@
         Daemon::start(&self.dir, &name, &ini(&lines))
     }
 
-    /// The change that configures this cluster.
+    /// Configuration change that adds the services and targets of this cluster.
     pub fn change(&self) -> Value {
         let target = |number: usize, at: &SocketAddr| {
             json!({
@@ -194,20 +188,22 @@
         json!({ "put": put })
     }
 
-    /// Offers a change through one daemon.
+    /// Submits a configuration change, based on `revision`, to a daemon.
     pub fn apply(&self, daemon: usize, revision: u64, change: &Value) -> Response {
-        let offer = json!({ "revision": revision, "author": "test", "change": change });
-        client::post(self.daemons[daemon].front_address, "/v1/config", &[], &offer)
+        let body = json!({ "revision": revision, "author": "test", "change": change });
+        client::post(self.daemons[daemon].front_address, "/v1/config", &[], &body)
     }
 
-    /// Waits until every daemon knows every other.
+    /// Waits until every daemon considers all daemons alive.
     #[track_caller]
     pub fn wait_members(&self) {
         let all = self.daemons.len();
-        wait_until("all members meet", || self.daemons.iter().all(|d| d.alive_members() == all));
+        wait_until("all members are alive", || {
+            self.daemons.iter().all(|d| d.alive_members() == all)
+        });
     }
 
-    /// Waits until a generation is in force on every daemon.
+    /// Waits until this or a later generation is in force on every daemon.
     #[track_caller]
     pub fn wait_generation(&self, generation: u64) {
         wait_until("the generation is in force", || {
@@ -215,27 +211,27 @@
         });
     }
 
-    /// Sets faults of the platform.
+    /// Injects faults into the platform.
     pub fn platform_fault(&self, control: Control) {
         self.platform.control(control);
     }
 
-    /// The platform goes down or comes back.
+    /// Takes the platform down or brings it back.
     pub fn platform_down(&self, down: bool) {
         self.platform.control(Control { down: Some(down), ..Control::default() });
     }
 
-    /// Every run on every engine.
+    /// Runs of all engines.
     pub fn runs(&self) -> Vec<standin::engine::Run> {
         self.engines.iter().flat_map(Engine::runs).collect()
     }
 
-    /// Submits a job.
+    /// Submits a job without a due time.
     pub fn submit(&self, daemon: usize, key: &str, items: &[Value]) -> Response {
         self.submit_due(daemon, key, items, 0)
     }
 
-    /// Submits a job with a due time.
+    /// Submits a job with a due time in Unix milliseconds; 0 for none.
     pub fn submit_due(&self, daemon: usize, key: &str, items: &[Value], due: u64) -> Response {
         let mut lines = vec![json!({ "service": "pustak-llm", "due": due }).to_string()];
         lines.extend(items.iter().map(Value::to_string));
@@ -244,45 +240,45 @@
         client::call("POST", front, "/v1/jobs", &headers, lines.join("\n"))
     }
 
-    /// Where a job stands, asked through one daemon.
+    /// Status of a job according to one daemon; null if it doesn't know.
     pub fn status(&self, daemon: usize, job: &str) -> Value {
         let response = self.daemons[daemon].get(&format!("/v1/jobs/{job}"));
         if response.status == 200 { response.json() } else { Value::Null }
     }
 
-    /// Waits for the end of a job.
+    /// Waits until a job is in `phase` and returns its status.
     #[track_caller]
     pub fn wait_job(&self, daemon: usize, job: &str, phase: &str) -> Value {
-        let end = std::time::Instant::now() + super::WAIT_TIMEOUT;
+        let deadline = std::time::Instant::now() + super::WAIT_TIMEOUT;
         loop {
             let status = self.status(daemon, job);
             if status["phase"] == phase {
                 return status;
             }
-            let in_time = std::time::Instant::now() < end;
+            let in_time = std::time::Instant::now() < deadline;
             assert!(in_time, "the job isn't {phase}: {status}\n{}", self.describe());
             std::thread::sleep(std::time::Duration::from_millis(10));
         }
     }
 
-    /// What every daemon knows, for a failure's message.
+    /// State of all daemons and engines for a failure message; writes the log to a file.
     fn describe(&self) -> String {
-        let of = |daemon: &Daemon| {
+        let describe_daemon = |daemon: &Daemon| {
             let body = |path| String::from_utf8_lossy(&daemon.get(path).body).into_owned();
             format!("{}\n{}\n{}\n", body("/v1/status"), body("/v1/instances"), body("/v1/targets"))
         };
         let running: Vec<[u32; 2]> = self.engines.iter().map(Engine::running).collect();
-        let daemons: String = self.daemons.iter().map(of).collect();
-        let log = self.dir.join("log.json");
+        let daemons: String = self.daemons.iter().map(describe_daemon).collect();
+        let log_path = self.dir.join("log.json");
         let entries = self.platform.keys("log/").into_iter().map(|key| {
             let value = self.platform.value(&key).unwrap_or_default();
             format!("{key} {}\n", String::from_utf8_lossy(&value))
         });
-        drop(std::fs::write(log, entries.collect::<String>()));
+        drop(std::fs::write(log_path, entries.collect::<String>()));
         format!("{daemons}running {running:?}, files in {}", self.dir.display())
     }
 
-    /// All results of a job, read through one daemon.
+    /// All results of a job, read page by page from one daemon.
     #[track_caller]
     pub fn results(&self, daemon: usize, job: &str) -> Vec<Value> {
         let mut all = Vec::new();
@@ -302,6 +298,7 @@
     }
 }
 
+/// Groups `section.key = value` lines by section; a later line replaces an earlier one.
 fn ini(lines: &[String]) -> String {
     let mut sections: Vec<(String, Vec<String>)> = Vec::new();
     for line in lines {
@@ -322,7 +319,7 @@
     text.collect()
 }
 
-/// Items of a job: `count` prompts that start with `prompt`.
+/// `count` job items, whose prompts start with `prompt`.
 pub fn items(prompt: &str, count: usize) -> Vec<Value> {
     (0..count).map(|i| json!({ "prompt": format!("{prompt} {i}") })).collect()
 }
--- a/crates/daemon/tests/util/daemon.rs
+++ b/crates/daemon/tests/util/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon as a process.
+//! A daemon as a child process.
 
 use super::client::{self, Response};
 use super::wait_until;
@@ -10,29 +10,29 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// A daemon's process; killed when this is dropped.
+/// A daemon process; killed on drop.
 pub struct Daemon {
-    /// Where callers are served.
+    /// Address that serves callers.
     pub front_address: SocketAddr,
-    /// Where peers are served.
+    /// Address that serves peers.
     pub peer_address: SocketAddr,
-    /// File of addresses that this daemon can't reach.
+    /// File that lists the addresses that this daemon can't reach.
     pub partition_file: PathBuf,
-    /// File of the suspensions that it takes for real.
+    /// File that holds the simulated suspended time.
     pub suspension_file: PathBuf,
     child: Child,
     is_stopping: AtomicBool,
 }
 
 impl Daemon {
-    /// Starts a daemon with the settings in `ini`, to which its own cut file is
-    /// added; `name` names its files in `dir`.
+    /// Starts a daemon with the settings `ini` and files for simulated faults; its files in
+    /// `dir` are called `name`.
     #[track_caller]
     pub fn start(dir: &Path, name: &str, ini: &str) -> Daemon {
         let partition_file = dir.join(format!("{name}.cut"));
-        std::fs::write(&partition_file, "").expect("a cut file");
+        std::fs::write(&partition_file, "").expect("the partition file is written");
         let suspension_file = dir.join(format!("{name}.suspended"));
-        std::fs::write(&suspension_file, "").expect("a file of suspensions");
+        std::fs::write(&suspension_file, "").expect("the suspension file is written");
         let settings = dir.join(format!("{name}.ini"));
         let faults = format!(
             "[faults]\ncut = {}\nsuspended = {}\n",
@@ -44,8 +44,9 @@
         } else {
             format!("{ini}\n{faults}")
         };
-        std::fs::write(&settings, text).expect("a settings file");
-        let stderr = std::fs::File::create(dir.join(format!("{name}.err"))).expect("a file");
+        std::fs::write(&settings, text).expect("the settings file is written");
+        let stderr =
+            std::fs::File::create(dir.join(format!("{name}.err"))).expect("a file for stderr");
         let mut child = Command::new(env!("CARGO_BIN_EXE_gatespoold"))
             .arg("--settings")
             .arg(&settings)
@@ -53,10 +54,11 @@
             .stderr(stderr)
             .spawn()
             .expect("the daemon starts");
-        let log = dir.join(format!("{name}.log"));
-        let log = std::fs::File::options().append(true).create(true).open(log).expect("a log");
-        let stdout = child.stdout.take().expect("its output");
-        let (front_address, peer_address) = addresses(stdout, log, dir);
+        let log_path = dir.join(format!("{name}.log"));
+        let log =
+            std::fs::File::options().append(true).create(true).open(log_path).expect("a log file");
+        let stdout = child.stdout.take().expect("piped output");
+        let (front_address, peer_address) = read_addresses(stdout, log, dir);
         Daemon {
             front_address,
             peer_address,
@@ -67,18 +69,18 @@
         }
     }
 
-    /// Waits until it serves.
+    /// Waits until the daemon reports that it is ready.
     #[track_caller]
     pub fn wait_ready(&self) {
         wait_until("the daemon is ready", || self.get("/ready").status == 200);
     }
 
-    /// Reads.
+    /// Sends a GET request.
     pub fn get(&self, path: &str) -> Response {
         client::get(self.front_address, path)
     }
 
-    /// Generation of the configuration in force here.
+    /// Generation of the configuration in force; 0 if the daemon doesn't say.
     pub fn generation(&self) -> u64 {
         let response = self.get("/v1/status");
         if response.status != 200 {
@@ -87,7 +89,7 @@
         response.json()["generation"].as_u64().unwrap_or(0)
     }
 
-    /// Members that it takes for alive, itself counted.
+    /// Number of members that the daemon considers alive, including itself.
     pub fn alive_members(&self) -> usize {
         let response = self.get("/v1/instances");
         if response.status != 200 {
@@ -98,69 +100,70 @@
         list.iter().filter(|member| member["state"] == "alive").count()
     }
 
-    /// SIGKILL, and waits for the process to be gone.
+    /// Sends SIGKILL and waits for the process to exit.
     pub fn kill(&mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
     }
 
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     pub fn thaw(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// SIGHUP.
+    /// Sends SIGHUP.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
         self.signal(Signal::TERM);
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits for the process to exit by itself.
     #[track_caller]
     pub fn wait_exit(&mut self) -> ExitStatus {
         let child = &mut self.child;
-        super::wait_for("the daemon exits", || child.try_wait().expect("its status"))
+        super::wait_for("the daemon exits", || child.try_wait().expect("an exit status"))
     }
 
-    /// Whether it was told to stop.
+    /// Whether [`Daemon::terminate`] was called.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether the process still runs.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().is_ok_and(|status| status.is_none())
     }
 
-    /// Has its clock count `asleep` as slept since its start.
-    pub fn simulate_suspension(&self, asleep: Duration) {
-        std::fs::write(&self.suspension_file, asleep.as_millis().to_string()).expect("the file");
+    /// Simulates that the daemon was suspended for `suspended_for` in total since its start.
+    pub fn simulate_suspension(&self, suspended_for: Duration) {
+        std::fs::write(&self.suspension_file, suspended_for.as_millis().to_string())
+            .expect("the suspension file is written");
     }
 
-    /// Makes addresses unreachable from here; an empty list heals.
+    /// Makes exactly `addresses` unreachable from this daemon.
     pub fn set_unreachable(&self, addresses: &[SocketAddr]) {
         let lines: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
-        std::fs::write(&self.partition_file, lines.join("\n")).expect("the cut file");
+        std::fs::write(&self.partition_file, lines.join("\n"))
+            .expect("the partition file is written");
     }
 
-    /// Has the connections that are open to these addresses go silent for good; new ones
-    /// work.
+    /// Makes the open connections to `addresses` unresponsive for good; new connections work.
     pub fn set_unresponsive(&self, addresses: &[SocketAddr]) {
         let lines: Vec<String> = addresses.iter().map(|at| format!("silent {at}")).collect();
-        std::fs::write(&self.partition_file, lines.join("\n")).expect("the cut file");
+        std::fs::write(&self.partition_file, lines.join("\n"))
+            .expect("the partition file is written");
     }
 
-    /// CPU time used, in clock ticks of 10 ms, and resident memory in KiB.
+    /// CPU time in clock ticks of 10 ms, and resident memory in KiB.
     pub fn cpu_ticks_and_rss_kib(&self) -> (u64, u64) {
         let id = self.child.id();
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
@@ -185,9 +188,9 @@
     }
 }
 
-/// Reads the addresses from the line that tells the start, and keeps all lines.
+/// Reads the front and peer addresses from the `started` line, and copies all lines to `log`.
 #[track_caller]
-fn addresses(
+fn read_addresses(
     stdout: std::process::ChildStdout,
     mut log: std::fs::File,
     dir: &Path,
@@ -196,9 +199,9 @@
     let mut found = None;
     while found.is_none() {
         let line = lines.next().and_then(Result::ok);
-        let line = line.unwrap_or_else(|| panic!("no start; see {}", dir.display()));
-        writeln!(log, "{line}").expect("the log");
-        let line: serde_json::Value = serde_json::from_str(&line).expect("lines of JSON");
+        let line = line.unwrap_or_else(|| panic!("the daemon didn't start; see {}", dir.display()));
+        writeln!(log, "{line}").expect("the log is written");
+        let line: serde_json::Value = serde_json::from_str(&line).expect("a JSON log line");
         if line["msg"] == "started" {
             let address = |key: &str| line[key].as_str().expect("an address").parse();
             let front = address("front").expect("an IP number and port");
--- a/crates/daemon/tests/util/gateway.rs
+++ b/crates/daemon/tests/util/gateway.rs
@@ -1,4 +1,4 @@
-//! Gateways as processes, before the platform's stand-ins.
+//! A fleet of gateway processes with stand-ins for the platform and the targets.
 
 use super::client::{self, Response};
 use super::daemon::Daemon;
@@ -12,22 +12,22 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "a.example";
 
 static DIR_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// What to start.
+/// What [`Fleet::start`] starts.
 pub struct Plan {
-    /// Data centres of the gateways.
+    /// Data centre of each gateway.
     pub gateways: Vec<&'static str>,
-    /// Data centres and kinds of the runners.
+    /// Data centre and configuration of each runner.
     pub runners: Vec<(&'static str, runner::Config)>,
-    /// Attempts of the resumable route.
+    /// Maximum number of attempts on the resumable route.
     pub max_attempts: u32,
-    /// Tokens that may wait on the batch route.
+    /// Maximum number of queued tokens on the batch route; 0 for no limit.
     pub max_queued_tokens: u64,
-    /// Lines added to the settings, `section.key = value`.
+    /// Additional settings, as `section.key = value`.
     pub settings: Vec<String>,
 }
 
@@ -44,31 +44,28 @@
     }
 }
 
-/// All that runs.
+/// Gateways and stand-ins of one test.
 pub struct Fleet {
-    /// The platform.
+    /// Objects of the platform.
     pub objects: Objects,
-    /// The runners.
     pub runners: Vec<Runner>,
-    /// Addresses of the runners.
+    /// Addresses at which the gateways reach the runners.
     pub runner_addresses: Vec<SocketAddr>,
-    /// The gateways.
     pub gateways: Vec<Daemon>,
-    /// Folder of settings and logs.
+    /// Directory of settings and logs.
     pub dir: PathBuf,
-    /// What `Plan` said of the settings of each gateway.
     plan: Plan,
     platform_addresses: Vec<SocketAddr>,
     _servers: Vec<Running>,
 }
 
-/// Addresses on loopback, with any free port.
+/// Loopback address with a port that the system chooses.
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 impl Fleet {
-    /// Starts all and waits until every gateway is ready.
+    /// Starts the fleet, configures it and waits until every gateway is ready.
     #[track_caller]
     pub fn start(plan: Plan) -> Fleet {
         let fleet = Fleet::start_unconfigured(plan);
@@ -77,14 +74,14 @@
         fleet
     }
 
-    /// Starts all without a configuration.
+    /// Starts the fleet without a configuration.
     #[track_caller]
     pub fn start_unconfigured(plan: Plan) -> Fleet {
         Fleet::start_behind_proxies(plan, |address| address)
     }
 
-    /// Starts all without a configuration; `place` gives the address at which
-    /// the gateways reach the platform (one for each gateway) and each runner.
+    /// Starts the fleet without a configuration. `proxy` maps the address of the platform
+    /// (once for each gateway) and of each runner to the one that the gateways use.
     #[track_caller]
     pub fn start_behind_proxies(
         plan: Plan,
@@ -95,9 +92,9 @@
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir).expect("a directory");
         let objects = Objects::default();
-        let store = serve::start(any_port(), objects.clone()).expect("the platform");
-        let platform_addresses = plan.gateways.iter().map(|_| proxy(store.address)).collect();
-        let mut servers = vec![store];
+        let platform = serve::start(any_port(), objects.clone()).expect("the platform");
+        let platform_addresses = plan.gateways.iter().map(|_| proxy(platform.address)).collect();
+        let mut servers = vec![platform];
         let mut runners = Vec::new();
         let mut runner_addresses = Vec::new();
         for (data_centre, config) in &plan.runners {
@@ -127,8 +124,8 @@
         fleet
     }
 
-    /// Starts all with a proxy before the platform for each gateway, and waits until
-    /// every gateway is ready. Gives the gateways' proxies besides.
+    /// Starts the fleet with one proxy to the platform for each gateway and waits until every
+    /// gateway is ready. Also returns these proxies, in the order of the gateways.
     #[track_caller]
     pub fn start_with_platform_proxies(plan: Plan) -> (Fleet, Vec<Proxy>) {
         let mut proxies = Vec::new();
@@ -157,13 +154,13 @@
             self.platform_addresses[n],
         );
         for line in &self.plan.settings {
-            let (section, rest) = line.split_once('.').expect("section.key = value");
-            ini.push_str(&format!("[{section}]\n{rest}\n"));
+            let (section, setting) = line.split_once('.').expect("section.key = value");
+            ini.push_str(&format!("[{section}]\n{setting}\n"));
         }
         Daemon::start(&self.dir, &format!("gateway-{n}"), &ini)
     }
 
-    /// Starts a gateway again that was killed or has stopped, where it was.
+    /// Restarts a gateway on the same addresses, after a SIGKILL if it still runs.
     #[track_caller]
     pub fn restart(&mut self, n: usize) {
         let (front, peer) = (self.gateways[n].front_address, self.gateways[n].peer_address);
@@ -171,12 +168,12 @@
         self.gateways[n] = self.start_gateway(n, front, peer);
     }
 
-    /// Writes a version of the configuration.
+    /// Writes version `version` of the configuration.
     pub fn configure(&self, version: u64) {
         self.objects.put("config", "main", self.config(version));
     }
 
-    /// A configuration; tests change it at will.
+    /// The configuration of the fleet, with this version.
     pub fn config(&self, version: u64) -> Value {
         let route = |name: &str, prefix: &str, kind: &str| {
             json!({
@@ -203,12 +200,11 @@
         })
     }
 
-    /// Waits until every gateway knows a configuration, the targets and each
-    /// other.
+    /// Waits until every gateway knows a configuration, the targets and all other gateways.
     #[track_caller]
     pub fn wait_ready(&self) {
         for n in 0..self.gateways.len() {
-            wait_until("a gateway serves", || {
+            wait_until("a gateway is ready", || {
                 self.send(n, &format!("/plain/ready-{n}"), &format!("ready-{n}")).status == 200
             });
         }
@@ -218,26 +214,26 @@
         }
     }
 
-    /// Members that a gateway knows by its last line about them.
+    /// Number of other members that a gateway considers alive, by its last `members` line.
     fn alive_peers(&self, n: usize) -> usize {
         let lines = self.log(n);
-        let last = lines.iter().rev().find(|line| line["msg"] == "members");
-        last.and_then(|line| line["alive"].as_u64()).unwrap_or(0) as usize
+        let members = lines.iter().rev().find(|line| line["msg"] == "members");
+        members.and_then(|line| line["alive"].as_u64()).unwrap_or(0) as usize
     }
 
-    /// Lines that a gateway has logged.
+    /// Log lines of a gateway.
     pub fn log(&self, n: usize) -> Vec<Value> {
         let path = self.dir.join(format!("gateway-{n}.log"));
         let text = std::fs::read_to_string(path).unwrap_or_default();
         text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
     }
 
-    /// Sends a request to a gateway.
+    /// Sends a request to a gateway and waits for the response.
     pub fn send(&self, n: usize, path: &str, id: &str) -> Response {
         self.send_with(n, path, id, &[])
     }
 
-    /// Sends a request with further headers.
+    /// As [`Fleet::send`], with additional headers.
     pub fn send_with(
         &self,
         n: usize,
@@ -248,7 +244,7 @@
         send_to(self.gateways[n].front_address, path, id, extra_headers)
     }
 
-    /// Submits a job of items with these ids, 100 tokens each.
+    /// Submits a job of items with these ids, of 100 tokens each.
     pub fn submit(&self, n: usize, job: &str, items: &[&str]) -> Response {
         let item = |id: &&str| {
             json!({
@@ -266,20 +262,20 @@
         )
     }
 
-    /// Reads a job's results from a position on.
+    /// Reads the results of a job from position `from` on.
     pub fn results(&self, n: usize, job: &str, from: usize) -> Response {
         let headers = [("host", HOST), ("x-gatespool-wait-ms", "200")];
         let path = format!("/lots/{job}?since_rev={from}");
         client::call("GET", self.gateways[n].front_address, &path, &headers, Vec::new())
     }
 
-    /// Ends a job.
+    /// Requests the end of a job.
     pub fn end(&self, n: usize, job: &str) -> Response {
         let path = format!("/lots/{job}");
         client::call("DELETE", self.gateways[n].front_address, &path, &[("host", HOST)], Vec::new())
     }
 
-    /// Waits until all results of a job are listed, and gives them.
+    /// Waits until all results of a job are listed and returns them.
     #[track_caller]
     pub fn wait_results(&self, n: usize, job: &str) -> Vec<Value> {
         wait_for("all results", || {
@@ -293,13 +289,13 @@
         })
     }
 
-    /// Every run of every runner for paths that begin so.
+    /// Runs of all runners whose path starts with `prefix`.
     pub fn runs(&self, prefix: &str) -> Vec<Run> {
-        let all = self.runners.iter().flat_map(Runner::runs);
-        all.filter(|run| run.path.starts_with(prefix)).collect()
+        let runs = self.runners.iter().flat_map(Runner::runs);
+        runs.filter(|run| run.path.starts_with(prefix)).collect()
     }
 
-    /// Has the entry of a runner change in a field that says nothing of its use.
+    /// Changes the entry of a runner in a field that doesn't affect its use.
     pub fn touch_runner_entry(&self, n: usize) {
         let (data_centre, config) = &self.plan.runners[n];
         let mut entry = runner_entry(self.runner_addresses[n], data_centre, config, "ready");
@@ -307,7 +303,7 @@
         self.objects.put("servers", &config.id, entry);
     }
 
-    /// Writes the entry of a runner that has started again under its id.
+    /// Writes the entry that a runner registers after a restart under the same id.
     pub fn reregister(&self, n: usize, started_at: u64) {
         let (data_centre, config) = &self.plan.runners[n];
         let mut entry = runner_entry(self.runner_addresses[n], data_centre, config, "ready");
@@ -315,7 +311,7 @@
         self.objects.put("servers", &config.id, entry);
     }
 
-    /// Writes the entry of a runner anew.
+    /// Rewrites the entry of a runner with this state.
     pub fn set_runner_state(&self, n: usize, state: &str) {
         let (data_centre, config) = &self.plan.runners[n];
         self.objects.put(
@@ -326,7 +322,7 @@
     }
 }
 
-/// Sends a request to an address.
+/// Sends a request with a deadline of 5 s to the gateway at `to`.
 pub fn send_to(to: SocketAddr, path: &str, id: &str, extra_headers: &[(&str, &str)]) -> Response {
     let mut headers =
         vec![("host", HOST), ("x-gatespool-request-id", id), ("x-gatespool-deadline-ms", "5000")];
@@ -346,9 +342,9 @@
     })
 }
 
-/// The data of a stream's events, in order.
+/// Data of all events of a stream, joined by newlines.
 pub fn event_data(response: &Response) -> String {
     let text = String::from_utf8_lossy(&response.body);
-    let data: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
-    data.join("\n")
+    let events: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
+    events.join("\n")
 }
--- a/crates/daemon/tests/util/mod.rs
+++ b/crates/daemon/tests/util/mod.rs
@@ -1,7 +1,7 @@
-//! Harness of the process tests: stand-ins inside the test's process, daemons as
-//! processes of the real binary.
+//! Harness of the process tests: runs stand-ins inside the test process and daemons as
+//! child processes of the real binary.
 
-#![allow(dead_code)] // Each test file uses its own part of the harness.
+#![allow(dead_code)] // No test file uses all of the harness.
 
 pub mod batch;
 pub mod client;
@@ -12,23 +12,23 @@
 
 use std::time::{Duration, Instant};
 
-/// Limit of every wait; long, since only a failure ever reaches it.
+/// Timeout of every wait; long, since only a failing test reaches it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `condition` gives a value.
+/// Polls `condition` until it returns a value; panics after [`WAIT_TIMEOUT`].
 #[track_caller]
 pub fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + WAIT_TIMEOUT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = condition() {
             return value;
         }
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting: {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Waits until `condition` holds.
+/// Polls `condition` until it holds; panics after [`WAIT_TIMEOUT`].
 #[track_caller]
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     wait_for(what, || condition().then_some(()));
--- a/crates/daemon/tests/util/proxy.rs
+++ b/crates/daemon/tests/util/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that harms what passes through it.
+//! A loopback TCP proxy that injects network faults.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,50 +7,49 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// What happens to connections.
+/// What the proxy does to its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Nothing.
+    /// Forwards everything.
     Pass,
-    /// Every piece is held for a time.
+    /// Delays each read by this time.
     Delay(Duration),
-    /// All are closed, new ones too.
+    /// Closes all connections, new ones too.
     Reset,
-    /// Nothing passes, and nobody is told.
+    /// Forwards nothing and keeps the connections open.
     Stall,
-    /// Answers don't come back.
+    /// Forwards requests, but no responses.
     StallResponses,
 }
 
-/// Time between looks of a silenced connection.
+/// How often a stalled connection checks the mode.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The proxy; it ends with the test's process.
+/// A proxy that runs until the test process exits.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
     pub address: SocketAddr,
     mode: Arc<Mutex<Mode>>,
     changed: Arc<Notify>,
 }
 
 impl Proxy {
-    /// A proxy before `target`.
+    /// Starts a proxy to `target`.
     pub fn start(target: SocketAddr) -> Proxy {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("a socket");
         let address = listener.local_addr().expect("an address");
         let proxy =
             Proxy { address, mode: Arc::new(Mutex::new(Mode::Pass)), changed: Arc::default() };
-        let own = proxy.clone();
+        let task = proxy.clone();
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            runtime.expect("a runtime").block_on(own.serve(listener, target));
+            runtime.expect("a runtime").block_on(task.serve(listener, target));
         });
         proxy
     }
 
-    /// Changes what happens from now on.
+    /// Changes the mode, also for open connections.
     pub fn set_mode(&self, mode: Mode) {
         *self.mode.lock().unwrap_or_else(PoisonError::into_inner) = mode;
         self.changed.notify_waiters();
@@ -116,8 +115,8 @@
                 match self.mode() {
                     Mode::Stall => tokio::time::sleep(POLL_INTERVAL).await,
                     Mode::StallResponses if is_response => tokio::time::sleep(POLL_INTERVAL).await,
-                    Mode::Delay(time) => {
-                        tokio::time::sleep(time).await;
+                    Mode::Delay(delay) => {
+                        tokio::time::sleep(delay).await;
                         break;
                     }
                     _ => break,
