--- a/crates/daemon/src/append.rs
+++ b/crates/daemon/src/append.rs
@@ -1,7 +1,7 @@
-//! Drives one append to a chain on the platform, as far as it goes now.
+//! Appends one entry to an append-only log on the platform.
 //!
-//! The rules are `coordination::append_log`'s; this only makes the calls that they ask
-//! for. Shards and the configuration share it.
+//! `coordination::append_log` decides the steps; this module makes the calls. The shards
+//! and the configuration share it.
 
 use crate::store::Handle;
 use bytes::Bytes;
@@ -9,41 +9,43 @@
 use platform::key_value::Condition;
 use platform::store::StoreError;
 
-/// How an append ended.
+/// Result of an append.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// The entry is in the chain.
+pub enum AppendOutcome {
+    /// The entry is in the log.
     Committed,
-    /// Another entry stands there.
-    Overtaken,
-    /// It was never taken in, for this reason.
-    Refused(String),
-    /// Nobody can tell yet.
-    Open,
+    /// Another entry has this position.
+    Conflict,
+    /// The entry was never written, for this reason.
+    Rejected(String),
+    /// Whether the entry was written is unknown.
+    Unknown,
 }
 
-/// Creates `value` at `key` and settles lost answers, in at most `tries` rounds.
-/// `token` reads the writer's token of an entry that was found there.
+/// Creates `value` at `key` and reads it back after lost replies, in at most `max_attempts`
+/// rounds. `token` extracts the writer's token from the entry found at `key`.
 pub async fn drive(
     store: &Handle,
     append: &Append,
     key: &str,
     value: Bytes,
-    tries: u32,
+    max_attempts: u32,
     token: impl Fn(&[u8]) -> String,
-) -> End {
+) -> AppendOutcome {
     let mut step = Step::RetryCreate;
-    let mut uncertain = false;
-    for _ in 0..tries {
+    let mut may_exist = false;
+    for _ in 0..max_attempts {
         if step == Step::RetryCreate {
             step = match store.put(key, value.clone(), Condition::Absent).await {
                 Ok(_) => append.on_created(),
                 Err(StoreError::Conflict(_)) => append.on_exists(),
-                // Only a first create that was refused has surely had no effect.
-                Err(StoreError::Unavailable(text)) if !uncertain => return End::Refused(text),
+                // Only a first create that was rejected has surely had no effect.
+                Err(StoreError::Unavailable(text)) if !may_exist => {
+                    return AppendOutcome::Rejected(text);
+                }
                 Err(_) => append.on_unknown(),
             };
-            uncertain = true;
+            may_exist = true;
         }
         if step == Step::ReadBack {
             step = match store.get(key).await {
@@ -53,10 +55,10 @@
             };
         }
         match step {
-            Step::Committed => return End::Committed,
-            Step::Conflict => return End::Overtaken,
+            Step::Committed => return AppendOutcome::Committed,
+            Step::Conflict => return AppendOutcome::Conflict,
             Step::ReadBack | Step::RetryCreate => {}
         }
     }
-    End::Open
+    AppendOutcome::Unknown
 }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,6 +1,6 @@
 //! The control worker: configuration, leaving targets, load reports.
 
-use crate::append::{self, End};
+use crate::append::{self, AppendOutcome};
 use crate::clock;
 use crate::fleet::{Node, lock};
 use crate::peers;
@@ -145,16 +145,16 @@
         serde_json::from_slice::<ConfigEntry>(bytes).map(|entry| entry.token).unwrap_or_default()
     };
     match append::drive(&shared.store, &append, &key, value, MAX_APPEND_ATTEMPTS, token).await {
-        End::Committed => {
+        AppendOutcome::Committed => {
             let generation = entry.generation;
             shared.apply_config_entry(entry);
             write_snapshot(shared).await;
             Ok(generation)
         }
-        End::Overtaken => Err(stale_revision(entry.generation - 1, entry.generation)),
-        End::Refused(text) => Err(Error::new(Kind::PlatformUnavailable, text)),
-        End::Open => {
-            let text = "the platform gave no answer; read the configuration";
+        AppendOutcome::Conflict => Err(stale_revision(entry.generation - 1, entry.generation)),
+        AppendOutcome::Rejected(text) => Err(Error::new(Kind::PlatformUnavailable, text)),
+        AppendOutcome::Unknown => {
+            let text = "the platform didn't respond; read the configuration";
             Err(Error::new(Kind::Undetermined, text))
         }
     }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -55,7 +55,7 @@
 
     async fn command(&self, shard: u32, body: Vec<u8>) -> Vec<u8> {
         let answer = match serde_json::from_slice(&body) {
-            Ok(command) => self.shared.shards.local(shard, command).await,
+            Ok(command) => self.shared.shards.submit_local(shard, command).await,
             Err(error) => Err(protocol::Error::new(protocol::Kind::Malformed, error.to_string())),
         };
         serde_json::to_vec(&answer).unwrap_or_default()
--- a/crates/daemon/src/shards.rs
+++ b/crates/daemon/src/shards.rs
@@ -1,8 +1,8 @@
-//! The log duty: one committer for each shard that this instance is asked for.
+//! The log worker: one committer for each shard that this instance gets commands for.
 //!
-//! Commands go to the shard's owner, which groups them into one append. If the
-//! owner can't be reached, this instance appends by itself: the conditional
-//! create keeps that safe, it only costs a conflict when both do so at once.
+//! Commands go to the shard's owner, which groups them into one append. If the owner can't
+//! be reached, this instance appends by itself; the conditional create keeps that safe, at
+//! the cost of a conflict when both append at once.
 
 use crate::fleet::lock;
 use crate::shared::Shared;
@@ -18,55 +18,55 @@
 use transport::peer::PeerError;
 
 mod commit;
+mod deletion;
 mod load;
-mod sweep;
 
-const CAPACITY: usize = 8192;
-const SHARD_CAPACITY: usize = 4096;
+const CHANNEL_CAPACITY: usize = 8192;
+const SHARD_CHANNEL_CAPACITY: usize = 4096;
 
-/// A command on its way to a committer.
-pub struct Item {
-    /// Shard.
+/// A command submitted to a committer.
+pub struct Submission {
+    /// Shard of the command.
     pub shard: ShardId,
-    /// Command.
+    /// The command itself.
     pub command: Command,
-    /// Where the answer goes.
-    pub answer: channel::ReplySender<CommandResult>,
+    /// Receives the result; closed when the caller stops waiting.
+    pub reply: channel::ReplySender<CommandResult>,
 }
 
-/// The log as other duties see it.
+/// The log, for the other workers.
 #[derive(Clone)]
 pub struct Handle {
-    sender: RequestSender<Item>,
+    sender: RequestSender<Submission>,
     shards: u32,
-    limit: Duration,
+    timeout: Duration,
 }
 
-/// A handle and the duty's own end.
-pub fn duty(settings: &Settings) -> (Handle, RequestReceiver<Item>) {
-    let (sender, receiver) = channel::channel("log", CAPACITY);
-    // Two platform calls and a read-back fit into this.
-    let limit = settings.platform_timeout * 3 + settings.commit_interval;
-    (Handle { sender, shards: settings.shards, limit }, receiver)
+/// A handle, and the receiver to run the worker with.
+pub fn new_handle(settings: &Settings) -> (Handle, RequestReceiver<Submission>) {
+    let (sender, receiver) = channel::channel("log", CHANNEL_CAPACITY);
+    // Covers two platform calls and a read-back.
+    let timeout = settings.platform_timeout * 3 + settings.commit_interval;
+    (Handle { sender, shards: settings.shards, timeout }, receiver)
 }
 
 impl Handle {
     /// Shard of a key or job.
-    pub fn shard_of(&self, subject: &str) -> ShardId {
-        hash::shard(subject, self.shards)
+    pub fn shard_of(&self, routing_key: &str) -> ShardId {
+        hash::shard(routing_key, self.shards)
     }
 
-    /// Brings a command to the shard of its subject.
+    /// Submits a command to the shard of its routing key.
     ///
     /// # Errors
     ///
-    /// What the owner answered, or `Undetermined` when its answer was lost.
+    /// The owner's error, or `Undetermined` when its reply was lost.
     pub async fn submit(&self, shared: &Shared, command: Command) -> CommandResult {
-        let shard = command.routing_key().map_or(0, |subject| self.shard_of(subject));
+        let shard = command.routing_key().map_or(0, |routing_key| self.shard_of(routing_key));
         self.submit_to(shared, shard, command).await
     }
 
-    /// Brings a command to a shard.
+    /// Submits a command to a shard.
     ///
     /// # Errors
     ///
@@ -79,60 +79,66 @@
     ) -> CommandResult {
         let owner = shared.shard_owner(shard).filter(|owner| owner.id != shared.id);
         let Some(owner) = owner else {
-            return self.local(shard, command).await;
+            return self.submit_local(shard, command).await;
         };
         let body = serde_json::to_vec(&command).unwrap_or_default();
-        match shared.peers.command(owner.peer, shard, body, self.limit).await {
+        match shared.peers.command(owner.peer, shard, body, self.timeout).await {
             Ok(bytes) => serde_json::from_slice(&bytes).unwrap_or_else(|error| {
-                Err(Error::new(Kind::Undetermined, format!("answer of the owner: {error}")))
+                Err(Error::new(
+                    Kind::Undetermined,
+                    format!("malformed reply of the shard's owner: {error}"),
+                ))
             }),
-            Err(PeerError::NotSent(_)) => self.local(shard, command).await,
+            Err(PeerError::NotSent(_)) => self.submit_local(shard, command).await,
             Err(PeerError::OutcomeUnknown(_)) if matches!(command, Command::Claim { .. }) => {
                 Ok(Reply::NoWork)
             }
-            // Every other command may be given twice: a second one finds what
-            // the first has done and answers by it.
-            Err(PeerError::OutcomeUnknown(_)) => self.local(shard, command).await,
+            // Every other command may be submitted twice: the second one finds the effects
+            // of the first and replies accordingly.
+            Err(PeerError::OutcomeUnknown(_)) => self.submit_local(shard, command).await,
         }
     }
 
-    /// Gives a command to this instance's own committer.
+    /// Submits a command to this instance's own committer.
     ///
     /// # Errors
     ///
-    /// What it answered, or `Undetermined` when it took too long.
-    pub async fn local(&self, shard: ShardId, command: Command) -> CommandResult {
-        let make = |answer| Item { shard, command, answer };
-        self.sender.call(self.limit, make).await.unwrap_or_else(Err)
+    /// The committer's error, or `Undetermined` on a timeout.
+    pub async fn submit_local(&self, shard: ShardId, command: Command) -> CommandResult {
+        let new_command = |reply| Submission { shard, command, reply };
+        self.sender.call(self.timeout, new_command).await.unwrap_or_else(Err)
     }
 }
 
-/// Runs committers until `stop`, then lets those with work finish it.
-pub async fn run(shared: Arc<Shared>, mut items: RequestReceiver<Item>, stop: CancellationToken) {
-    let mut committers: HashMap<ShardId, RequestSender<Item>> = HashMap::new();
+/// Runs committers until `stop`.
+pub async fn run(
+    shared: Arc<Shared>,
+    mut submissions: RequestReceiver<Submission>,
+    stop: CancellationToken,
+) {
+    let mut committers: HashMap<ShardId, RequestSender<Submission>> = HashMap::new();
     loop {
-        let item = tokio::select! {
-            item = items.recv() => item,
+        let submission = tokio::select! {
+            submission = submissions.recv() => submission,
             () = stop.cancelled() => None,
         };
-        let Some(item) = item else {
+        let Some(submission) = submission else {
             return;
         };
-        let shard = item.shard;
+        let shard = submission.shard;
         let sender = committers.entry(shard).or_insert_with(|| {
-            let (sender, receiver) = channel::channel("shard", SHARD_CAPACITY);
+            let (sender, receiver) = channel::channel("shard", SHARD_CHANNEL_CAPACITY);
             let committer = commit::Committer::new(shared.clone(), shared.store.clone(), shard);
             tokio::spawn(committer.run(receiver, stop.clone()));
             sender
         });
-        if let Err(error) = sender.try_send(item) {
-            let (item, error) = *error;
-            drop(item.answer.send(Err(error)));
+        if let Err(error) = sender.try_send(submission) {
+            let (submission, error) = *error;
+            drop(submission.reply.send(Err(error)));
         }
     }
 }
 
-/// Whether `holder` is known to be gone.
-fn is_gone(shared: &Shared, holder: u64) -> bool {
+fn is_dead(shared: &Shared, holder: u64) -> bool {
     lock(&shared.members).is_dead(holder)
 }
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -1,8 +1,9 @@
-//! The committer of one shard: groups commands, appends, settles lost answers.
+//! The committer of one shard: groups commands, appends them and resolves appends whose
+//! outcome is unknown.
 
-use super::Item;
+use super::Submission;
 use super::load::{self, Loaded};
-use crate::append::{self, End};
+use crate::append::{self, AppendOutcome};
 use crate::clock;
 use crate::shared::Shared;
 use crate::store::Handle;
@@ -23,49 +24,48 @@
 
 mod housekeeping;
 
-/// Most commands in one append.
-const MOST_COMMANDS: usize = 2048;
-/// How long a shard counts as up to date without looking at its tail.
-const FRESH: Duration = Duration::from_secs(1);
-/// Time between housekeeping rounds.
-const HOUSEKEEPING: Duration = Duration::from_millis(500);
-/// Tries to settle an append before its callers are told that it's open.
-const SETTLE_TRIES: u32 = 3;
+/// Maximum number of commands in one append.
+const MAX_BATCH_COMMANDS: usize = 2048;
+/// How long a shard counts as up to date before its tail is read again.
+const VERIFY_INTERVAL: Duration = Duration::from_secs(1);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
+/// Rounds of create and read-back before callers are told that the outcome is unknown.
+const MAX_APPEND_ATTEMPTS: u32 = 3;
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
 const BACKOFF_CAP: Duration = Duration::from_secs(3);
 
-/// An append whose fate is open.
-struct Open {
+/// An append whose outcome is unknown.
+struct OpenAppend {
     append: Append,
     entry: Entry,
-    next: Instant,
+    retry_at: Instant,
 }
 
-struct Waiting {
-    item: Item,
+struct PendingAppend {
+    submission: Submission,
     records: Vec<Record>,
     reply: Reply,
 }
 
-/// The committer.
+/// Committer of one shard.
 pub struct Committer {
     shared: Arc<Shared>,
     store: Handle,
     id: ShardId,
     policy: Policy,
     loaded: Option<Loaded>,
-    open: Option<Open>,
-    queue: VecDeque<Item>,
-    verified: Option<Instant>,
-    committed: Instant,
+    open_append: Option<OpenAppend>,
+    queue: VecDeque<Submission>,
+    last_verified: Option<Instant>,
+    last_commit: Instant,
     failures: u32,
-    sequence: u64,
-    swept: Instant,
-    archiving: Option<tokio::sync::oneshot::Receiver<CommandResult>>,
+    append_count: u64,
+    last_deletion: Instant,
+    archive_reply: Option<tokio::sync::oneshot::Receiver<CommandResult>>,
 }
 
 impl Committer {
-    /// A committer that has read nothing yet.
+    /// Creates a committer; the shard is read when it is first needed.
     pub fn new(shared: Arc<Shared>, store: Handle, id: ShardId) -> Committer {
         let settings = &shared.settings;
         let policy = Policy {
@@ -80,62 +80,66 @@
             id,
             policy,
             loaded: None,
-            open: None,
+            open_append: None,
             queue: VecDeque::new(),
-            verified: None,
-            committed: now.checked_sub(settings.commit_interval).unwrap_or(now),
+            last_verified: None,
+            last_commit: now.checked_sub(settings.commit_interval).unwrap_or(now),
             failures: 0,
-            sequence: 0,
-            swept: now,
-            archiving: None,
+            append_count: 0,
+            last_deletion: now,
+            archive_reply: None,
             shared,
         }
     }
 
-    /// Commits until `stop` and the queue is empty.
-    pub async fn run(mut self, mut items: RequestReceiver<Item>, stop: CancellationToken) {
-        let mut housekeeping = tokio::time::interval(HOUSEKEEPING);
+    /// Commits until `stop` or until the channel closes.
+    pub async fn run(
+        mut self,
+        mut submissions: RequestReceiver<Submission>,
+        stop: CancellationToken,
+    ) {
+        let mut housekeeping = tokio::time::interval(HOUSEKEEPING_INTERVAL);
         loop {
             tokio::select! {
-                item = items.recv() => match item {
-                    Some(item) => self.queue.push_back(item),
+                submission = submissions.recv() => match submission {
+                    Some(submission) => self.queue.push_back(submission),
                     None => return,
                 },
                 _ = housekeeping.tick() => self.housekeep().await,
                 () = stop.cancelled() => return,
             }
-            self.pace().await;
-            self.collect(&mut items);
+            self.wait_commit_interval().await;
+            self.collect(&mut submissions);
             while !self.queue.is_empty() {
-                self.round().await;
-                self.collect(&mut items);
+                self.commit_queue().await;
+                self.collect(&mut submissions);
             }
         }
     }
 
-    fn collect(&mut self, items: &mut RequestReceiver<Item>) {
-        while self.queue.len() < MOST_COMMANDS {
-            let Ok(item) = items.try_recv() else {
+    fn collect(&mut self, submissions: &mut RequestReceiver<Submission>) {
+        while self.queue.len() < MAX_BATCH_COMMANDS {
+            let Ok(submission) = submissions.try_recv() else {
                 return;
             };
-            self.queue.push_back(item);
+            self.queue.push_back(submission);
         }
     }
 
-    /// Waits until the last commit is long enough ago; what arrives meanwhile
-    /// shares the next append.
-    async fn pace(&self) {
-        let wait = self.shared.settings.commit_interval.saturating_sub(self.committed.elapsed());
+    /// Waits until the commit interval since the last commit has passed; commands that
+    /// arrive meanwhile share the next append.
+    async fn wait_commit_interval(&self) {
+        let wait = self.shared.settings.commit_interval.saturating_sub(self.last_commit.elapsed());
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
     }
 
-    /// Decides what waits and appends it. At the end the queue holds only what
-    /// must be decided again.
-    async fn round(&mut self) {
+    /// Decides the queued commands and appends the result; afterwards the queue holds only
+    /// commands that must be decided again.
+    async fn commit_queue(&mut self) {
         if let Err(error) = self.prepare().await {
-            self.refuse_all(&error);
+            self.reject_all(&error);
             return;
         }
         let now = clock::millis();
@@ -144,17 +148,20 @@
         if waiting.is_empty() {
             return;
         }
-        self.pace().await;
+        self.wait_commit_interval().await;
         self.append(waiting).await;
     }
 
-    /// Makes sure that the shard is read and not behind.
+    /// Reads the shard or catches up with its tail, after resolving an open append.
     async fn prepare(&mut self) -> Result<(), Error> {
-        if let Some(open) = &self.open {
-            if Instant::now() < open.next {
-                return Err(away("an append of this shard is open", self.backoff()));
+        if let Some(open) = &self.open_append {
+            if Instant::now() < open.retry_at {
+                return Err(platform_unavailable(
+                    "the outcome of an append to this shard is unknown",
+                    self.backoff(),
+                ));
             }
-            self.settle().await?;
+            self.resolve_open_append().await?;
         }
         let now = clock::millis();
         match &mut self.loaded {
@@ -162,52 +169,52 @@
                 let read = load::load(&self.store, self.id, self.policy, now).await;
                 match read {
                     Ok(loaded) => self.loaded = Some(loaded),
-                    Err(fault) => return Err(self.on_fault(&fault)),
+                    Err(error) => return Err(self.on_store_error(&error)),
                 }
             }
-            Some(loaded) if self.verified.is_none_or(|at| at.elapsed() > FRESH) => {
+            Some(loaded) if self.last_verified.is_none_or(|at| at.elapsed() > VERIFY_INTERVAL) => {
                 let read = load::catch_up(&self.store, &mut loaded.shard, now).await;
-                if let Err(fault) = read {
-                    return Err(self.on_fault(&fault));
+                if let Err(error) = read {
+                    return Err(self.on_store_error(&error));
                 }
             }
             Some(_) => return Ok(()),
         }
-        self.on_reached();
+        self.on_platform_available();
         Ok(())
     }
 
-    fn on_fault(&mut self, fault: &StoreError) -> Error {
+    fn on_store_error(&mut self, error: &StoreError) -> Error {
         self.failures += 1;
         let wait = self.backoff();
-        away(&fault.to_string(), wait)
+        platform_unavailable(&error.to_string(), wait)
     }
 
-    fn on_reached(&mut self) {
+    fn on_platform_available(&mut self) {
         if self.failures > 0
             && let Some(loaded) = &mut self.loaded
         {
-            // Holders couldn't report while the platform was away.
+            // Holders couldn't send heartbeats while the platform was unavailable.
             let now = clock::millis();
             loaded.shard.renew_leases(now);
         }
         self.failures = 0;
-        self.verified = Some(Instant::now());
+        self.last_verified = Some(Instant::now());
     }
 
     fn backoff(&self) -> Duration {
-        let chance = rand::random::<f64>();
-        retry::backoff(self.failures.max(1), BACKOFF_BASE, BACKOFF_CAP, chance)
+        let random = rand::random::<f64>();
+        retry::backoff(self.failures.max(1), BACKOFF_BASE, BACKOFF_CAP, random)
     }
 
-    fn refuse_all(&mut self, error: &Error) {
-        for item in self.queue.drain(..) {
-            // A caller that no longer waits is no fault.
-            drop(item.answer.send(Err(error.clone())));
+    fn reject_all(&mut self, error: &Error) {
+        for submission in self.queue.drain(..) {
+            // The send fails when the caller no longer waits.
+            drop(submission.reply.send(Err(error.clone())));
         }
     }
 
-    fn decide(&mut self, now: Millis) -> (Vec<Waiting>, VecDeque<Item>) {
+    fn decide(&mut self, now: Millis) -> (Vec<PendingAppend>, VecDeque<Submission>) {
         let mut waiting = Vec::new();
         let mut deferred = VecDeque::new();
         let Some(loaded) = &mut self.loaded else {
@@ -215,68 +222,69 @@
         };
         let mut batch = Batch::default();
         let mut bytes = 0;
-        for item in self.queue.drain(..) {
-            // Whoever gave up on an answer acts as if nothing was decided; a
-            // claim that nobody waits for would only block its key.
-            if item.answer.is_closed() {
+        for submission in self.queue.drain(..) {
+            // A caller that stopped waiting acts as if nothing was decided; a claim without
+            // a caller would only block its key.
+            if submission.reply.is_closed() {
                 continue;
             }
             let ungrouped = self.shared.settings.is_guard_disabled("group") && !waiting.is_empty();
             if bytes > object_key::MAX_VALUE_BYTES / 2 || ungrouped {
-                deferred.push_back(item);
+                deferred.push_back(submission);
                 continue;
             }
-            note_life(&mut loaded.shard, &item.command, now);
-            match loaded.shard.decide(&mut batch, &item.command, now) {
-                Decision::Reply(answer) => {
-                    if matches!(answer, Ok(Reply::Proceed)) {
-                        loaded.shard.track_running(&item.command, now);
+            record_heartbeat(&mut loaded.shard, &submission.command, now);
+            match loaded.shard.decide(&mut batch, &submission.command, now) {
+                Decision::Reply(reply) => {
+                    if matches!(reply, Ok(Reply::Proceed)) {
+                        loaded.shard.track_running(&submission.command, now);
                     }
-                    drop(item.answer.send(answer));
+                    drop(submission.reply.send(reply));
                 }
-                Decision::Defer => deferred.push_back(item),
+                Decision::Defer => deferred.push_back(submission),
                 Decision::Commit(records, reply) => {
-                    bytes += records.iter().map(size).sum::<usize>();
-                    waiting.push(Waiting { item, records, reply });
+                    bytes += records.iter().map(encoded_len).sum::<usize>();
+                    waiting.push(PendingAppend { submission, records, reply });
                 }
             }
         }
         (waiting, deferred)
     }
 
-    async fn append(&mut self, waiting: Vec<Waiting>) {
+    async fn append(&mut self, waiting: Vec<PendingAppend>) {
         let Some(loaded) = &self.loaded else {
             return;
         };
-        self.sequence += 1;
-        let token = format!("{:016x}-{}-{}", self.shared.id, self.id, self.sequence);
+        self.append_count += 1;
+        let token = format!("{:016x}-{}-{}", self.shared.id, self.id, self.append_count);
         let records = waiting.iter().flat_map(|w| w.records.iter().cloned()).collect();
         let entry = Entry { token: token.clone(), at: clock::millis(), records };
         let append = Append::new(loaded.shard.next_position(), token);
-        self.committed = Instant::now();
+        self.last_commit = Instant::now();
         match self.drive(&append, &entry).await {
-            End::Committed => {
+            AppendOutcome::Committed => {
                 self.apply(entry);
-                answer_all(waiting, |w| Ok(w.reply.clone()));
+                reply_all(waiting, |w| Ok(w.reply.clone()));
             }
-            End::Overtaken => {
-                // Someone else appended: read what they wrote and decide anew.
-                self.verified = None;
-                let back = waiting.into_iter().map(|w| w.item);
-                self.queue.extend(back);
+            AppendOutcome::Conflict => {
+                // Another instance appended: read its entries and decide again.
+                self.last_verified = None;
+                let retried = waiting.into_iter().map(|w| w.submission);
+                self.queue.extend(retried);
             }
-            End::Refused(text) => {
+            AppendOutcome::Rejected(text) => {
                 self.failures += 1;
-                let error = away(&text, self.backoff());
-                answer_all(waiting, |_| Err(error.clone()));
+                let error = platform_unavailable(&text, self.backoff());
+                reply_all(waiting, |_| Err(error.clone()));
             }
-            End::Open => {
+            AppendOutcome::Unknown => {
                 self.failures += 1;
                 let wait = self.backoff();
-                let error = Error::new(Kind::Undetermined, "the platform gave no answer")
+                let error = Error::new(Kind::Undetermined, "the platform didn't respond")
                     .with_retry_after(wait);
-                self.open = Some(Open { append, entry, next: Instant::now() + wait });
-                answer_all(waiting, |_| Err(error.clone()));
+                self.open_append =
+                    Some(OpenAppend { append, entry, retry_at: Instant::now() + wait });
+                reply_all(waiting, |_| Err(error.clone()));
             }
         }
     }
@@ -285,72 +293,72 @@
         let Some(loaded) = &mut self.loaded else {
             return;
         };
-        let has_work = entry.records.iter().any(brings_work);
+        let has_work = entry.records.iter().any(adds_work);
         loaded.shard.apply(entry, clock::millis());
-        self.on_reached();
+        self.on_platform_available();
         if has_work {
             self.shared.announce_work(self.id, clock::millis());
         }
     }
 
-    /// Takes an append as far as it goes now.
-    async fn drive(&self, append: &Append, entry: &Entry) -> End {
+    /// Drives an append as far as it goes now.
+    async fn drive(&self, append: &Append, entry: &Entry) -> AppendOutcome {
         let key = object_key::entry(self.id, append.position());
         let value = Bytes::from(entry.encode());
         let token = |bytes: &[u8]| Entry::decode(bytes).map(|e| e.token).unwrap_or_default();
-        append::drive(&self.store, append, &key, value, SETTLE_TRIES, token).await
+        append::drive(&self.store, append, &key, value, MAX_APPEND_ATTEMPTS, token).await
     }
 
-    /// Settles an append whose callers were told that its fate is open.
-    async fn settle(&mut self) -> Result<(), Error> {
-        let Some(mut open) = self.open.take() else {
+    /// Resolves an append whose callers were told that its outcome is unknown.
+    async fn resolve_open_append(&mut self) -> Result<(), Error> {
+        let Some(mut open) = self.open_append.take() else {
             return Ok(());
         };
         match self.drive(&open.append, &open.entry).await {
-            End::Committed => {
+            AppendOutcome::Committed => {
                 self.apply(open.entry);
                 Ok(())
             }
-            End::Overtaken => {
-                self.verified = None;
+            AppendOutcome::Conflict => {
+                self.last_verified = None;
                 Ok(())
             }
-            End::Refused(_) | End::Open => {
+            AppendOutcome::Rejected(_) | AppendOutcome::Unknown => {
                 self.failures += 1;
                 let wait = self.backoff();
-                open.next = Instant::now() + wait;
-                self.open = Some(open);
-                Err(away("an append of this shard is open", wait))
+                open.retry_at = Instant::now() + wait;
+                self.open_append = Some(open);
+                Err(platform_unavailable("the outcome of an append to this shard is unknown", wait))
             }
         }
     }
 }
 
-/// A progress report shows that its holder lives, even when it brings no news.
-fn note_life(shard: &mut Shard, command: &Command, now: Millis) {
+/// Counts a progress report as a heartbeat of its holder, even without new results.
+fn record_heartbeat(shard: &mut Shard, command: &Command, now: Millis) {
     if let Command::Progress { job, chunk, .. } = command {
         shard.on_heartbeat(job, *chunk, now);
     }
 }
 
-/// Whether a record leaves a chunk for somebody to run.
-fn brings_work(record: &Record) -> bool {
-    let is_given_back =
+/// Whether a record leaves a chunk unassigned.
+fn adds_work(record: &Record) -> bool {
+    let is_released =
         matches!(record, Record::Progressed { disposition: Disposition::Release, .. });
-    is_given_back || matches!(record, Record::Accepted(_))
+    is_released || matches!(record, Record::Accepted(_))
 }
 
-fn size(record: &Record) -> usize {
+fn encoded_len(record: &Record) -> usize {
     serde_json::to_vec(record).map_or(0, |bytes| bytes.len())
 }
 
-fn away(text: &str, wait: Duration) -> Error {
+fn platform_unavailable(text: &str, wait: Duration) -> Error {
     Error::new(Kind::PlatformUnavailable, text).with_retry_after(wait)
 }
 
-fn answer_all(waiting: Vec<Waiting>, answer: impl Fn(&Waiting) -> CommandResult) {
-    for one in waiting {
-        let reply = answer(&one);
-        drop(one.item.answer.send(reply));
+fn reply_all(waiting: Vec<PendingAppend>, result: impl Fn(&PendingAppend) -> CommandResult) {
+    for pending in waiting {
+        let reply = result(&pending);
+        drop(pending.submission.reply.send(reply));
     }
 }
--- a/crates/daemon/src/shards/commit/housekeeping.rs
+++ b/crates/daemon/src/shards/commit/housekeeping.rs
@@ -1,10 +1,10 @@
-//! What a committer does beside commits: settles open appends, reclaims chunks,
-//! writes indexes and snapshots, deletes what is past retention.
+//! Background work of a committer: resolves open appends, reclaims chunks, writes indexes
+//! and snapshots, deletes what is past retention.
 
 use super::Committer;
 use crate::clock;
 use crate::shards::load::Loaded;
-use crate::shards::{Item, is_gone, sweep};
+use crate::shards::{Submission, deletion, is_dead};
 use bytes::Bytes;
 use platform::key_value::Condition;
 use platform::store::StoreError;
@@ -14,33 +14,32 @@
 use state::snapshot::{Body, Head, Segment, retained_segments};
 use std::time::{Duration, Instant};
 
-/// Time between rounds of deletion.
-const SWEEP_EVERY: Duration = Duration::from_secs(2);
+const DELETION_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Committer {
-    /// One round of everything that no command waits for.
+    /// Runs one round of the work that no command waits for.
     pub(super) async fn housekeep(&mut self) {
-        if self.open.is_some() {
-            // The failure is told to the callers that come; nobody waits here.
+        if self.open_append.is_some() {
+            // Later commands get the error; nobody waits here.
             drop(self.prepare().await);
         }
-        if self.open.is_some() {
+        if self.open_append.is_some() {
             return;
         }
         let Some(loaded) = &mut self.loaded else {
             return;
         };
         let shared = self.shared.clone();
-        let reclaimed = loaded.shard.reclaim_lost(|holder| is_gone(&shared, holder));
+        let reclaimed = loaded.shard.reclaim_lost(|holder| is_dead(&shared, holder));
         if reclaimed {
             shared.announce_work(self.id, clock::millis());
         }
         self.archive().await;
         self.snapshot().await;
-        self.sweep().await;
+        self.delete_expired().await;
     }
 
-    /// Writes the indexes of ended jobs, so that their chunks need no memory.
+    /// Writes the index of one finished job, so that its chunks can leave memory.
     async fn archive(&mut self) {
         let Some(loaded) = &self.loaded else {
             return;
@@ -48,18 +47,18 @@
         let Some(job) = loaded.shard.jobs().to_archive().next().cloned() else {
             return;
         };
-        let places = job.chunk_results(0, u64::MAX);
-        let bytes = serde_json::to_vec(&places).unwrap_or_default();
+        let results = job.chunk_results(0, u64::MAX);
+        let bytes = serde_json::to_vec(&results).unwrap_or_default();
         if bytes.len() > object_key::MAX_VALUE_BYTES {
             return;
         }
         let key = object_key::index(&job.spec.job);
         if self.store.put(&key, Bytes::from(bytes), Condition::Any).await.is_ok() {
-            let (answer, ignored) = tokio::sync::oneshot::channel();
+            let (reply, receiver) = tokio::sync::oneshot::channel();
             let command = Command::Archive { job: job.spec.job };
-            self.queue.push_back(Item { shard: self.id, command, answer });
-            // Held open, or the command would count as given up.
-            self.archiving = Some(ignored);
+            self.queue.push_back(Submission { shard: self.id, command, reply });
+            // Kept, since a closed receiver would drop the command.
+            self.archive_reply = Some(receiver);
         }
     }
 
@@ -73,15 +72,20 @@
             return;
         }
         match self.write_snapshot(loaded).await {
-            Ok((head, version)) => {
+            Ok((head, revision)) => {
                 if let Some(loaded) = &mut self.loaded {
-                    let former = std::mem::replace(&mut loaded.head, head);
-                    loaded.version = Some(version);
-                    let kept = loaded.head.segments.clone();
-                    tokio::spawn(sweep::snapshot(self.store.clone(), self.id, former, kept));
+                    let previous = std::mem::replace(&mut loaded.head, head);
+                    loaded.revision = Some(revision);
+                    let retained = loaded.head.segments.clone();
+                    tokio::spawn(deletion::delete_snapshot(
+                        self.store.clone(),
+                        self.id,
+                        previous,
+                        retained,
+                    ));
                 }
             }
-            // Another owner's snapshot is as good as ours; read it next time.
+            // Another instance wrote a snapshot; read that next time.
             Err(StoreError::Conflict(_)) => self.loaded = None,
             Err(_) => {}
         }
@@ -91,10 +95,10 @@
         let shard = &loaded.shard;
         let name = format!("{:012}-{:016x}", shard.next_position(), self.shared.id);
         let mut segments = retained_segments(&loaded.head.segments, self.oldest());
-        let fresh = shard.keys().finished_since(loaded.head.next_position);
-        if !fresh.is_empty() {
-            let newest = fresh.iter().map(|(_, f)| f.issued).max().unwrap_or(0);
-            let bytes = Bytes::from(serde_json::to_vec(&fresh).unwrap_or_default());
+        let finished = shard.keys().finished_since(loaded.head.next_position);
+        if !finished.is_empty() {
+            let newest = finished.iter().map(|(_, f)| f.issued).max().unwrap_or(0);
+            let bytes = Bytes::from(serde_json::to_vec(&finished).unwrap_or_default());
             self.store.put(&object_key::segment(self.id, &name), bytes, Condition::Any).await?;
             segments.push(Segment { name: name.clone(), newest });
         }
@@ -104,40 +108,41 @@
             let key = object_key::snapshot_part(self.id, &name, index);
             self.store.put(&key, Bytes::copy_from_slice(part), Condition::Any).await?;
         }
-        let swept = loaded.head.deleted_before;
+        let deleted_before = loaded.head.deleted_before;
         let head = Head {
             next_position: shard.next_position(),
             name,
             parts: parts.len(),
             segments,
-            deleted_before: swept,
+            deleted_before,
         };
         let bytes = Bytes::from(serde_json::to_vec(&head).unwrap_or_default());
-        let condition = loaded.version.map_or(Condition::Absent, Condition::Revision);
-        let version = self.store.put(&object_key::snapshot_head(self.id), bytes, condition).await?;
-        Ok((head, version))
+        let condition = loaded.revision.map_or(Condition::Absent, Condition::Revision);
+        let revision =
+            self.store.put(&object_key::snapshot_head(self.id), bytes, condition).await?;
+        Ok((head, revision))
     }
 
-    /// Issue time before which nothing is kept.
+    /// Issue time before which nothing is retained.
     fn oldest(&self) -> Millis {
         clock::millis().saturating_sub(self.policy.retention.as_millis() as Millis)
     }
 
-    /// Deletes what is past the retention window: entries that a snapshot covers,
-    /// and the objects of forgotten jobs.
-    async fn sweep(&mut self) {
+    /// Deletes what is past retention: entries that a snapshot covers, and the objects of
+    /// expired jobs.
+    async fn delete_expired(&mut self) {
         let oldest = self.oldest();
-        if self.swept.elapsed() < SWEEP_EVERY {
+        if self.last_deletion.elapsed() < DELETION_INTERVAL {
             return;
         }
-        self.swept = Instant::now();
+        self.last_deletion = Instant::now();
         let Some(loaded) = &mut self.loaded else {
             return;
         };
         for job in loaded.shard.expire(clock::millis()) {
-            tokio::spawn(sweep::job(self.store.clone(), job));
+            tokio::spawn(deletion::delete_job(self.store.clone(), job));
         }
-        loaded.head.deleted_before = sweep::entries(
+        loaded.head.deleted_before = deletion::delete_entries(
             &self.store,
             self.id,
             loaded.head.deleted_before..loaded.head.next_position,
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -70,7 +70,7 @@
         rate: settings.platform_calls_per_second,
         partition: partition.clone(),
     });
-    let (shards, items) = shards::duty(&settings);
+    let (shards, items) = shards::new_handle(&settings);
     let (peers, calls) = peers::duty();
     let batch = batch::Handle::default();
     let telemetry = Telemetry::new(settings.metrics_address)?;
