--- a/crates/daemon/tests/gateway_batch.rs
+++ b/crates/daemon/tests/gateway_batch.rs
@@ -1,4 +1,5 @@
-//! Batch jobs through gateways: kept from the 202 on, each result once.
+//! Batch jobs through gateways: a job accepted with 202 is durable, and each item has exactly
+//! one result.
 
 mod util;
 
@@ -8,16 +9,20 @@
 use util::gateway::{Fleet, HOST, Plan};
 use util::{client, wait_until};
 
-const JOBS: &str = "gatespool-jobs";
+const JOBS_KIND: &str = "gatespool-jobs";
 
 #[test]
-fn a_job_is_accepted_here_and_read_there() {
+fn job_accepted_by_one_instance_is_readable_from_all() {
     let fleet = Fleet::start(Plan::default());
     assert_eq!(fleet.submit(0, "job", &["a", "b", "c"]).status, 202);
     let results = fleet.wait_results(2, "job");
     assert_results(&results, &["a", "b", "c"], 10);
     for n in 0..3 {
-        assert_eq!(fleet.wait_results(n, "job"), results, "the same order everywhere");
+        assert_eq!(
+            fleet.wait_results(n, "job"),
+            results,
+            "results or their order differ between instances"
+        );
         let path = "/items/job?id=b";
         let response =
             client::call("GET", fleet.gateways[n].front_address, path, &[("host", HOST)], "");
@@ -27,7 +32,7 @@
 }
 
 #[test]
-fn a_job_sent_again_elsewhere_is_taken_once() {
+fn job_resubmitted_to_other_instances_is_accepted_once() {
     let fleet = Fleet::start(Plan::default());
     for n in [0, 1, 2, 0] {
         assert_eq!(fleet.submit(n, "twice", &["a", "b"]).status, 202);
@@ -37,7 +42,7 @@
 }
 
 #[test]
-fn an_answer_of_the_platform_that_is_lost_loses_no_job() {
+fn job_survives_a_lost_platform_response() {
     let fleet = Fleet::start(Plan::default());
     fleet.objects.set_faults(Faults { lost: 1, ..Faults::default() });
     let response = fleet.submit(0, "lost", &["a"]);
@@ -46,10 +51,10 @@
     assert_eq!(fleet.runs("/batch/").len(), 1);
 }
 
-/// A write that is done seconds after its caller gave up must not make a job run
-/// that nobody was promised, nor lose one that somebody was.
+/// A write that takes effect after its timeout must not lose an accepted job, nor make a
+/// rejected one run.
 #[test]
-fn a_write_that_is_done_late_keeps_the_promise_given() {
+fn late_platform_write_is_consistent_with_the_response() {
     let fleet = Fleet::start(Plan::default());
     let late_by = Duration::from_millis(1_500);
     fleet.objects.set_faults(Faults { late: 1, late_by, ..Faults::default() });
@@ -57,7 +62,7 @@
     std::thread::sleep(Duration::from_millis(2_000));
     match response.status {
         202 => assert_results(&fleet.wait_results(1, "late"), &["a"], 10),
-        503 => panic!("nobody can promise that the write isn't done"),
+        503 => panic!("503 says that the job isn't stored, but the write may still take effect"),
         _ => {
             assert_eq!(fleet.submit(1, "late", &["a"]).status, 202);
             assert_results(&fleet.wait_results(1, "late"), &["a"], 10);
@@ -66,7 +71,7 @@
 }
 
 #[test]
-fn without_the_platform_a_job_is_refused_and_never_runs() {
+fn job_is_rejected_and_never_runs_while_the_platform_is_unavailable() {
     let fleet = Fleet::start(Plan::default());
     fleet.objects.set_faults(Faults { away: true, ..Faults::default() });
     let response = fleet.submit(0, "refused", &["a"]);
@@ -74,26 +79,26 @@
     assert!(!response.header("retry-after").is_empty());
     fleet.objects.set_faults(Faults::default());
     std::thread::sleep(Duration::from_millis(1_500));
-    assert!(fleet.objects.get(JOBS, "refused").is_none());
+    assert!(fleet.objects.get(JOBS_KIND, "refused").is_none());
     assert!(fleet.runs("/batch/").is_empty());
 }
 
 #[test]
-fn an_ended_job_stops() {
+fn ended_job_stops() {
     let fleet = Fleet::start(slow_plan());
     let items: Vec<String> = (0..30).map(|n| format!("item-{n}")).collect();
     let items: Vec<&str> = items.iter().map(String::as_str).collect();
     assert_eq!(fleet.submit(0, "ended", &items).status, 202);
-    wait_until("it runs", || !fleet.runs("/batch/").is_empty());
+    wait_until("an item runs", || !fleet.runs("/batch/").is_empty());
     assert_eq!(fleet.end(2, "ended").status, 200);
     let runs = fleet.runs("/batch/").len();
-    assert_eq!(fleet.end(1, "ended").status, 200, "repeated");
+    assert_eq!(fleet.end(1, "ended").status, 200, "a repeated end succeeds");
     std::thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(fleet.runs("/batch/").len(), runs, "nothing starts after the end");
+    assert_eq!(fleet.runs("/batch/").len(), runs, "an item started after the end");
 }
 
 #[test]
-fn items_that_can_never_be_done_end_as_failed() {
+fn items_that_cannot_succeed_end_as_failed() {
     let fleet = Fleet::start(Plan::default());
     for runner in &fleet.runners {
         runner.fail("never", 422);
@@ -110,34 +115,38 @@
 }
 
 #[test]
-fn what_may_wait_on_a_route_is_bounded_over_all_instances() {
+fn queued_tokens_of_a_route_are_limited_across_all_instances() {
     let plan = Plan { max_queued_tokens: 350, ..slow_plan() };
     let fleet = Fleet::start(plan);
     assert_eq!(fleet.submit(0, "first", &["a", "b", "c"]).status, 202);
     std::thread::sleep(Duration::from_millis(200));
     let response = fleet.submit(1, "second", &["d"]);
     assert_eq!(response.status, 429, "{response:?}");
-    assert_eq!(fleet.submit(2, "first", &["a", "b", "c"]).status, 202, "it was taken before");
+    assert_eq!(
+        fleet.submit(2, "first", &["a", "b", "c"]).status,
+        202,
+        "the job was accepted before"
+    );
     fleet.wait_results(0, "first");
-    wait_until("there is room again", || fleet.submit(1, "second", &["d"]).status == 202);
+    wait_until("the route has capacity again", || fleet.submit(1, "second", &["d"]).status == 202);
 }
 
-/// Regression: a job whose items, or whose results, had more bytes than an object
-/// may have was never kept, or never finished.
+/// Regression: a job whose items or results exceeded the size limit of an object was never
+/// stored or never finished.
 #[test]
-fn a_job_too_long_for_one_object_is_kept_whole() {
-    const BYTES: usize = 6_000;
-    let settings = vec![format!("platform.value_bytes = {BYTES}")];
+fn job_too_large_for_one_object_is_stored_completely() {
+    const MAX_VALUE_BYTES: usize = 6_000;
+    let settings = vec![format!("platform.value_bytes = {MAX_VALUE_BYTES}")];
     let mut fleet = Fleet::start(Plan { settings, ..Plan::default() });
-    fleet.objects.set_longest(BYTES);
-    let names: Vec<String> = (0..60).map(|n| format!("item-{n:02}")).collect();
-    let items: Vec<&str> = names.iter().map(String::as_str).collect();
+    fleet.objects.set_longest(MAX_VALUE_BYTES);
+    let ids: Vec<String> = (0..60).map(|n| format!("item-{n:02}")).collect();
+    let items: Vec<&str> = ids.iter().map(String::as_str).collect();
     assert_eq!(fleet.submit(0, "long", &items).status, 202);
-    assert_eq!(fleet.submit(1, "long", &items).status, 202, "kept already");
+    assert_eq!(fleet.submit(1, "long", &items).status, 202, "the job is stored already");
     let results = fleet.wait_results(2, "long");
     assert_results(&results, &items, 10);
-    assert!(fleet.objects.all("gatespool-job-pieces").len() > 2, "nothing lies in pieces");
-    // What every instance forgets comes back from the pieces.
+    assert!(fleet.objects.all("gatespool-job-pieces").len() > 2, "the job has no overflow objects");
+    // After a restart of all instances the job is loaded from its overflow objects.
     for n in 0..3 {
         fleet.gateways[n].kill();
     }
@@ -145,7 +154,7 @@
         fleet.restart(n);
     }
     fleet.wait_ready();
-    assert_eq!(fleet.wait_results(1, "long"), results, "the same, at the same positions");
+    assert_eq!(fleet.wait_results(1, "long"), results, "results or their positions changed");
     let body = client::call(
         "GET",
         fleet.gateways[0].front_address,
@@ -156,9 +165,9 @@
     assert_eq!((body.status, &body.body[..]), (200, &b"prompt"[..]));
 }
 
-/// What the platform will never take says nothing about whether it is there.
+/// A value that exceeds the platform's size limit doesn't count as a failure of the platform.
 #[test]
-fn an_item_too_long_to_be_kept_is_told_so_and_stops_no_other() {
+fn oversized_item_is_rejected_and_other_jobs_are_accepted() {
     let fleet = Fleet::start(Plan::default());
     fleet.objects.set_longest(2_000);
     let long = "x".repeat(3_000);
@@ -167,41 +176,40 @@
     assert!(fleet.runs("/batch/x").is_empty());
 }
 
-/// A quiet fleet costs the platform next to nothing: 2.5 calls a second, of which a
-/// sign of life counts a tenth, as the platform bills it. It was 1.7 a second as long
-/// as a watch that is never answered was noticed after 6.7 s.
+/// An idle fleet makes at most 2.5 platform calls per second; a stale read, which the platform
+/// bills at a tenth, counts as a tenth of a call.
 #[test]
-fn idle_gateways_make_few_calls() {
-    /// Long enough that the phases of single watches don't decide.
-    const LONG: Duration = Duration::from_secs(20);
+fn idle_gateways_make_few_platform_calls() {
+    /// Long enough to average over the phases of single watches.
+    const PERIOD: Duration = Duration::from_secs(20);
     let fleet = Fleet::start(Plan::default());
-    // A start looks through the jobs on the platform until it knows the others.
+    // After a start, an instance scans the jobs on the platform until it knows the others.
     std::thread::sleep(Duration::from_secs(4));
     let before = fleet.objects.counts();
-    std::thread::sleep(LONG);
+    std::thread::sleep(PERIOD);
     let after = fleet.objects.counts();
     assert_eq!(after.writes, before.writes);
     let reads = (after.reads + after.lists) - (before.reads + before.lists);
     assert!(reads <= 2, "{before:?} {after:?}");
     let watches = after.watches - before.watches;
-    let signs_of_life = (after.stale_reads - before.stale_reads) as f64;
-    let calls = (reads + watches) as f64 + signs_of_life * 0.1;
-    assert!(calls <= 2.5 * LONG.as_secs_f64(), "{calls} calls: {before:?} {after:?}");
+    let stale_reads = (after.stale_reads - before.stale_reads) as f64;
+    let calls = (reads + watches) as f64 + stale_reads * 0.1;
+    assert!(calls <= 2.5 * PERIOD.as_secs_f64(), "{calls} calls: {before:?} {after:?}");
 }
 
-/// Regression: the word that a job is settled was lost on its way to one instance,
-/// which took it for open ever after: its tokens filled the route there for good.
+/// Regression: an instance that missed the update that a job is finished counted the job's
+/// tokens towards the limit of the route forever.
 #[test]
-fn a_lost_word_that_a_job_is_settled_is_made_up_for() {
+fn instance_that_missed_the_end_of_a_job_recovers() {
     let fleet = Fleet::start(Plan { max_queued_tokens: 100, ..slow_plan() });
     assert_eq!(fleet.submit(0, "first", &["a"]).status, 202);
-    // The next instance of the same data centre hears of it before the 202.
+    // Another instance of the data centre is notified before the 202.
     assert_eq!(fleet.submit(1, "second", &["b"]).status, 429);
-    // From now on nobody reaches that one, which reaches everybody.
+    // From now on no instance reaches gateway 1, which still reaches all others.
     let address = [fleet.gateways[1].peer_address];
     fleet.gateways[0].set_unreachable(&address);
     fleet.gateways[2].set_unreachable(&address);
-    std::thread::sleep(Duration::from_millis(200)); // Cuts are read every 50 ms.
+    std::thread::sleep(Duration::from_millis(200)); // The partition file is read every 50 ms.
     assert_eq!(fleet.end(0, "first").status, 200);
-    wait_until("there is room again", || fleet.submit(1, "second", &["b"]).status == 202);
+    wait_until("the route has capacity again", || fleet.submit(1, "second", &["b"]).status == 202);
 }
--- a/crates/daemon/tests/gateway_crash.rs
+++ b/crates/daemon/tests/gateway_crash.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the targets that run them.
+//! Quarantine of requests that crash the targets that run them.
 
 mod util;
 
@@ -9,56 +9,41 @@
 use util::gateway::{Fleet, Plan, event_data};
 use util::wait_until;
 
-/// Targets before the gateways of these tests.
 const RUNNERS: u32 = 8;
 
-/// A fleet whose runners crash of requests under `path`, and stay down.
+/// A fleet whose runners crash on requests under `path` and stay down.
 fn fleet(path: &str) -> Fleet {
     let config = |n: u32| Config {
         id: format!("r{n}"),
         first: Duration::from_millis(20),
         ..Config::default()
     };
-    let place = |n: u32| if n.is_multiple_of(2) { "east" } else { "west" };
-    let runners = (0..RUNNERS).map(|n| (place(n), config(n))).collect();
+    let data_centre = |n: u32| if n.is_multiple_of(2) { "east" } else { "west" };
+    let runners = (0..RUNNERS).map(|n| (data_centre(n), config(n))).collect();
     let fleet = Fleet::start(Plan { runners, ..Plan::default() });
     fleet.runners.iter().for_each(|runner| runner.die_of(path));
     fleet
 }
 
-/// What users saw: in three waves, 64 targets of a dozen places crashed within 75 s, each
-/// with up to eight answers of others that broke off midway; of one kind of request a
-/// tenth wasn't served for seconds.
-///
-/// Order of events: a request comes, its target crashes 100 ms into the run, and the
-/// caller gets a broken answer. The same request comes again, from the same caller with
-/// the same body, under another id and at another instance; it is sent to another target,
-/// which crashes as well. So it goes on, until few targets are left and all others wait.
-///
-/// Cause: whatever was learnt of a request was kept for its id, at the instance that had
-/// sent it, for as long as that one call. A request that came again was new to everybody.
-///
-/// Evidence: in the lines of all instances each crash broke off one request without any
-/// event that had come some 100 ms before; none had been sent to more targets than its
-/// route allows; no item broke off on more than three. The users counted 25 targets that
-/// had crashed of one request. This test plays that order of events: all eight targets
-/// crash of it, and the lines show the same contents under eight ids.
+/// Regression: crashes were recorded per request id at the sending instance, so a request
+/// repeated under new ids at other instances crashed one target after the other.
 #[test]
-fn a_request_that_crashed_three_targets_reaches_no_further_one() {
+fn request_that_crashed_three_targets_is_sent_to_no_other() {
     let fleet = fleet("/ask/deadly");
     for n in 0..12 {
         let response = fleet.send(n % 3, "/ask/deadly", &format!("try-{n}"));
         assert!(response.status != 200 || !response.is_complete, "{response:?}");
-        // The caller comes again after a while.
+        // The caller retries after a delay.
         std::thread::sleep(Duration::from_millis(100));
     }
     let runs = fleet.runs("/ask/deadly").len();
-    assert_eq!(runs, 3, "targets that the request has crashed");
+    assert_eq!(runs, 3, "number of crashed targets");
     assert_eq!(fleet.send(0, "/ask/sound", "sound").status, 200);
 }
 
-/// Has a request crash targets until it is held; gives how many it crashed.
-fn crash_until_held(fleet: &Fleet, path: &str) -> usize {
+/// Sends a request that crashes targets until it is quarantined; returns the number of crashed
+/// targets.
+fn crash_until_quarantined(fleet: &Fleet, path: &str) -> usize {
     for n in 0..6 {
         let response = fleet.send(n % 2, path, &format!("{path}-{n}"));
         if response.status == 503 {
@@ -70,9 +55,9 @@
 }
 
 #[test]
-fn who_sends_a_held_request_is_refused_at_once_and_told_when_to_come_back() {
+fn quarantined_request_is_rejected_with_a_retry_delay() {
     let fleet = fleet("/ask/deadly");
-    assert_eq!(crash_until_held(&fleet, "/ask/deadly"), 3);
+    assert_eq!(crash_until_quarantined(&fleet, "/ask/deadly"), 3);
     let response = fleet.send(2, "/ask/deadly", "refused");
     assert_eq!(response.status, 503);
     let after: f64 = response.header("retry-after").parse().expect("seconds");
@@ -80,21 +65,21 @@
 }
 
 #[test]
-fn a_stream_that_may_be_resumed_stops_being_sent_on() {
+fn resumable_stream_that_crashes_targets_is_not_resumed_forever() {
     let fleet = fleet("/talk/deadly");
     for n in 0..6 {
         let response = fleet.send(n % 3, "/talk/deadly", &format!("talk-{n}"));
         assert!(!response.is_complete || response.status != 200, "{response:?}");
         std::thread::sleep(Duration::from_millis(100));
     }
-    // One call is sent to two targets, so the word of the third crash may come too late
-    // for the second run of the second call.
+    // Each call makes two attempts, so the report of the third crash may arrive too late to
+    // prevent the second attempt of the second call.
     let runs = fleet.runs("/talk/deadly").len();
     assert!((3..=4).contains(&runs), "{runs} targets crashed");
 }
 
 #[test]
-fn a_request_that_shared_a_crash_is_served() {
+fn request_interrupted_by_the_crash_of_another_is_served() {
     let config = |n: u32| Config {
         id: format!("r{n}"),
         first: Duration::from_millis(20),
@@ -112,13 +97,13 @@
                 scope.spawn(move || fleet.send(n % 3, &format!("/talk/{n}"), &format!("by-{n}")))
             })
             .collect();
-        wait_until("they run", || fleet.runs("/talk/").len() >= 12);
-        crash_until_held(&fleet, "/ask/deadly");
+        wait_until("all calls run", || fleet.runs("/talk/").len() >= 12);
+        crash_until_quarantined(&fleet, "/ask/deadly");
         for call in calls {
-            call.join().expect("an answer");
+            call.join().expect("a response");
         }
     });
-    // Whatever became of these calls, their like is served when it comes again.
+    // The same requests are served when they are sent again.
     for n in 0..12 {
         let id = format!("again-{n}");
         let response = fleet.send(n % 3, &format!("/talk/{n}"), &id);
@@ -127,80 +112,82 @@
     }
 }
 
-/// The same fault elsewhere: a run of an item that broke off counted as nothing, so the
-/// item ran again after 100 ms, for as long as its job was open.
+/// Regression: an interrupted run of an item didn't count as a crash, so the item ran again
+/// every 100 ms until its job ended.
 #[test]
-fn an_item_that_crashes_targets_is_withheld_and_the_others_are_done() {
+fn item_that_crashes_targets_is_withheld_and_other_items_complete() {
     let fleet = fleet("/batch/deadly");
     assert_eq!(fleet.submit(0, "job", &["sound-1", "deadly", "sound-2"]).status, 202);
-    wait_until("the others are done", || {
-        let answer = fleet.results(1, "job", 0).json();
-        answer["results"].as_array().is_some_and(|results| results.len() == 2)
+    wait_until("the other items are completed", || {
+        let page = fleet.results(1, "job", 0).json();
+        page["results"].as_array().is_some_and(|results| results.len() == 2)
     });
-    wait_until("it has crashed three", || fleet.runs("/batch/deadly").len() >= 3);
+    wait_until("the item has crashed three targets", || fleet.runs("/batch/deadly").len() >= 3);
     std::thread::sleep(Duration::from_secs(2));
     assert_eq!(fleet.runs("/batch/deadly").len(), 3);
 }
 
 #[test]
-fn what_is_held_outlives_the_loss_of_all_instances() {
+fn quarantine_survives_a_restart_of_all_instances() {
     let mut fleet = fleet("/ask/deadly");
-    assert_eq!(crash_until_held(&fleet, "/ask/deadly"), 3);
+    assert_eq!(crash_until_quarantined(&fleet, "/ask/deadly"), 3);
     wait_until("it is written down", || !fleet.objects.all("gatespool-quarantine").is_empty());
     fleet.gateways.iter_mut().for_each(|gateway| gateway.kill());
     (0..3).for_each(|n| fleet.restart(n));
     fleet.wait_ready();
-    wait_until("all know it", || (0..3).all(|n| fleet.log(n).iter().any(is_word_of_hold)));
+    wait_until("all know of the quarantine", || {
+        (0..3).all(|n| fleet.log(n).iter().any(is_quarantine_line))
+    });
     for n in 0..6 {
         assert_eq!(fleet.send(n % 3, "/ask/deadly", &format!("later-{n}")).status, 503);
     }
     assert_eq!(fleet.runs("/ask/deadly").len(), 3);
 }
 
-fn is_word_of_hold(line: &Value) -> bool {
-    let verdict = line["verdict"].as_str().unwrap_or_default();
-    line["msg"] == "request struck" && verdict.starts_with("Quarantined")
+fn is_quarantine_line(line: &Value) -> bool {
+    let decision = line["verdict"].as_str().unwrap_or_default();
+    line["msg"] == "request struck" && decision.starts_with("Quarantined")
 }
 
 #[test]
-fn an_instance_that_was_suspended_learns_what_is_held_meanwhile() {
+fn frozen_instance_learns_of_a_quarantine_after_it_continues() {
     let fleet = fleet("/ask/deadly");
     fleet.gateways[2].freeze();
-    assert_eq!(crash_until_held(&fleet, "/ask/deadly"), 3);
+    assert_eq!(crash_until_quarantined(&fleet, "/ask/deadly"), 3);
     std::thread::sleep(Duration::from_secs(2));
     fleet.gateways[2].thaw();
-    wait_until("it knows", || fleet.log(2).iter().any(is_word_of_hold));
+    wait_until("gateway 2 knows of the quarantine", || fleet.log(2).iter().any(is_quarantine_line));
     assert_eq!(fleet.send(2, "/ask/deadly", "woken").status, 503);
     assert_eq!(fleet.runs("/ask/deadly").len(), 3);
 }
 
-/// What is held reaches an instance that the others don't reach by way of the platform.
+/// An instance that its peers can't reach learns of a quarantine from the platform.
 #[test]
-fn an_instance_that_is_cut_off_from_the_others_learns_what_is_held() {
+fn partitioned_instance_learns_of_a_quarantine() {
     let fleet = fleet("/ask/deadly");
     let peers: Vec<SocketAddr> =
         fleet.gateways.iter().map(|gateway| gateway.peer_address).collect();
     fleet.gateways[2].set_unreachable(&peers[..2]);
     fleet.gateways[..2].iter().for_each(|gateway| gateway.set_unreachable(&peers[2..]));
-    // The cut is taken note of within 50 ms.
+    // The partition file is read every 50 ms.
     std::thread::sleep(Duration::from_millis(100));
-    assert_eq!(crash_until_held(&fleet, "/ask/deadly"), 3);
-    wait_until("it knows", || fleet.log(2).iter().any(is_word_of_hold));
-    let from_platform = |line: &Value| is_word_of_hold(line) && line["from"] == "platform";
+    assert_eq!(crash_until_quarantined(&fleet, "/ask/deadly"), 3);
+    wait_until("gateway 2 knows of the quarantine", || fleet.log(2).iter().any(is_quarantine_line));
+    let from_platform = |line: &Value| is_quarantine_line(line) && line["from"] == "platform";
     assert!(fleet.log(2).iter().any(from_platform));
     assert_eq!(fleet.send(2, "/ask/deadly", "cut-off").status, 503);
     assert_eq!(fleet.runs("/ask/deadly").len(), 3);
 }
 
-/// What an item has done to targets goes with what it asks for, not with its holder.
+/// Crash reports belong to the contents of an item, not to the holder of its job.
 #[test]
-fn an_item_stays_withheld_when_its_job_changes_hands() {
+fn item_stays_withheld_when_another_instance_takes_over_its_job() {
     let mut fleet = fleet("/batch/deadly");
     assert_eq!(fleet.submit(0, "job", &["deadly"]).status, 202);
-    wait_until("it has crashed three", || fleet.runs("/batch/deadly").len() >= 3);
-    wait_until("it is withheld", || fleet.log(0).iter().any(|l| l["msg"] == "item withheld"));
+    wait_until("the item has crashed three targets", || fleet.runs("/batch/deadly").len() >= 3);
+    wait_until("the item is withheld", || fleet.log(0).iter().any(|l| l["msg"] == "item withheld"));
     fleet.gateways[0].kill();
     let withheld = |n: usize| fleet.log(n).iter().any(|line| line["msg"] == "item withheld");
-    wait_until("another holds it", || withheld(1) || withheld(2));
+    wait_until("another instance withholds the item", || withheld(1) || withheld(2));
     assert_eq!(fleet.runs("/batch/deadly").len(), 3);
 }
