--- a/crates/daemon/src/batch/chunk.rs
+++ b/crates/daemon/src/batch/chunk.rs
@@ -8,259 +8,262 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
 
-/// Items that may run once and are noted as started with one report.
-const START_GROUP: usize = 16;
+/// Maximum number of at-most-once items recorded as started with one report.
+const MAX_RECORDED_STARTS: usize = 16;
 
-/// Where a parked stream goes on.
+/// Output of a preempted stream, to resume from.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Partial {
     /// Text so far.
     pub text: String,
-    /// Tokens so far.
+    /// Number of tokens in `text`.
     pub tokens: u32,
 }
 
-/// An item that waits.
+/// An item that waits or runs.
 #[derive(Clone, Debug)]
-pub struct Waiting {
-    /// Place in the chunk.
+pub struct PendingItem {
+    /// Position in the chunk.
     pub index: u32,
-    /// The item.
+    /// The item with its prompt.
     pub item: Item,
-    /// Tries before.
-    pub tries: u32,
-    /// What an earlier stream already brought.
+    /// Failed attempts so far.
+    pub attempts: u32,
+    /// Output of an earlier, preempted stream.
     pub partial: Partial,
 }
 
-/// How the run of an item ended.
+/// Outcome of one run of an item.
 #[derive(Clone, Debug)]
-pub enum End {
-    /// With the whole text.
-    Whole(String),
-    /// It made way; the text so far is kept.
-    Parked(Partial),
-    /// The target failed it; that counts as a try.
+pub enum RunOutcome {
+    /// Completed with this text.
+    Completed(String),
+    /// Preempted with this output so far.
+    Preempted(Partial),
+    /// Failed for this reason; counts as an attempt.
     Failed(String),
-    /// The target didn't take it; that doesn't count.
-    NotTaken,
+    /// Not sent, or rejected by the target; doesn't count as an attempt.
+    Rejected,
 }
 
-/// A report that isn't acknowledged yet. It doesn't change until it is, so that
-/// a report whose answer was lost can be given again.
+/// A report that isn't acknowledged yet. It stays the same until then, so that it can be
+/// sent again after a lost reply.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Object it is written to, if it brings anything.
+    /// Object that it is written to; `None` without outcomes or starts.
     pub part: Option<(ResultPartRef, ResultPart)>,
-    /// Items with an outcome.
+    /// Number of items with an outcome in this report.
     pub done: u32,
-    /// Of those, failed.
+    /// Number of those that failed.
     pub failed: u32,
-    /// What becomes of the chunk.
-    pub after: Disposition,
+    /// What becomes of the chunk after it.
+    pub disposition: Disposition,
 }
 
-/// A chunk in hand.
+/// A chunk held by this instance.
 pub struct Chunk {
-    /// What was handed out.
-    pub work: ChunkAssignment,
-    /// Items that may start.
-    pub waiting: VecDeque<Waiting>,
-    /// Items that may run once and aren't noted as started.
-    pub unnoted: VecDeque<Waiting>,
-    running: BTreeMap<u32, Waiting>,
-    fresh: BTreeMap<u32, Outcome>,
-    noting: Vec<u32>,
+    /// The assignment that this instance holds.
+    pub assignment: ChunkAssignment,
+    /// Items that may start now.
+    pub waiting: VecDeque<PendingItem>,
+    /// At-most-once items that must be recorded as started first.
+    pub unrecorded_starts: VecDeque<PendingItem>,
+    running: BTreeMap<u32, PendingItem>,
+    unwritten: BTreeMap<u32, Outcome>,
+    recording_starts: Vec<u32>,
     total: usize,
-    ended: BTreeSet<u32>,
+    finished: BTreeSet<u32>,
     parts: u32,
-    /// The report under way.
+    /// The report that isn't acknowledged yet.
     pub report: Option<Report>,
-    /// When the last report was acknowledged.
+    /// When the last report was acknowledged; at first, when the chunk was claimed.
     pub reported: Instant,
-    /// When there last was a target for it here.
-    pub served: Instant,
-    /// Whether a report is being sent.
+    /// When this instance last owned a usable target for it.
+    pub last_serviceable: Instant,
+    /// Whether a task is sending a report.
     pub sending: bool,
-    /// Whether no new item starts, because the chunk is given back.
-    pub closing: bool,
+    /// Whether no new item starts, because the chunk will be released.
+    pub releasing: bool,
 }
 
 impl Chunk {
-    /// A chunk as handed out, with what earlier holders recorded.
+    /// Creates a chunk from its assignment and the results that earlier holders recorded.
     pub fn new(
-        work: ChunkAssignment,
+        assignment: ChunkAssignment,
         items: Items,
         progress: &ChunkProgress,
-        most: u32,
+        max_attempts: u32,
         now: Instant,
     ) -> Chunk {
         let total = items.items.len();
         let mut chunk = Chunk {
-            work,
+            assignment,
             waiting: VecDeque::new(),
-            unnoted: VecDeque::new(),
+            unrecorded_starts: VecDeque::new(),
             running: BTreeMap::new(),
-            fresh: BTreeMap::new(),
-            noting: Vec::new(),
+            unwritten: BTreeMap::new(),
+            recording_starts: Vec::new(),
             total,
-            ended: progress.outcomes.keys().copied().collect(),
+            finished: progress.outcomes.keys().copied().collect(),
             parts: 0,
             report: None,
             reported: now,
-            served: now,
+            last_serviceable: now,
             sending: false,
-            closing: false,
+            releasing: false,
         };
         for (index, item) in items.items.into_iter().enumerate() {
-            chunk.plan(index as u32, item, progress, most);
+            chunk.plan(index as u32, item, progress, max_attempts);
         }
         chunk
     }
 
-    fn plan(&mut self, index: u32, item: Item, progress: &ChunkProgress, most: u32) {
-        match progress.plan(index, &item, most) {
+    fn plan(&mut self, index: u32, item: Item, progress: &ChunkProgress, max_attempts: u32) {
+        match progress.plan(index, &item, max_attempts) {
             Plan::Skip => {}
             Plan::OutcomeUnknown => {
                 let reason = "the item was started and its outcome is unknown";
                 self.fail(index, Kind::MayHaveRun, reason.into());
             }
             Plan::AttemptsExhausted => {
-                self.fail(index, Kind::AttemptsExhausted, "every try failed".into());
+                self.fail(index, Kind::AttemptsExhausted, "every attempt failed".into());
             }
             Plan::Run { tries } => {
-                let once = !item.repeatable;
-                let waiting = Waiting { index, item, tries, partial: Partial::default() };
-                if once {
-                    self.unnoted.push_back(waiting);
+                let is_at_most_once = !item.repeatable;
+                let pending =
+                    PendingItem { index, item, attempts: tries, partial: Partial::default() };
+                if is_at_most_once {
+                    self.unrecorded_starts.push_back(pending);
                 } else {
-                    self.waiting.push_back(waiting);
+                    self.waiting.push_back(pending);
                 }
             }
         }
     }
 
-    /// Whether an item may start now; one that may run once only when `may_once`.
+    /// Whether an item may start now; an at-most-once item only if `may_once`.
     pub fn has_item(&self, may_once: bool) -> bool {
-        !self.closing && self.place(may_once).is_some()
+        !self.releasing && self.next_position(may_once).is_some()
     }
 
-    fn place(&self, may_once: bool) -> Option<usize> {
-        self.waiting.iter().position(|waiting| may_once || waiting.item.repeatable)
+    fn next_position(&self, may_once: bool) -> Option<usize> {
+        self.waiting.iter().position(|pending| may_once || pending.item.repeatable)
     }
 
-    /// Takes the next item to run.
-    pub fn take(&mut self, may_once: bool) -> Option<Waiting> {
-        if self.closing {
+    /// Takes the next item to run; an at-most-once item only if `may_once`.
+    pub fn take_next(&mut self, may_once: bool) -> Option<PendingItem> {
+        if self.releasing {
             return None;
         }
-        let waiting = self.waiting.remove(self.place(may_once)?)?;
-        self.running.insert(waiting.index, waiting.clone());
-        Some(waiting)
+        let pending = self.waiting.remove(self.next_position(may_once)?)?;
+        self.running.insert(pending.index, pending.clone());
+        Some(pending)
     }
 
-    /// Items that could start now or after the next report.
+    /// Number of items that may start now or after the next report.
     pub fn ready(&self) -> usize {
-        if self.closing { 0 } else { self.waiting.len() + self.unnoted.len() }
+        if self.releasing { 0 } else { self.waiting.len() + self.unrecorded_starts.len() }
     }
 
-    /// Items that run.
+    /// Number of items that run.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Outcomes that aren't recorded.
+    /// Number of outcomes that aren't recorded yet.
     pub fn unrecorded(&self) -> usize {
-        let held =
+        let reported =
             self.report.as_ref().and_then(|r| r.part.as_ref()).map_or(0, |(_, p)| p.outcomes.len());
-        self.fresh.len() + held
+        self.unwritten.len() + reported
     }
 
-    /// The run of an item ended.
-    pub fn on_end(&mut self, index: u32, end: End, most: u32) {
-        let Some(mut waiting) = self.running.remove(&index) else {
+    /// Handles the end of an item's run.
+    pub fn on_run_ended(&mut self, index: u32, outcome: RunOutcome, max_attempts: u32) {
+        let Some(mut pending) = self.running.remove(&index) else {
             return;
         };
-        match end {
-            End::Whole(text) => {
-                self.ended.insert(index);
-                self.fresh.insert(index, Outcome::Completed { text });
+        match outcome {
+            RunOutcome::Completed(text) => {
+                self.finished.insert(index);
+                self.unwritten.insert(index, Outcome::Completed { text });
             }
-            End::Parked(partial) => {
-                waiting.partial = partial;
-                self.waiting.push_front(waiting);
+            RunOutcome::Preempted(partial) => {
+                pending.partial = partial;
+                self.waiting.push_front(pending);
             }
-            End::NotTaken => self.waiting.push_back(waiting),
-            End::Failed(reason) if !waiting.item.repeatable => {
+            RunOutcome::Rejected => self.waiting.push_back(pending),
+            RunOutcome::Failed(reason) if !pending.item.repeatable => {
                 self.fail(index, Kind::MayHaveRun, reason);
             }
-            End::Failed(reason) => {
-                waiting.tries += 1;
-                if waiting.tries >= most {
-                    let text = format!("{} tries: {reason}", waiting.tries);
+            RunOutcome::Failed(reason) => {
+                pending.attempts += 1;
+                if pending.attempts >= max_attempts {
+                    let text = format!("{} attempts: {reason}", pending.attempts);
                     self.fail(index, Kind::AttemptsExhausted, text);
                 } else {
-                    self.waiting.push_back(waiting);
+                    self.waiting.push_back(pending);
                 }
             }
         }
     }
 
     fn fail(&mut self, index: u32, kind: Kind, reason: String) {
-        self.ended.insert(index);
-        self.fresh.insert(index, Outcome::Failed { kind, reason });
+        self.finished.insert(index);
+        self.unwritten.insert(index, Outcome::Failed { kind, reason });
     }
 
     fn is_done(&self) -> bool {
-        self.ended.len() == self.total
+        self.finished.len() == self.total
     }
 
-    /// Whether a report is due: the time has come, all is done, items wait to be
-    /// noted as started, or the chunk is to be given back.
-    pub fn is_due(&self, every: std::time::Duration, now: Instant) -> bool {
-        let given_back = self.closing && self.running.is_empty();
-        let starved = self.waiting.is_empty() && self.running.is_empty();
-        let noting = starved && !self.unnoted.is_empty();
-        let time = now.saturating_duration_since(self.reported) >= every;
-        self.is_done() || given_back || noting || time
+    /// Whether a report is due: the interval has passed, every item is finished, starts
+    /// must be recorded, or the chunk can be released.
+    pub fn is_due(&self, interval: std::time::Duration, now: Instant) -> bool {
+        let is_released = self.releasing && self.running.is_empty();
+        let is_idle = self.waiting.is_empty() && self.running.is_empty();
+        let has_starts_to_record = is_idle && !self.unrecorded_starts.is_empty();
+        let is_interval_over = now.saturating_duration_since(self.reported) >= interval;
+        self.is_done() || is_released || has_starts_to_record || is_interval_over
     }
 
-    /// The report to send: the one under way, or a new one.
+    /// Returns the unacknowledged report, or makes a new one.
     pub fn make_report(&mut self) -> Report {
         if let Some(report) = &self.report {
             return report.clone();
         }
-        let outcomes = std::mem::take(&mut self.fresh);
-        let group = if self.closing { 0 } else { START_GROUP.min(self.unnoted.len()) };
-        self.noting = self.unnoted.iter().take(group).map(|w| w.index).collect();
+        let outcomes = std::mem::take(&mut self.unwritten);
+        let starts =
+            if self.releasing { 0 } else { MAX_RECORDED_STARTS.min(self.unrecorded_starts.len()) };
+        self.recording_starts =
+            self.unrecorded_starts.iter().take(starts).map(|w| w.index).collect();
         let tries: BTreeMap<u32, u32> = self.tries();
         let done = outcomes.len() as u32;
         let is_failed = |o: &&Outcome| matches!(o, Outcome::Failed { .. });
         let failed = outcomes.values().filter(is_failed).count() as u32;
-        let after = match (self.is_done(), self.closing && self.running.is_empty()) {
+        let disposition = match (self.is_done(), self.releasing && self.running.is_empty()) {
             (true, _) => Disposition::Done,
             (false, true) => Disposition::Release,
             (false, false) => Disposition::Continue,
         };
-        let part = ResultPart { outcomes, started: self.noting.clone(), tries };
-        let is_news = !part.outcomes.is_empty() || !part.started.is_empty();
-        let place = ResultPartRef { attempt: self.work.attempt, part: self.parts };
-        let part = is_news.then_some((place, part));
-        let report = Report { part, done, failed, after };
+        let part = ResultPart { outcomes, started: self.recording_starts.clone(), tries };
+        let is_needed = !part.outcomes.is_empty() || !part.started.is_empty();
+        let part_ref = ResultPartRef { attempt: self.assignment.attempt, part: self.parts };
+        let part = is_needed.then_some((part_ref, part));
+        let report = Report { part, done, failed, disposition };
         self.report = Some(report.clone());
         report
     }
 
-    /// Tries of items without an outcome; a running item counts as tried, since
-    /// it may be what ends this instance.
+    /// Attempts of unfinished items; a running one counts its current attempt, in case it
+    /// crashes this instance.
     fn tries(&self) -> BTreeMap<u32, u32> {
-        let waiting = self.waiting.iter().map(|w| (w.index, w.tries));
-        let running = self.running.values().map(|w| (w.index, w.tries + 1));
-        waiting.chain(running).filter(|(_, tries)| *tries > 0).collect()
+        let pending = self.waiting.iter().map(|w| (w.index, w.attempts));
+        let running = self.running.values().map(|w| (w.index, w.attempts + 1));
+        pending.chain(running).filter(|(_, tries)| *tries > 0).collect()
     }
 
-    /// The report is recorded; items noted as started may now start. Returns
-    /// whether the chunk is over for this instance.
+    /// Handles the acknowledgement of the report: items recorded as started may start.
+    /// Returns whether this instance no longer holds the chunk.
     pub fn on_recorded(&mut self, now: Instant) -> bool {
         self.reported = now;
         let Some(report) = self.report.take() else {
@@ -269,9 +272,9 @@
         if report.part.is_some() {
             self.parts += 1;
         }
-        for _ in 0..std::mem::take(&mut self.noting).len() {
-            self.waiting.extend(self.unnoted.pop_front());
+        for _ in 0..std::mem::take(&mut self.recording_starts).len() {
+            self.waiting.extend(self.unrecorded_starts.pop_front());
         }
-        report.after != Disposition::Continue
+        report.disposition != Disposition::Continue
     }
 }
--- a/crates/daemon/src/batch/item.rs
+++ b/crates/daemon/src/batch/item.rs
@@ -1,6 +1,6 @@
 //! Runs one item on one target.
 
-use super::chunk::{End, Partial, Waiting};
+use super::chunk::{Partial, PendingItem, RunOutcome};
 use coordination::retry::Failure;
 use protocol::chat::{Message, Request, Resume};
 use std::net::SocketAddr;
@@ -8,85 +8,85 @@
 use tokio_util::sync::CancellationToken;
 use transport::target::{AttemptError, AttemptMeta, Client, StreamItem};
 
-/// Longest time of one item on one target.
-const LONGEST: Duration = Duration::from_secs(600);
+/// Maximum duration of one run of an item.
+const MAX_RUN_TIME: Duration = Duration::from_secs(600);
 
-/// What a run needs besides the item.
+/// Parameters of a run.
 pub struct Run {
-    /// Client.
+    /// Client for the targets.
     pub client: Client,
-    /// Target.
-    pub to: SocketAddr,
-    /// Service.
+    /// Address of the target.
+    pub target: SocketAddr,
+    /// Name of the service, sent as the model.
     pub service: String,
-    /// Key for the target's record: job and item.
+    /// Idempotency key: job, chunk and item.
     pub key: String,
-    /// Id of this attempt.
+    /// Random id of this attempt.
     pub attempt: u64,
-    /// Test only: sent as if it were online.
+    /// Injected fault: the request is sent with online priority.
     pub as_online: bool,
-    /// Stops the stream; what came so far is kept.
-    pub park: CancellationToken,
+    /// Preempts the stream; its output so far is kept.
+    pub preempt: CancellationToken,
 }
 
-/// Runs an item until its end, or until it is told to make way.
-pub async fn run(run: Run, waiting: Waiting) -> End {
-    let mut partial = waiting.partial.clone();
-    let request = request(&run, &waiting);
+/// Runs an item until it ends or is preempted.
+pub async fn run(run: Run, pending: PendingItem) -> RunOutcome {
+    let mut partial = pending.partial.clone();
+    let request = request(&run, &pending);
     let meta = AttemptMeta {
         attempt: run.attempt,
         key: run.key.clone(),
         priority: u8::from(!run.as_online),
-        timeout: LONGEST,
+        timeout: MAX_RUN_TIME,
     };
     let started = tokio::select! {
-        started = run.client.chat(run.to, &request, &meta) => started,
-        () = run.park.cancelled() => return parked(&waiting, partial),
+        started = run.client.chat(run.target, &request, &meta) => started,
+        () = run.preempt.cancelled() => return preempted_or_failed(&pending, partial),
     };
     let mut stream = match started {
         Ok(stream) => stream,
-        Err(fault) => return failed(&fault),
+        Err(error) => return failed(&error),
     };
     loop {
         let piece = tokio::select! {
             piece = stream.next() => piece,
-            () = run.park.cancelled() => return parked(&waiting, partial),
+            () = run.preempt.cancelled() => return preempted_or_failed(&pending, partial),
         };
         match piece {
             Ok(StreamItem::Token(text)) => {
                 partial.text.push_str(&text);
                 partial.tokens += 1;
             }
-            Ok(StreamItem::End(_)) => return End::Whole(partial.text),
-            Err(fault) => return failed(&fault),
+            Ok(StreamItem::End(_)) => return RunOutcome::Completed(partial.text),
+            Err(error) => return failed(&error),
         }
     }
 }
 
-fn request(run: &Run, waiting: &Waiting) -> Request {
-    let partial = &waiting.partial;
+fn request(run: &Run, pending: &PendingItem) -> Request {
+    let partial = &pending.partial;
     let resume =
         (partial.tokens > 0).then(|| Resume { text: partial.text.clone(), tokens: partial.tokens });
     Request {
         model: run.service.clone(),
-        messages: vec![Message { role: "user".into(), content: waiting.item.prompt.clone() }],
+        messages: vec![Message { role: "user".into(), content: pending.item.prompt.clone() }],
         stream: true,
-        max_tokens: waiting.item.max_tokens,
+        max_tokens: pending.item.max_tokens,
         resume,
     }
 }
 
-/// Only an item that may be repeated makes way: resuming is a second send.
-fn parked(waiting: &Waiting, partial: Partial) -> End {
-    if waiting.item.repeatable {
-        return End::Parked(partial);
+/// Only a repeatable item is preempted: resuming sends it a second time.
+fn preempted_or_failed(pending: &PendingItem, partial: Partial) -> RunOutcome {
+    if pending.item.repeatable {
+        return RunOutcome::Preempted(partial);
     }
-    End::Failed(String::from("stopped while it ran"))
+    RunOutcome::Failed(String::from("preempted while it ran"))
 }
 
-fn failed(fault: &AttemptError) -> End {
-    match fault.failure {
-        Failure::NotSent | Failure::Refused => End::NotTaken,
-        Failure::Unknown => End::Failed(fault.message.clone()),
+fn failed(error: &AttemptError) -> RunOutcome {
+    match error.failure {
+        Failure::NotSent | Failure::Refused => RunOutcome::Rejected,
+        Failure::Unknown => RunOutcome::Failed(error.message.clone()),
     }
 }
--- a/crates/daemon/src/batch/mod.rs
+++ b/crates/daemon/src/batch/mod.rs
@@ -1,8 +1,7 @@
-//! The batch duty: claims chunks, runs their items in idle capacity, reports.
+//! The batch worker: claims chunks, runs their items in idle slots, reports.
 //!
-//! One loop owns all of it. Streams run as tasks and send their ends back; the
-//! loop decides, for each target that this instance is in charge of, how many
-//! may start or must stop.
+//! One loop owns the state. Streams run as tasks and send their outcomes back; for each
+//! target that this instance owns, the loop decides how many streams start or stop.
 
 use crate::shared::Shared;
 use protocol::{JobId, ShardId};
@@ -20,53 +19,53 @@
 
 pub use run::run;
 
-/// Most jobs whose cancel is remembered.
-const CANCELS: usize = 4096;
+/// Maximum number of cancelled jobs, and of work announcements, remembered.
+const MAX_REMEMBERED_CANCELS: usize = 4096;
 
-/// Batch work as other duties see it.
+/// The batch worker, for the other workers.
 #[derive(Clone, Default)]
 pub struct Handle {
     wake: Arc<Notify>,
     hints: Arc<Mutex<Hints>>,
-    in_hand: Arc<AtomicUsize>,
+    assigned_chunks: Arc<AtomicUsize>,
 }
 
-/// What other duties told the batch duty.
+/// What other workers reported to the batch worker.
 #[derive(Default)]
 struct Hints {
-    /// Jobs that were cancelled, newest last.
+    /// Cancelled jobs, newest last.
     cancelled: VecDeque<JobId>,
-    /// Shards with new jobs and the time of the news.
+    /// Announced shards that no claim has followed yet, with the time of the announcement.
     work: VecDeque<(ShardId, u64)>,
-    /// News already seen, to pass each on once.
-    seen: VecDeque<(ShardId, u64)>,
-    /// When the last of it came.
-    last: Option<Instant>,
+    /// Announcements already seen, so that each is forwarded once.
+    seen_work: VecDeque<(ShardId, u64)>,
+    /// When the last announcement came.
+    last_work: Option<Instant>,
 }
 
 impl Handle {
-    /// Online load, targets or members changed: decide again now.
+    /// Wakes the worker after online load, targets or members changed.
     pub fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// Chunks in hand; a planned stop waits for them to be given back.
-    pub fn in_hand(&self) -> usize {
-        self.in_hand.load(Ordering::Relaxed)
+    /// Chunks held by this instance; a planned stop waits until they are released.
+    pub fn assigned_chunks(&self) -> usize {
+        self.assigned_chunks.load(Ordering::Relaxed)
     }
 
-    fn set_in_hand(&self, chunks: usize) {
-        self.in_hand.store(chunks, Ordering::Relaxed);
+    fn set_assigned_chunks(&self, chunks: usize) {
+        self.assigned_chunks.store(chunks, Ordering::Relaxed);
     }
 
-    /// A job was cancelled; `true` when that is news.
+    /// Records that a job was cancelled; `true` when that is new.
     pub fn on_cancelled(&self, job: &JobId) -> bool {
         let mut hints = crate::fleet::lock(&self.hints);
         if hints.cancelled.contains(job) {
             return false;
         }
         hints.cancelled.push_back(job.clone());
-        if hints.cancelled.len() > CANCELS {
+        if hints.cancelled.len() > MAX_REMEMBERED_CANCELS {
             hints.cancelled.pop_front();
         }
         drop(hints);
@@ -74,26 +73,26 @@
         true
     }
 
-    /// A shard has a new job; `true` when that is news.
+    /// Records that a shard has new work; `true` when that is new.
     pub fn on_work(&self, shard: ShardId, at: u64, now: Instant) -> bool {
         let mut hints = crate::fleet::lock(&self.hints);
-        if hints.seen.contains(&(shard, at)) {
+        if hints.seen_work.contains(&(shard, at)) {
             return false;
         }
-        hints.seen.push_back((shard, at));
-        hints.last = Some(now);
+        hints.seen_work.push_back((shard, at));
+        hints.last_work = Some(now);
         hints.work.push_back((shard, at));
-        if hints.seen.len() > CANCELS {
-            hints.seen.pop_front();
+        if hints.seen_work.len() > MAX_REMEMBERED_CANCELS {
+            hints.seen_work.pop_front();
         }
         drop(hints);
         self.wake();
         true
     }
 
-    /// Time since the last news of work.
-    pub fn since_work(&self, now: Instant) -> Duration {
-        let last = crate::fleet::lock(&self.hints).last;
+    /// Time since the last work announcement; [`Duration::MAX`] before the first.
+    pub fn time_since_work(&self, now: Instant) -> Duration {
+        let last = crate::fleet::lock(&self.hints).last_work;
         last.map_or(Duration::MAX, |at| now.saturating_duration_since(at))
     }
 
@@ -101,13 +100,13 @@
         crate::fleet::lock(&self.hints).cancelled.contains(job)
     }
 
-    fn take_work(&self) -> Option<ShardId> {
+    fn next_hint(&self) -> Option<ShardId> {
         crate::fleet::lock(&self.hints).work.pop_front().map(|(shard, _)| shard)
     }
 }
 
 /// Whether this instance may claim and start batch work.
-fn is_open(shared: &Shared) -> bool {
+fn accepts_work(shared: &Shared) -> bool {
     let stopping = crate::fleet::lock(&shared.stopping).is_some();
     shared.settings.batch_enabled && !stopping
 }
--- a/crates/daemon/src/batch/report.rs
+++ b/crates/daemon/src/batch/report.rs
@@ -1,4 +1,4 @@
-//! Brings a chunk's report to the platform and the log, and fetches chunks.
+//! Writes reports of chunks to the platform and the log, and claims chunks.
 
 use super::chunk::{Chunk, Report};
 use crate::shared::Shared;
@@ -10,73 +10,77 @@
 use state::part::{ChunkItems as Items, ChunkProgress, ResultPart};
 use std::time::Instant;
 
-/// How a report ended.
+/// Outcome of sending a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
-    /// It is recorded.
+pub enum ReportOutcome {
+    /// The report is recorded.
     Recorded,
-    /// The chunk is no longer this instance's.
-    Stopped,
-    /// Try again later.
+    /// This instance no longer holds the chunk.
+    Revoked,
+    /// The report must be sent again.
     Failed,
 }
 
-/// Sends a report: first the object, then the record that names it.
-pub async fn send(shared: &Shared, work: &ChunkAssignment, report: Report) -> Sent {
-    let mut place = None;
+/// Sends a report: first the object, then the record that refers to it.
+pub async fn send(shared: &Shared, assignment: &ChunkAssignment, report: Report) -> ReportOutcome {
+    let mut part_ref = None;
     if let Some((part, contents)) = report.part {
-        let key = object_key::result_part(&work.job, work.chunk, part.attempt, part.part);
+        let key =
+            object_key::result_part(&assignment.job, assignment.chunk, part.attempt, part.part);
         let bytes = Bytes::from(serde_json::to_vec(&contents).unwrap_or_default());
-        // Only this hand-out writes this object, and always the same.
+        // Only this assignment writes this object, always with the same contents.
         if shared.store.put(&key, bytes, Condition::Any).await.is_err() {
-            return Sent::Failed;
+            return ReportOutcome::Failed;
         }
-        place = Some(part);
+        part_ref = Some(part);
     }
     let command = Command::Progress {
-        job: work.job.clone(),
-        chunk: work.chunk,
-        attempt: work.attempt,
-        part: place,
+        job: assignment.job.clone(),
+        chunk: assignment.chunk,
+        attempt: assignment.attempt,
+        part: part_ref,
         done: report.done,
         failed: report.failed,
-        disposition: report.after,
+        disposition: report.disposition,
     };
     match shared.shards.submit(shared, command).await {
-        Ok(Reply::Continue) => Sent::Recorded,
-        Ok(Reply::Stop) => Sent::Stopped,
-        Ok(_) | Err(_) => Sent::Failed,
+        Ok(Reply::Continue) => ReportOutcome::Recorded,
+        Ok(Reply::Stop) => ReportOutcome::Revoked,
+        Ok(_) | Err(_) => ReportOutcome::Failed,
     }
 }
 
-/// Asks a shard for a chunk of one of `services` and reads it.
+/// Claims a chunk of one of `services` from a shard and reads it; `None` when there is
+/// none.
 ///
 /// # Errors
 ///
-/// What the owner answered, or how the platform failed.
+/// The error of the shard's owner or of the platform.
 pub async fn claim(
     shared: &Shared,
     shard: ShardId,
     services: Vec<String>,
 ) -> Result<Option<Chunk>, Error> {
     let command = Command::Claim { holder: shared.id, services };
-    let Reply::Work(work) = shared.shards.submit_to(shared, shard, command).await? else {
+    let Reply::Work(assignment) = shared.shards.submit_to(shared, shard, command).await? else {
         return Ok(None);
     };
-    let key = object_key::chunk(&work.job, &work.upload, work.chunk);
+    let key = object_key::chunk(&assignment.job, &assignment.upload, assignment.chunk);
     let items: Items = read(shared, &key).await?;
     let mut progress = ChunkProgress::default();
-    for part in &work.parts {
-        let key = object_key::result_part(&work.job, work.chunk, part.attempt, part.part);
+    for part in &assignment.parts {
+        let key =
+            object_key::result_part(&assignment.job, assignment.chunk, part.attempt, part.part);
         progress.apply(read::<ResultPart>(shared, &key).await?);
     }
-    let most = shared.settings.max_attempts;
-    Ok(Some(Chunk::new(work, items, &progress, most, Instant::now())))
+    let max_attempts = shared.settings.max_attempts;
+    Ok(Some(Chunk::new(assignment, items, &progress, max_attempts, Instant::now())))
 }
 
 async fn read<T: serde::de::DeserializeOwned>(shared: &Shared, key: &str) -> Result<T, Error> {
-    let lost = |text: String| Error::new(Kind::PlatformUnavailable, format!("`{key}`: {text}"));
-    let found = shared.store.get(key).await.map_err(|fault| lost(fault.to_string()))?;
-    let found = found.ok_or_else(|| lost("missing".into()))?;
-    serde_json::from_slice(&found.bytes).map_err(|error| lost(error.to_string()))
+    let unreadable =
+        |text: String| Error::new(Kind::PlatformUnavailable, format!("`{key}`: {text}"));
+    let found = shared.store.get(key).await.map_err(|error| unreadable(error.to_string()))?;
+    let found = found.ok_or_else(|| unreadable("missing".into()))?;
+    serde_json::from_slice(&found.bytes).map_err(|error| unreadable(error.to_string()))
 }
--- a/crates/daemon/src/batch/run/claim.rs
+++ b/crates/daemon/src/batch/run/claim.rs
@@ -1,40 +1,40 @@
-//! Gets chunks from the shards when items are short.
+//! Claims chunks from the shards when items run short.
 
-use super::{Duty, Event, FAILED};
+use super::{Event, RETRY_DELAY, Worker};
 use crate::batch::chunk::Chunk;
-use crate::batch::{is_open, report};
+use crate::batch::{accepts_work, report};
 use protocol::{Error, ShardId};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Time between asks for work while another shard may have some.
-const SEEK: Duration = Duration::from_millis(50);
-/// The same when no shard has any. New work is told by its owner, so these asks
-/// only find what the news missed.
-const IDLE: Duration = Duration::from_millis(1500);
-/// Chunks in hand at once.
-const MOST_CHUNKS: usize = 16;
+/// Interval between claims while another shard may have work.
+const CLAIM_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between claims after every shard had no work. Owners announce new work, so this
+/// only finds missed announcements.
+const IDLE_CLAIM_INTERVAL: Duration = Duration::from_millis(1500);
+/// Maximum number of chunks held at once.
+const MAX_CHUNKS: usize = 16;
 
-impl Duty {
-    /// Asks one shard for a chunk when there is room and little in hand.
-    pub(super) fn ask(&mut self, free: &HashMap<String, usize>, now: Instant) {
-        let has_room = self.chunks.len() < MOST_CHUNKS && is_open(&self.shared);
-        let hinted = self.shared.batch.clone();
-        if self.claiming || !has_room {
+impl Worker {
+    /// Claims a chunk from one shard when a service is short of items.
+    pub(super) fn claim_chunk(&mut self, free: &HashMap<String, usize>, now: Instant) {
+        let may_claim = self.chunks.len() < MAX_CHUNKS && accepts_work(&self.shared);
+        let batch = self.shared.batch.clone();
+        if self.claiming || !may_claim {
             return;
         }
         let services: Vec<String> =
-            free.keys().filter(|s| self.is_short(s, free)).cloned().collect();
+            free.keys().filter(|s| self.is_short_of_items(s, free)).cloned().collect();
         if services.is_empty() {
             return;
         }
-        let shard = match hinted.take_work() {
+        let shard = match batch.next_hint() {
             Some(shard) => {
-                self.dry = 0;
+                self.empty_claims = 0;
                 shard
             }
-            None if now < self.ask_at => return,
-            None => self.sticky.unwrap_or_else(|| self.next_shard()),
+            None if now < self.next_claim => return,
+            None => self.preferred_shard.unwrap_or_else(|| self.next_shard()),
         };
         self.claiming = true;
         let (shared, events) = (self.shared.clone(), self.events.clone());
@@ -45,18 +45,19 @@
         });
     }
 
-    /// A service is short of items when fewer wait than run there: the next
-    /// chunk is fetched while the last one still fills the targets.
-    fn is_short(&self, service: &String, free: &HashMap<String, usize>) -> bool {
-        let of_it = self.chunks.values().filter(|c| c.work.service == *service);
-        let (ready, running) = of_it.fold((0, 0), |(r, n), c| (r + c.ready(), n + c.running()));
-        let room = free.get(service).copied().unwrap_or(0);
-        (room > 0 || running > 0) && ready < running.max(1)
+    /// Whether fewer items of a service wait than run: the next chunk is claimed while the
+    /// last one still fills the targets.
+    fn is_short_of_items(&self, service: &String, free: &HashMap<String, usize>) -> bool {
+        let of_service = self.chunks.values().filter(|c| c.assignment.service == *service);
+        let (ready, running) =
+            of_service.fold((0, 0), |(r, n), c| (r + c.ready(), n + c.running()));
+        let capacity = free.get(service).copied().unwrap_or(0);
+        (capacity > 0 || running > 0) && ready < running.max(1)
     }
 
     fn next_shard(&mut self) -> ShardId {
-        self.turn = (self.turn + 1) % self.shared.settings.shards;
-        self.turn
+        self.last_shard = (self.last_shard + 1) % self.shared.settings.shards;
+        self.last_shard
     }
 
     pub(super) fn on_claimed(&mut self, shard: ShardId, found: Result<Option<Box<Chunk>>, Error>) {
@@ -64,21 +65,25 @@
         let now = Instant::now();
         match found {
             Ok(Some(chunk)) => {
-                self.counter += 1;
-                self.chunks.insert(self.counter, *chunk);
-                self.sticky = Some(shard);
-                self.dry = 0;
+                self.next_id += 1;
+                self.chunks.insert(self.next_id, *chunk);
+                self.preferred_shard = Some(shard);
+                self.empty_claims = 0;
             }
             Ok(None) => {
-                self.sticky = None;
-                self.dry = self.dry.saturating_add(1);
-                let wait = if self.dry < self.shared.settings.shards { SEEK } else { IDLE };
-                self.ask_at = now + wait.mul_f64(0.5 + rand::random::<f64>());
+                self.preferred_shard = None;
+                self.empty_claims = self.empty_claims.saturating_add(1);
+                let wait = if self.empty_claims < self.shared.settings.shards {
+                    CLAIM_INTERVAL
+                } else {
+                    IDLE_CLAIM_INTERVAL
+                };
+                self.next_claim = now + wait.mul_f64(0.5 + rand::random::<f64>());
             }
             Err(error) => {
-                slog::debug!(self.shared.log, "no chunk"; "reason" => error.to_string());
-                self.sticky = None;
-                self.ask_at = now + FAILED.mul_f64(0.5 + rand::random::<f64>());
+                slog::debug!(self.shared.log, "chunk claim failed"; "reason" => error.to_string());
+                self.preferred_shard = None;
+                self.next_claim = now + RETRY_DELAY.mul_f64(0.5 + rand::random::<f64>());
             }
         }
     }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -162,7 +162,7 @@
     pub fn announce_work(&self, shard: u32, at: u64) {
         let now = Instant::now();
         let members = lock(&self.members).workers().count() as u32;
-        if self.batch.since_work(now) >= ANNOUNCEMENT_INTERVAL_PER_MEMBER * members {
+        if self.batch.time_since_work(now) >= ANNOUNCEMENT_INTERVAL_PER_MEMBER * members {
             self.broadcast(Update::JobAccepted(shard, at));
         } else {
             self.batch.on_work(shard, at, now);
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -201,7 +201,7 @@
                 continue;
             };
             let running = self.shared.in_flight.load(Ordering::Relaxed)
-                + self.shared.batch.in_hand()
+                + self.shared.batch.assigned_chunks()
                 + self.shared.retry_queue.len();
             let unguarded = settings.is_guard_disabled("drain");
             let is_closed = self.shared.rejects_new.load(Ordering::Relaxed);
