--- a/crates/daemon/tests/soak/callers.rs
+++ b/crates/daemon/tests/soak/callers.rs
@@ -1,6 +1,6 @@
-//! Callers that go on whatever fails, on connections that they keep open.
+//! Callers that keep sending requests on persistent connections, whatever fails.
 
-use super::check::Record;
+use super::check::Recorder;
 use super::util::gateway::HOST;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
@@ -13,41 +13,38 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-type Http = Client<HttpConnector, Full<bytes::Bytes>>;
+type HttpClient = Client<HttpConnector, Full<bytes::Bytes>>;
 
-/// Longest wait of a caller.
-const PATIENCE: Duration = Duration::from_secs(6);
-/// Pause of a caller between requests.
-const PAUSE: Duration = Duration::from_millis(15);
-/// Pause of a reader between reads.
-const READ_PAUSE: Duration = Duration::from_millis(80);
-/// Items of a job; one of them can't be done.
-pub const ITEMS: usize = 6;
+const CALL_TIMEOUT: Duration = Duration::from_secs(6);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
+const READ_INTERVAL: Duration = Duration::from_millis(80);
+/// Items per job; one of them always fails.
+pub const ITEMS_PER_JOB: usize = 6;
 
-/// An answer: status, body, and whether it came to its end.
-pub struct Answer {
-    /// Status; 0 without an answer.
+/// An HTTP response.
+pub struct Response {
+    /// Status code; 0 if no response arrived.
     pub status: u16,
-    /// Body, as far as it came.
+    /// Body, as far as it was received.
     pub body: Vec<u8>,
-    /// Whether it came to its end.
-    pub whole: bool,
+    /// Whether the body was received to its end.
+    pub is_complete: bool,
 }
 
-fn client() -> Http {
+fn client() -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     Client::builder(TokioExecutor::new()).build(connector)
 }
 
 async fn call(
-    http: &Http,
+    http: &HttpClient,
     method: &str,
     to: SocketAddr,
     path: &str,
     id: &str,
     body: String,
-) -> Answer {
+) -> Response {
     let request = Request::builder()
         .method(method)
         .uri(format!("http://{to}{path}"))
@@ -56,126 +53,140 @@
         .header("x-gatespool-deadline-ms", "5000")
         .body(Full::new(body.into()))
         .expect("a request");
-    let mut answer = Answer { status: 0, body: Vec::new(), whole: false };
+    let mut response = Response { status: 0, body: Vec::new(), is_complete: false };
     let exchange = async {
-        let Ok(response) = http.request(request).await else {
+        let Ok(head) = http.request(request).await else {
             return;
         };
-        answer.status = response.status().as_u16();
-        let mut body = response.into_body();
+        response.status = head.status().as_u16();
+        let mut body = head.into_body();
         while let Some(frame) = body.frame().await {
             match frame {
-                Ok(frame) => answer.body.extend(frame.data_ref().into_iter().flatten()),
+                Ok(frame) => response.body.extend(frame.data_ref().into_iter().flatten()),
                 Err(_) => return,
             }
         }
-        answer.whole = true;
+        response.is_complete = true;
     };
-    // Whoever runs out of patience hangs up.
-    let _patience = tokio::time::timeout(PATIENCE, exchange).await;
-    answer
+    // On a timeout the connection is dropped, and the response stays incomplete.
+    let _timeout = tokio::time::timeout(CALL_TIMEOUT, exchange).await;
+    response
 }
 
-async fn read_all(http: &Http, front: SocketAddr, job: &str) -> Answer {
+async fn read_all(http: &HttpClient, front: SocketAddr, job: &str) -> Response {
     let path = format!("/lots/{job}?since_rev=0");
     call(http, "GET", front, &path, "", String::new()).await
 }
 
-/// Asks for streams until the end.
-pub async fn ask(n: usize, fronts: Vec<SocketAddr>, record: Arc<Record>, over: Arc<AtomicBool>) {
+/// Requests streams until `is_over` is set.
+pub async fn send_streams(
+    n: usize,
+    fronts: Vec<SocketAddr>,
+    record: Arc<Recorder>,
+    is_over: Arc<AtomicBool>,
+) {
     let http = client();
     let mut count = 0;
-    while !over.load(Ordering::Relaxed) {
+    while !is_over.load(Ordering::Relaxed) {
         count += 1;
         let kind = if count % 2 == 0 { "ask" } else { "talk" };
         let id = format!("{kind}-{n}-{count}");
-        // A connection is kept for as long as it serves: three requests in a row
-        // go to the same gateway.
+        // Three consecutive requests go to the same gateway, so that connections are reused.
         let front = fronts[(n + count / 3) % fronts.len()];
-        let answer = call(&http, "POST", front, &format!("/{kind}/{id}"), &id, "x".into()).await;
-        record.on_stream(kind, &id, &answer);
-        tokio::time::sleep(PAUSE).await;
+        let response = call(&http, "POST", front, &format!("/{kind}/{id}"), &id, "x".into()).await;
+        record.on_stream(kind, &id, &response);
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
 }
 
-/// Submits jobs until the end, reads each and ends some.
-pub async fn batch(n: usize, fronts: Vec<SocketAddr>, record: Arc<Record>, over: Arc<AtomicBool>) {
+/// Submits jobs until `is_over` is set, reads each and ends every fourth.
+pub async fn submit_jobs(
+    n: usize,
+    fronts: Vec<SocketAddr>,
+    record: Arc<Recorder>,
+    is_over: Arc<AtomicBool>,
+) {
     let http = client();
     let mut count = 0;
-    while !over.load(Ordering::Relaxed) {
+    while !is_over.load(Ordering::Relaxed) {
         count += 1;
         let job = format!("job-{n}-{count}");
         let item = |k: usize| {
             let id = if k == 0 { format!("{job}-poison") } else { format!("{job}-{k}") };
             json!({ "id": id, "path": format!("/batch/{id}"), "headers": {}, "body": "eA==", "tokens": 10 })
         };
-        let body = json!({ "items": (0..ITEMS).map(item).collect::<Vec<Value>>() }).to_string();
+        let body =
+            json!({ "items": (0..ITEMS_PER_JOB).map(item).collect::<Vec<Value>>() }).to_string();
         let mut statuses = Vec::new();
         for attempt in 0..4 {
             let front = fronts[(n + count + attempt) % fronts.len()];
-            let answer =
+            let response =
                 call(&http, "POST", front, &format!("/batch/{job}"), &job, body.clone()).await;
-            statuses.push(answer.status);
-            if answer.status == 202 {
+            statuses.push(response.status);
+            if response.status == 202 {
                 break;
             }
-            tokio::time::sleep(PAUSE * 10).await;
+            tokio::time::sleep(REQUEST_INTERVAL * 10).await;
         }
         record.on_submitted(&job, &statuses);
         for read in 0..6 {
-            tokio::time::sleep(READ_PAUSE).await;
+            tokio::time::sleep(READ_INTERVAL).await;
             let front = fronts[(n + read) % fronts.len()];
             record.on_read(&job, &read_all(&http, front, &job).await);
         }
         if count % 4 == 0 {
             let front = fronts[count % fronts.len()];
-            record.on_end_asked(&job);
+            record.on_end_requested(&job);
             let path = format!("/lots/{job}");
-            let answer = call(&http, "DELETE", front, &path, "", String::new()).await;
-            if answer.status == 200 {
-                record.on_ended(&job, Instant::now());
+            let response = call(&http, "DELETE", front, &path, "", String::new()).await;
+            if response.status == 200 {
+                record.on_end_acknowledged(&job, Instant::now());
             }
         }
     }
 }
 
-/// Reads all jobs until each that was accepted has all its results.
-pub async fn settle(fronts: Vec<SocketAddr>, record: Arc<Record>, until: Instant) {
+/// Reads the open jobs until every accepted job has all its results, or until `deadline`.
+pub async fn read_until_complete(
+    fronts: Vec<SocketAddr>,
+    record: Arc<Recorder>,
+    deadline: Instant,
+) {
     let http = client();
-    let mut turn = 0;
-    while !record.is_settled() && Instant::now() < until {
+    let mut count = 0;
+    while !record.is_complete() && Instant::now() < deadline {
         for job in record.open_jobs() {
-            turn += 1;
-            let front = fronts[turn % fronts.len()];
+            count += 1;
+            let front = fronts[count % fronts.len()];
             record.on_read(&job, &read_all(&http, front, &job).await);
         }
-        tokio::time::sleep(READ_PAUSE).await;
+        tokio::time::sleep(READ_INTERVAL).await;
     }
 }
 
-/// Asks each gateway which configuration is in force, by routes that stand in
-/// one version only.
-pub async fn probe(
+/// Finds out which configuration is in force at each gateway, by routes that only one version
+/// has, until `is_over` is set.
+pub async fn poll_versions(
     fronts: Vec<SocketAddr>,
-    record: Arc<Record>,
+    record: Arc<Recorder>,
     newest: Arc<std::sync::atomic::AtomicU64>,
-    over: Arc<AtomicBool>,
+    is_over: Arc<AtomicBool>,
 ) {
     let http = client();
     let mut count = 0;
-    while !over.load(Ordering::Relaxed) {
+    while !is_over.load(Ordering::Relaxed) {
         for (n, front) in fronts.iter().enumerate() {
             let newest = newest.load(Ordering::Relaxed);
             for version in newest.saturating_sub(2)..=newest {
                 count += 1;
                 let path = format!("/at-{version}/x");
                 let id = format!("probe-{count}");
-                let answer = call(&http, "POST", *front, &path, &id, "x".into()).await;
-                if answer.status == 200 {
+                let response = call(&http, "POST", *front, &path, &id, "x".into()).await;
+                if response.status == 200 {
                     record.on_version(n, version);
                 }
             }
         }
-        tokio::time::sleep(READ_PAUSE).await;
+        tokio::time::sleep(READ_INTERVAL).await;
     }
 }
--- a/crates/daemon/tests/soak/check.rs
+++ b/crates/daemon/tests/soak/check.rs
@@ -1,206 +1,217 @@
-//! What callers and engines saw, held against the promises.
+//! Checks the observations of callers and runners against the guarantees of the system.
 
-use super::callers::{Answer, ITEMS};
+use super::callers::{ITEMS_PER_JOB, Response};
 use serde_json::Value;
 use standin::runner::{Run, Runner};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Events of every answer.
-pub const EVENTS: u64 = 12;
-/// How long after its end an item of a job may still begin to run: three seconds
-/// where the holder is in touch, and a holder may have been frozen or cut off,
-/// by several faults in a row, when the end was given.
-const CANCEL: Duration = Duration::from_secs(8);
+pub const EVENTS_PER_RESPONSE: u64 = 12;
+/// How long after the end of its job an item may still start: 3 s if the holder is reachable,
+/// longer since several faults in a row may have frozen or isolated it.
+const MAX_CANCEL_DELAY: Duration = Duration::from_secs(8);
 
 #[derive(Default)]
 struct Job {
     is_accepted: bool,
-    is_refused: bool,
-    listed: Vec<Value>,
-    /// Whether an end was asked for: from then on, results may be lacking.
-    is_end_asked: bool,
-    ended: Option<Instant>,
+    is_rejected: bool,
+    results: Vec<Value>,
+    /// Whether an end was requested; from then on, results may be missing.
+    is_end_requested: bool,
+    ended_at: Option<Instant>,
 }
 
 #[derive(Default)]
-struct Seen {
-    broken: Vec<String>,
-    refused: Vec<String>,
+struct Observations {
+    violations: Vec<String>,
+    rejected: Vec<String>,
     jobs: BTreeMap<String, Job>,
     versions: HashMap<usize, u64>,
-    streams: [u64; 3],
+    /// Numbers of completed, rejected and failed streams.
+    stream_counts: [u64; 3],
 }
 
-/// The record of a day.
+/// Records observations and finds violations of the guarantees.
 #[derive(Default)]
-pub struct Record(Mutex<Seen>);
+pub struct Recorder(Mutex<Observations>);
 
-impl Record {
-    fn lock(&self) -> MutexGuard<'_, Seen> {
+impl Recorder {
+    fn lock(&self) -> MutexGuard<'_, Observations> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A stream's answer.
-    pub fn on_stream(&self, kind: &str, id: &str, answer: &Answer) {
-        let mut seen = self.lock();
-        match answer.status {
-            200 if answer.whole => {
-                seen.streams[0] += 1;
-                let text = String::from_utf8_lossy(&answer.body);
-                let data: Vec<&str> =
+    pub fn on_stream(&self, kind: &str, id: &str, response: &Response) {
+        let mut observed = self.lock();
+        match response.status {
+            200 if response.is_complete => {
+                observed.stream_counts[0] += 1;
+                let text = String::from_utf8_lossy(&response.body);
+                let events: Vec<&str> =
                     text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
-                if data.join("\n") != Runner::text(id, EVENTS) {
-                    seen.broken.push(format!("{id}: a whole answer that isn't its own: {data:?}"));
+                if events.join("\n") != Runner::text(id, EVENTS_PER_RESPONSE) {
+                    observed
+                        .violations
+                        .push(format!("{id}: a complete response with wrong events: {events:?}"));
                 }
             }
             408 | 421 | 429 | 503 => {
-                seen.streams[1] += 1;
+                observed.stream_counts[1] += 1;
                 if kind == "ask" {
-                    seen.refused.push(id.to_owned());
+                    observed.rejected.push(id.to_owned());
                 }
             }
-            404 => seen.broken.push(format!("{id}: denied, though its route has always stood")),
-            _ => seen.streams[2] += 1,
+            404 => {
+                observed.violations.push(format!("{id}: 404, though its route has always existed"))
+            }
+            _ => observed.stream_counts[2] += 1,
         }
     }
 
-    /// All answers to one submission.
+    /// Records the statuses of all attempts to submit a job.
     pub fn on_submitted(&self, job: &str, statuses: &[u16]) {
-        let mut seen = self.lock();
-        let found = seen.jobs.entry(job.to_owned()).or_default();
-        found.is_accepted = statuses.contains(&202);
-        found.is_refused = statuses.iter().all(|status| matches!(status, 429 | 503));
+        let mut observed = self.lock();
+        let job_record = observed.jobs.entry(job.to_owned()).or_default();
+        job_record.is_accepted = statuses.contains(&202);
+        job_record.is_rejected = statuses.iter().all(|status| matches!(status, 429 | 503));
     }
 
-    /// A read of a job from its beginning.
-    pub fn on_read(&self, job: &str, answer: &Answer) {
-        let mut seen = self.lock();
-        let Some(found) = seen.jobs.get_mut(job) else {
+    /// Records a read of a job from its first result on.
+    pub fn on_read(&self, job: &str, response: &Response) {
+        let mut observed = self.lock();
+        let Some(job_record) = observed.jobs.get_mut(job) else {
             return;
         };
-        let mut broken = Vec::new();
-        if answer.status == 404 && found.is_accepted {
-            broken.push(format!("{job}: accepted, and now unknown"));
+        let mut violations = Vec::new();
+        if response.status == 404 && job_record.is_accepted {
+            violations.push(format!("{job}: accepted, but now unknown"));
         }
-        if answer.status == 200 && answer.whole {
-            let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-            let listed = body["results"].as_array().cloned().unwrap_or_default();
-            if body["total"] != ITEMS {
-                broken.push(format!("{job}: a total of {}", body["total"]));
+        if response.status == 200 && response.is_complete {
+            let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+            let results = body["results"].as_array().cloned().unwrap_or_default();
+            if body["total"] != ITEMS_PER_JOB {
+                violations.push(format!("{job}: a total of {}", body["total"]));
             }
-            let both = listed.len().min(found.listed.len());
-            if listed[..both] != found.listed[..both] {
-                broken.push(format!("{job}: a result has changed or moved"));
+            let common = results.len().min(job_record.results.len());
+            if results[..common] != job_record.results[..common] {
+                violations.push(format!("{job}: a result has changed or moved"));
             }
-            if listed.len() > found.listed.len() {
-                found.listed = listed;
+            if results.len() > job_record.results.len() {
+                job_record.results = results;
             }
         }
-        seen.broken.extend(broken);
+        observed.violations.extend(violations);
     }
 
-    /// An end is asked for.
-    pub fn on_end_asked(&self, job: &str) {
-        if let Some(found) = self.lock().jobs.get_mut(job) {
-            found.is_end_asked = true;
+    /// Records that the end of a job is about to be requested.
+    pub fn on_end_requested(&self, job: &str) {
+        if let Some(job_record) = self.lock().jobs.get_mut(job) {
+            job_record.is_end_requested = true;
         }
     }
 
-    /// An end was acknowledged.
-    pub fn on_ended(&self, job: &str, now: Instant) {
-        if let Some(found) = self.lock().jobs.get_mut(job) {
-            found.ended = Some(now);
+    pub fn on_end_acknowledged(&self, job: &str, now: Instant) {
+        if let Some(job_record) = self.lock().jobs.get_mut(job) {
+            job_record.ended_at = Some(now);
         }
     }
 
-    /// A gateway shows that a version is in force.
+    /// Records that a version is in force at a gateway.
     pub fn on_version(&self, gateway: usize, version: u64) {
-        let mut seen = self.lock();
-        let known = seen.versions.insert(gateway, version).unwrap_or(0);
-        if version < known {
-            seen.broken.push(format!("gateway {gateway}: version {version} after {known}"));
+        let mut observed = self.lock();
+        let previous = observed.versions.insert(gateway, version).unwrap_or(0);
+        if version < previous {
+            observed
+                .violations
+                .push(format!("gateway {gateway}: version {version} after {previous}"));
         }
     }
 
-    /// A gateway was started anew: it may know less.
+    /// Records a restart of a gateway, after which an older version may be in force.
     pub fn on_start(&self, gateway: usize) {
         self.lock().versions.remove(&gateway);
     }
 
-    /// Accepted jobs that lack results.
+    /// Accepted jobs with missing results whose end wasn't requested.
     pub fn open_jobs(&self) -> Vec<String> {
-        let seen = self.lock();
-        let is_open = |job: &Job| job.is_accepted && !job.is_end_asked && job.listed.len() < ITEMS;
-        seen.jobs.iter().filter(|(_, job)| is_open(job)).map(|(id, _)| id.clone()).collect()
+        let observed = self.lock();
+        let is_open = |job: &Job| {
+            job.is_accepted && !job.is_end_requested && job.results.len() < ITEMS_PER_JOB
+        };
+        observed.jobs.iter().filter(|(_, job)| is_open(job)).map(|(id, _)| id.clone()).collect()
     }
 
     /// Whether every accepted job has all its results.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.open_jobs().is_empty()
     }
 
-    /// What was served, for the reader of a run: whole, refused, failed streams,
-    /// and jobs.
+    /// Summary of the streams and jobs.
     pub fn counts(&self) -> String {
-        let seen = self.lock();
-        let accepted = seen.jobs.values().filter(|job| job.is_accepted).count();
-        let [whole, refused, failed] = seen.streams;
-        format!("{whole} whole, {refused} refused, {failed} failed; {accepted} jobs")
+        let observed = self.lock();
+        let accepted = observed.jobs.values().filter(|job| job.is_accepted).count();
+        let [completed, rejected, failed] = observed.stream_counts;
+        format!("{completed} completed, {rejected} rejected, {failed} failed; {accepted} jobs")
     }
 
-    /// All promises that were broken, by the runners' own record besides.
-    pub fn broken(&self, runs: &[Run]) -> Vec<String> {
-        let seen = self.lock();
-        let mut broken = seen.broken.clone();
-        let mut count: HashMap<&str, usize> = HashMap::new();
+    /// All violations, including those that only the runs of the runners show.
+    pub fn violations(&self, runs: &[Run]) -> Vec<String> {
+        let observed = self.lock();
+        let mut violations = observed.violations.clone();
+        let mut run_counts: HashMap<&str, usize> = HashMap::new();
         for run in runs {
-            *count.entry(run.id.as_str()).or_default() += 1;
+            *run_counts.entry(run.id.as_str()).or_default() += 1;
         }
-        let twice = count.iter().filter(|(id, count)| id.starts_with("ask-") && **count > 1);
-        broken.extend(twice.map(|(id, count)| format!("{id}: may run once, ran {count} times")));
-        let denied = seen.refused.iter().filter(|id| count.contains_key(id.as_str()));
-        broken.extend(denied.map(|id| format!("{id}: refused as not run, and it ran")));
-        for (id, job) in &seen.jobs {
-            broken.extend(check_job(id, job, runs));
+        let repeated =
+            run_counts.iter().filter(|(id, count)| id.starts_with("ask-") && **count > 1);
+        violations.extend(
+            repeated.map(|(id, count)| format!("{id}: an at-most-once request ran {count} times")),
+        );
+        let rejected_runs =
+            observed.rejected.iter().filter(|id| run_counts.contains_key(id.as_str()));
+        violations.extend(rejected_runs.map(|id| format!("{id}: rejected as not run, but it ran")));
+        for (id, job) in &observed.jobs {
+            violations.extend(check_job(id, job, runs));
         }
-        broken
+        violations
     }
 }
 
 fn check_job(id: &str, job: &Job, runs: &[Run]) -> Vec<String> {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let prefix = format!("{id}-");
-    let mut own = runs.iter().filter(|run| run.id.starts_with(&prefix));
-    if job.is_refused && own.clone().next().is_some() {
-        broken.push(format!("{id}: refused by all, and an item ran"));
+    let mut own_runs = runs.iter().filter(|run| run.id.starts_with(&prefix));
+    if job.is_rejected && own_runs.clone().next().is_some() {
+        violations.push(format!("{id}: rejected by all, but an item ran"));
     }
-    if let Some(ended) = job.ended
-        && own.any(|run| run.arrived > ended + CANCEL)
+    if let Some(ended_at) = job.ended_at
+        && own_runs.any(|run| run.arrived > ended_at + MAX_CANCEL_DELAY)
     {
-        broken.push(format!("{id}: an item began long after its job's end"));
+        violations.push(format!("{id}: an item started too late after the end of its job"));
     }
-    if job.is_accepted && !job.is_end_asked && job.listed.len() < ITEMS {
-        broken.push(format!("{id}: accepted, {} of {ITEMS} results", job.listed.len()));
+    if job.is_accepted && !job.is_end_requested && job.results.len() < ITEMS_PER_JOB {
+        violations
+            .push(format!("{id}: accepted, {} of {ITEMS_PER_JOB} results", job.results.len()));
     }
-    let mut items: Vec<&str> = job.listed.iter().filter_map(|r| r["id"].as_str()).collect();
+    let mut items: Vec<&str> = job.results.iter().filter_map(|r| r["id"].as_str()).collect();
     items.sort_unstable();
     items.dedup();
-    if items.len() != job.listed.len() {
-        broken.push(format!("{id}: a result stands twice"));
+    if items.len() != job.results.len() {
+        violations.push(format!("{id}: a result is listed twice"));
     }
-    for result in &job.listed {
+    for result in &job.results {
         let item = result["id"].as_str().unwrap_or_default();
-        let is_poison = item.ends_with("-poison");
-        let is_right = match result["state"].as_str() {
-            Some("complete") => !is_poison && result["message"] == Runner::text(item, EVENTS),
-            Some("errored") => is_poison || job.is_end_asked,
+        let is_failing = item.ends_with("-poison");
+        let is_valid = match result["state"].as_str() {
+            Some("complete") => {
+                !is_failing && result["message"] == Runner::text(item, EVENTS_PER_RESPONSE)
+            }
+            Some("errored") => is_failing || job.is_end_requested,
             _ => false,
         };
-        if !is_right {
-            broken.push(format!("{id}: a wrong result: {result}"));
+        if !is_valid {
+            violations.push(format!("{id}: a wrong result: {result}"));
         }
     }
-    broken
+    violations
 }
--- a/crates/daemon/tests/soak/faults.rs
+++ b/crates/daemon/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! What is done to the fleet, drawn from a seed.
+//! Random schedules of faults, derived from a seed.
 
 use super::util::proxy::Mode;
 use rand::rngs::StdRng;
@@ -7,52 +7,52 @@
 use standin::runner;
 use std::time::Duration;
 
-/// One fault; `n` numbers a gateway or a runner.
+/// A fault; the number is the index of a gateway or a runner, the duration how long it lasts.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// SIGKILL, and a start after the time.
+    /// SIGKILL, and a restart after the duration.
     Kill(usize, Duration),
-    /// Every gateway is killed at one moment, and all start again.
+    /// SIGKILL to all gateways at once, and a restart of all.
     KillAll(Duration),
-    /// SIGTERM, and a start once it has ended.
-    Stop(usize),
-    /// SIGSTOP for the time.
+    /// SIGTERM, and a restart once the process has exited.
+    Terminate(usize),
+    /// SIGSTOP, and SIGCONT after the duration.
     Freeze(usize, Duration),
-    /// The gateway's way to the platform.
-    Platform(usize, Mode, Duration),
-    /// All gateways' way to the runner.
-    Runner(usize, Mode, Duration),
-    /// The gateway's way to the other gateways, both ways.
-    Peers(usize, Duration),
-    /// The platform itself.
-    Store(objects::Faults, Duration),
-    /// The platform forgets its history.
-    Forget,
-    /// The runner itself.
-    Engine(usize, runner::Faults, Duration),
-    /// The runner announces that it leaves, and comes back.
-    Leave(usize, Duration),
-    /// The operator writes the next configuration.
+    /// Faulty connections from one gateway to the platform.
+    PlatformConnection(usize, Mode, Duration),
+    /// Faulty connections from all gateways to one runner.
+    RunnerConnection(usize, Mode, Duration),
+    /// Network partition between one gateway and all others, in both directions.
+    PeerPartition(usize, Duration),
+    /// Faults of the platform itself.
+    PlatformFaults(objects::Faults, Duration),
+    /// The platform drops its change history.
+    ForgetHistory,
+    /// Faults of a runner itself.
+    RunnerFaults(usize, runner::Faults, Duration),
+    /// A runner reports that it is draining, and is ready again after the duration.
+    Drain(usize, Duration),
+    /// The next version of the configuration is written.
     Configure,
 }
 
-/// A fault and how long to wait before it.
+/// A fault and the delay before it.
 pub type Step = (Duration, Fault);
 
-fn millis(rng: &mut StdRng, from: u64, to: u64) -> Duration {
+fn random_millis(rng: &mut StdRng, from: u64, to: u64) -> Duration {
     Duration::from_millis(rng.random_range(from..to))
 }
 
-fn mode(rng: &mut StdRng) -> Mode {
+fn random_mode(rng: &mut StdRng) -> Mode {
     match rng.random_range(0..4) {
-        0 => Mode::Delay(millis(rng, 5, 120)),
+        0 => Mode::Delay(random_millis(rng, 5, 120)),
         1 => Mode::Reset,
         2 => Mode::Stall,
         _ => Mode::StallResponses,
     }
 }
 
-fn store(rng: &mut StdRng) -> objects::Faults {
+fn random_platform_faults(rng: &mut StdRng) -> objects::Faults {
     let none = objects::Faults::default();
     match rng.random_range(0..5) {
         0 => objects::Faults { away: true, ..none },
@@ -60,14 +60,14 @@
         2 => objects::Faults { lost: rng.random_range(1..6), ..none },
         3 => objects::Faults {
             late: rng.random_range(1..4),
-            late_by: millis(rng, 500, 3_000),
+            late_by: random_millis(rng, 500, 3_000),
             ..none
         },
-        _ => objects::Faults { slow: millis(rng, 20, 250), ..none },
+        _ => objects::Faults { slow: random_millis(rng, 20, 250), ..none },
     }
 }
 
-fn engine(rng: &mut StdRng) -> runner::Faults {
+fn random_runner_faults(rng: &mut StdRng) -> runner::Faults {
     let none = runner::Faults::default();
     match rng.random_range(0..4) {
         0 => runner::Faults { cut: rng.random_range(1..6), ..none },
@@ -77,30 +77,30 @@
     }
 }
 
-/// The day of a seed: faults in series that overlap.
-pub fn day(seed: u64, gateways: usize, runners: usize, length: Duration) -> Vec<Step> {
+/// Faults in sequence for `duration`; they may overlap.
+pub fn schedule(seed: u64, gateways: usize, runners: usize, duration: Duration) -> Vec<Step> {
     let mut rng = StdRng::seed_from_u64(seed);
     let rng = &mut rng;
     let mut steps = Vec::new();
-    let mut passed = Duration::ZERO;
-    while passed < length {
-        let pause = millis(rng, 50, 700);
-        passed += pause;
+    let mut elapsed = Duration::ZERO;
+    while elapsed < duration {
+        let pause = random_millis(rng, 50, 700);
+        elapsed += pause;
         let gateway = rng.random_range(0..gateways);
-        let engine_at = rng.random_range(0..runners);
-        let time = millis(rng, 200, 2_000);
+        let runner = rng.random_range(0..runners);
+        let period = random_millis(rng, 200, 2_000);
         let fault = match rng.random_range(0..24) {
-            0..3 => Fault::Kill(gateway, millis(rng, 10, 800)),
-            3 => Fault::KillAll(millis(rng, 10, 800)),
-            4..6 => Fault::Stop(gateway),
-            6..8 => Fault::Freeze(gateway, time),
-            8..11 => Fault::Platform(gateway, mode(rng), time),
-            11..14 => Fault::Runner(engine_at, mode(rng), time),
-            14..16 => Fault::Peers(gateway, time),
-            16..19 => Fault::Store(store(rng), time),
-            19 => Fault::Forget,
-            20..22 => Fault::Engine(engine_at, engine(rng), time),
-            22 => Fault::Leave(engine_at, time),
+            0..3 => Fault::Kill(gateway, random_millis(rng, 10, 800)),
+            3 => Fault::KillAll(random_millis(rng, 10, 800)),
+            4..6 => Fault::Terminate(gateway),
+            6..8 => Fault::Freeze(gateway, period),
+            8..11 => Fault::PlatformConnection(gateway, random_mode(rng), period),
+            11..14 => Fault::RunnerConnection(runner, random_mode(rng), period),
+            14..16 => Fault::PeerPartition(gateway, period),
+            16..19 => Fault::PlatformFaults(random_platform_faults(rng), period),
+            19 => Fault::ForgetHistory,
+            20..22 => Fault::RunnerFaults(runner, random_runner_faults(rng), period),
+            22 => Fault::Drain(runner, period),
             _ => Fault::Configure,
         };
         steps.push((pause, fault));
