--- a/crates/daemon/src/gateway/call_reason.rs
+++ b/crates/daemon/src/gateway/call_reason.rs
@@ -22,11 +22,11 @@
     /// Takes over a job.
     Takeover,
     /// Scans all jobs.
-    Sweep,
+    Scan,
     /// Deletes a job past its retention.
     Expiry,
     /// Reports that a machine to be decommissioned is empty.
-    Retirement,
+    Decommission,
     /// Reads or writes quarantined requests.
     Quarantine,
 }
@@ -44,9 +44,9 @@
             CallReason::Lookup => "find",
             CallReason::End => "end",
             CallReason::Takeover => "takeover",
-            CallReason::Sweep => "sweep",
+            CallReason::Scan => "sweep",
             CallReason::Expiry => "expiry",
-            CallReason::Retirement => "retirement",
+            CallReason::Decommission => "retirement",
             CallReason::Quarantine => "quarantine",
         }
     }
--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -113,7 +113,7 @@
     let mut is_done = true;
     let (mut jobs, mut orphans) = (0, 0);
     loop {
-        let page = match node.store.list(CallReason::Sweep, job::KIND, after.as_deref()).await {
+        let page = match node.store.list(CallReason::Scan, job::KIND, after.as_deref()).await {
             Ok(page) => page,
             Err(error) => {
                 slog::info!(node.log, "job list failed"; "fault" => %error);
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -135,7 +135,9 @@
             spawn_local(async move { takeover::take_over_with_retry(&node, &job, handoff).await });
             PeerReply::Acknowledged
         }
-        PeerRequest::Trial(content) => PeerReply::Trial(quarantine::on_trial(node, content)),
+        PeerRequest::Trial(fingerprint) => {
+            PeerReply::Trial(quarantine::on_trial(node, fingerprint))
+        }
         PeerRequest::CrashReports => PeerReply::CrashReports(quarantine::crash_reports(node)),
     }
 }
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -107,8 +107,8 @@
         is_candidate && member.state != State::Suspect
     });
     let candidate = |member: &Member| {
-        let has_lost_contact = is_disconnected(node, member.id, now);
-        Candidate { id: member.id, is_disconnected: has_lost_contact }
+        let is_disconnected = is_disconnected(node, member.id, now);
+        Candidate { id: member.id, is_disconnected }
     };
     watch::is_watcher(RANK_KEY, members.me().id, candidates.map(candidate), WATCHER_COUNT)
 }
@@ -319,7 +319,7 @@
     let result = node
         .store
         .set_status(
-            CallReason::Retirement,
+            CallReason::Decommission,
             decommission::KIND,
             &object.name,
             object.revision,
