--- a/crates/daemon/benches/measure/batch.rs
+++ b/crates/daemon/benches/measure/batch.rs
@@ -1,4 +1,5 @@
-//! How much idle capacity batch fills, and what it does to the online tail.
+//! Share of idle capacity that batch fills, and its effect on the tail latency of
+//! online requests.
 
 use crate::fleet::production;
 use crate::load::{self, Load, Outcome};
@@ -11,15 +12,15 @@
 
 const ENGINES: usize = 6;
 const SLOTS: u32 = 8;
-const TOKEN: Duration = Duration::from_millis(10);
-const LENGTH: Duration = Duration::from_secs(12);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(10);
+const DURATION: Duration = Duration::from_secs(12);
 const REPEATS: usize = 3;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
-    Alone,
-    BatchAlone,
-    Design,
+    OnlineOnly,
+    BatchOnly,
+    Standard,
     NoPriority,
     StaticSplit,
 }
@@ -27,14 +28,15 @@
 impl Mode {
     fn name(self) -> &'static str {
         match self {
-            Mode::Alone => "online alone",
-            Mode::BatchAlone => "batch alone",
-            Mode::Design => "both, this design",
+            Mode::OnlineOnly => "online alone",
+            Mode::BatchOnly => "batch alone",
+            Mode::Standard => "both, this design",
             Mode::NoPriority => "both, no priority",
             Mode::StaticSplit => "both, static split",
         }
     }
 
+    /// Guards that the mode disables.
     fn disabled_guards(self) -> &'static str {
         match self {
             Mode::NoPriority => "priority, yield",
@@ -46,15 +48,16 @@
 
 struct Run {
     online: Option<Outcome>,
+    /// Share of the idle capacity that batch used.
     filled: f64,
-    /// Wait for a slot at the engine in ms: p50, p90, p99.
-    waited: [f64; 3],
+    /// Wait of online requests for a slot at the engine in ms: p50, p90, p99.
+    slot_wait_ms: [f64; 3],
 }
 
-fn play(mode: Mode, capacity: f64) -> Run {
+fn run_mode(mode: Mode, capacity: f64) -> Run {
     let engine = Config {
         slots: SLOTS,
-        token: TOKEN,
+        token: TOKEN_INTERVAL,
         prefill: Duration::from_millis(40),
         ..Config::default()
     };
@@ -69,7 +72,7 @@
     let disabled_guards = mode.disabled_guards().to_owned();
     let plan = Plan { engines: ENGINES, engine, settings, disabled_guards, ..Plan::default() };
     let cluster = Cluster::start(plan);
-    if mode != Mode::Alone {
+    if mode != Mode::OnlineOnly {
         let list: Vec<_> = items("filler", 30_000)
             .into_iter()
             .map(|mut item| {
@@ -81,17 +84,18 @@
         std::thread::sleep(Duration::from_secs(3));
     }
     let before = tokens(&cluster);
-    let began = Instant::now();
-    let to: Vec<SocketAddr> = cluster.daemons.iter().map(|daemon| daemon.front_address).collect();
-    // A fourteenth of the slots, and bursts that need seven tenths of them: near
-    // saturation the tail of online requests alone differs by half from run to run.
-    let online = (mode != Mode::BatchAlone).then(|| {
+    let start = Instant::now();
+    let addresses: Vec<SocketAddr> =
+        cluster.daemons.iter().map(|daemon| daemon.front_address).collect();
+    // 7% of the slots, and bursts that need 70%: closer to saturation the tail of
+    // online requests varies too much between runs.
+    let online = (mode != Mode::BatchOnly).then(|| {
         let rate = f64::from(SLOTS) * ENGINES as f64 * 0.07 / 0.24;
         let burst = Some((Duration::from_secs(6), 10.0));
         load::send(Load {
-            to,
+            addresses,
             rate,
-            length: LENGTH,
+            duration: DURATION,
             tokens: 20,
             keyed: false,
             burst,
@@ -99,38 +103,37 @@
         })
     });
     if online.is_none() {
-        std::thread::sleep(LENGTH);
+        std::thread::sleep(DURATION);
     }
     let after = tokens(&cluster);
     let waits = online_waits(&cluster);
     let wait =
         |q: f64| waits.get((waits.len() as f64 * q) as usize).map_or(0.0, |us| *us as f64 / 1000.0);
-    let idle = capacity * began.elapsed().as_secs_f64() - (after.0 - before.0) as f64;
-    let waited = [wait(0.5), wait(0.9), wait(0.99)];
-    Run { online, waited, filled: (after.1 - before.1) as f64 / idle }
+    let idle = capacity * start.elapsed().as_secs_f64() - (after.0 - before.0) as f64;
+    let slot_wait_ms = [wait(0.5), wait(0.9), wait(0.99)];
+    Run { online, slot_wait_ms, filled: (after.1 - before.1) as f64 / idle }
 }
 
-/// Tokens a second that the engines generate when every slot is kept busy by
-/// callers that ask them directly: what there is to fill.
+/// Tokens per second of the engines when direct callers keep every slot busy.
 fn capacity() -> f64 {
     let engine = Config {
         slots: SLOTS,
-        token: TOKEN,
+        token: TOKEN_INTERVAL,
         prefill: Duration::from_millis(40),
         ..Config::default()
     };
     let plan =
         Plan { daemons: 1, engines: ENGINES, engine, settings: production(), ..Plan::default() };
     let cluster = Cluster::start(plan);
-    let began = Instant::now();
+    let start = Instant::now();
     std::thread::scope(|scope| {
         for (number, engine) in cluster.engine_addresses.iter().enumerate() {
-            for lane in 0..SLOTS {
+            for slot in 0..SLOTS {
                 scope.spawn(move || {
-                    let mut turn = 0;
-                    while began.elapsed() < LENGTH / 2 {
-                        turn += 1;
-                        let prompt = format!("direct {number} {lane} {turn}");
+                    let mut number_sent = 0;
+                    while start.elapsed() < DURATION / 2 {
+                        number_sent += 1;
+                        let prompt = format!("direct {number} {slot} {number_sent}");
                         chat(*engine, &prompt, &[], json!({ "stream": true, "max_tokens": 40 }));
                     }
                 });
@@ -138,28 +141,31 @@
         }
     });
     let tokens: u32 = cluster.runs().iter().map(|run| run.tokens).sum();
-    f64::from(tokens) / began.elapsed().as_secs_f64()
+    f64::from(tokens) / start.elapsed().as_secs_f64()
 }
 
-/// Tokens generated: online, batch.
+/// Numbers of tokens generated for online and batch requests.
 fn tokens(cluster: &Cluster) -> (u64, u64) {
     let runs = cluster.runs();
-    let of = |start: &str| {
-        let fitting = runs.iter().filter(|run| run.prompt.starts_with(start));
-        fitting.map(|run| u64::from(run.tokens)).sum()
+    let sum = |prefix: &str| {
+        let matching = runs.iter().filter(|run| run.prompt.starts_with(prefix));
+        matching.map(|run| u64::from(run.tokens)).sum()
     };
-    (of("online"), of("filler"))
+    (sum("online"), sum("filler"))
 }
 
-/// Prints the table: ratios within each repeat.
+/// Prints latency ratios within each repeat, for all modes.
 pub fn run() {
-    use Mode::{Alone, BatchAlone, Design, NoPriority, StaticSplit};
-    repeat(REPEATS, &[Alone, BatchAlone, Design, NoPriority, StaticSplit]);
+    use Mode::{BatchOnly, NoPriority, OnlineOnly, Standard, StaticSplit};
+    repeat(REPEATS, &[OnlineOnly, BatchOnly, Standard, NoPriority, StaticSplit]);
 }
 
-/// The same once, without the baselines, for trying a change.
-pub fn quick() {
-    repeat(1, &[Mode::Alone, Mode::Design, Mode::Alone, Mode::Design, Mode::BatchAlone]);
+/// One repeat without the other modes.
+pub fn run_once() {
+    repeat(
+        1,
+        &[Mode::OnlineOnly, Mode::Standard, Mode::OnlineOnly, Mode::Standard, Mode::BatchOnly],
+    );
 }
 
 fn repeat(repeats: usize, modes: &[Mode]) {
@@ -179,41 +185,44 @@
     for repeat in 0..repeats {
         let capacity = capacity();
         println!("{repeat:>3} {:>18} {capacity:.0} tokens/s", "capacity");
-        let mut alone = None;
+        let mut baseline = None;
         for mode in modes {
-            let run = play(*mode, capacity);
+            let run = run_mode(*mode, capacity);
             let Some(online) = run.online else {
                 println!("{repeat:>3} {:>18} {:>88.3}", mode.name(), run.filled);
                 continue;
             };
-            let (p50, p99) = (load::at(&online.first, 0.5), load::at(&online.first, 0.99));
-            let base = *alone.get_or_insert((p50, p99));
+            let (p50, p99) = (
+                load::quantile_ms(&online.first_token, 0.5),
+                load::quantile_ms(&online.first_token, 0.99),
+            );
+            let base = *baseline.get_or_insert((p50, p99));
             println!(
                 "{repeat:>3} {:>18} {:>6} {:>7} {:>6} {:>9.1} /{:>7.1} /{:>7.1} {:>9.1} {:>9.2} {:>9.2} {:>7.3}",
                 mode.name(),
-                online.whole,
-                online.refused,
+                online.completed,
+                online.rejected,
                 online.failed,
                 p50,
                 p99,
-                load::at(&online.first, 0.999),
-                load::at(&online.gap, 0.99),
+                load::quantile_ms(&online.first_token, 0.999),
+                load::quantile_ms(&online.token_gap, 0.99),
                 p50 / base.0,
                 p99 / base.1,
                 run.filled
             );
-            let [half, ninety, most] = run.waited;
+            let [p50, p90, p99] = run.slot_wait_ms;
             println!(
-                "{repeat:>3} {:>18} waited for a slot {half:.1} / {ninety:.1} / {most:.1} ms, mean gap {:.2} ms",
+                "{repeat:>3} {:>18} waited for a slot {p50:.1} / {p90:.1} / {p99:.1} ms, mean gap {:.2} ms",
                 "",
-                online.gap.mean() / 1000.0
+                online.token_gap.mean() / 1000.0
             );
         }
     }
 }
 
-/// How long one online request waits for a slot at a target full of batch.
-pub fn giving_way() {
+/// Wait of online requests for a slot at targets filled with batch.
+pub fn preemption_wait() {
     let token = Duration::from_millis(10);
     let engine = Config { slots: SLOTS, token, ..Config::default() };
     let mut settings = production();
@@ -224,12 +233,12 @@
         (0..2000).map(|n| json!({ "prompt": format!("filler {n}"), "max_tokens": 400 })).collect();
     assert_eq!(cluster.submit(0, "fill", &list).status, 201);
     std::thread::sleep(Duration::from_secs(3));
-    let to = cluster.daemons.iter().map(|daemon| daemon.front_address).collect();
-    let length = Duration::from_secs(10);
+    let addresses = cluster.daemons.iter().map(|daemon| daemon.front_address).collect();
+    let duration = Duration::from_secs(10);
     load::send(Load {
-        to,
+        addresses,
         rate: 5.0,
-        length,
+        duration,
         tokens: 5,
         keyed: false,
         burst: None,
@@ -246,7 +255,7 @@
     );
 }
 
-/// Microseconds that online requests waited for a slot at the engines, sorted.
+/// Waits of online requests for a slot at the engines, in microseconds, sorted.
 fn online_waits(cluster: &Cluster) -> Vec<u64> {
     let runs = cluster.runs();
     let online = runs.iter().filter(|run| run.prompt.starts_with("online"));
--- a/crates/daemon/benches/measure/front.rs
+++ b/crates/daemon/benches/measure/front.rs
@@ -1,4 +1,4 @@
-//! The front: what a daemon adds, faults of targets, load beyond saturation.
+//! HTTP front end: latency and CPU time of a daemon, failing targets, overload.
 
 use crate::fleet::production;
 use crate::load::{self, Load, Outcome};
@@ -17,30 +17,30 @@
     cluster.daemons.iter().map(|daemon| daemon.front_address).collect()
 }
 
-fn row(name: &str, outcome: &Outcome) {
+fn print_row(name: &str, outcome: &Outcome) {
     println!(
         "{:>22} {:>7} {:>8} {:>7} {:>8.1} /{:>7.1} /{:>7.1} {:>8.1}",
         name,
-        outcome.whole,
-        outcome.refused,
+        outcome.completed,
+        outcome.rejected,
         outcome.failed,
-        load::at(&outcome.first, 0.5),
-        load::at(&outcome.first, 0.99),
-        load::at(&outcome.first, 0.999),
-        load::at(&outcome.gap, 0.99),
+        load::quantile_ms(&outcome.first_token, 0.5),
+        load::quantile_ms(&outcome.first_token, 0.99),
+        load::quantile_ms(&outcome.first_token, 0.999),
+        load::quantile_ms(&outcome.token_gap, 0.99),
     );
 }
 
-fn head() {
+fn print_header() {
     println!(
         "{:>22} {:>7} {:>8} {:>7} {:>26} {:>8}",
         "", "whole", "refused", "failed", "first ms p50/p99/p99.9", "gap p99"
     );
 }
 
-/// One of six targets fails in the middle of a run.
+/// Injects a fault into one of six targets during a run.
 pub fn faults() {
-    head();
+    print_header();
     let cases: [(&str, Option<Control>); 5] = [
         ("none", None),
         ("cuts every stream", Some(Control { cut: Some(100_000), ..Control::default() })),
@@ -52,28 +52,28 @@
         let token = Duration::from_millis(10);
         let cluster = start(3, 6, Config { token, ..Config::default() });
         let engine = cluster.engines[0].clone();
-        let fault = std::thread::spawn(move || {
+        let injection = std::thread::spawn(move || {
             std::thread::sleep(Duration::from_secs(3));
             control.into_iter().for_each(|control| engine.control(control));
         });
-        let to = fronts(&cluster);
-        let length = Duration::from_secs(9);
+        let addresses = fronts(&cluster);
+        let duration = Duration::from_secs(9);
         let outcome = load::send(Load {
-            to,
+            addresses,
             rate: 60.0,
-            length,
+            duration,
             tokens: 20,
             keyed: false,
             burst: None,
             name: "online",
         });
-        fault.join().expect("the fault is set");
-        row(name, &outcome);
+        injection.join().expect("fault thread panicked");
+        print_row(name, &outcome);
     }
 }
 
-/// Latency that one daemon adds, requests a second for each core, and memory for
-/// each open stream.
+/// Prints the latency that a daemon adds, requests per second and core, and memory
+/// per open stream.
 pub fn overhead() {
     let engine = Config {
         slots: 4000,
@@ -83,32 +83,39 @@
     };
     let cluster = start(1, 1, engine);
     let rate = 100.0;
-    let length = Duration::from_secs(5);
-    let one = |to: SocketAddr| {
+    let duration = Duration::from_secs(5);
+    let send_to = |address: SocketAddr| {
         load::send(Load {
-            to: vec![to],
+            addresses: vec![address],
             rate,
-            length,
+            duration,
             tokens: 5,
             keyed: false,
             burst: None,
             name: "x",
         })
     };
-    head();
-    row("direct", &one(cluster.engine_addresses[0]));
-    row("through one daemon", &one(cluster.daemons[0].front_address));
+    print_header();
+    print_row("direct", &send_to(cluster.engine_addresses[0]));
+    print_row("through one daemon", &send_to(cluster.daemons[0].front_address));
     for rate in [500.0, 1000.0, 2000.0] {
-        let (ticks, _) = cluster.daemons[0].cpu_ticks_and_rss_kib();
-        let began = Instant::now();
-        let to = vec![cluster.daemons[0].front_address];
-        let length = Duration::from_secs(5);
-        let outcome =
-            load::send(Load { to, rate, length, tokens: 5, keyed: false, burst: None, name: "y" });
+        let (ticks_before, _) = cluster.daemons[0].cpu_ticks_and_rss_kib();
+        let start = Instant::now();
+        let addresses = vec![cluster.daemons[0].front_address];
+        let duration = Duration::from_secs(5);
+        let outcome = load::send(Load {
+            addresses,
+            rate,
+            duration,
+            tokens: 5,
+            keyed: false,
+            burst: None,
+            name: "y",
+        });
         let (after, _) = cluster.daemons[0].cpu_ticks_and_rss_kib();
-        let cores = (after - ticks) as f64 / 100.0 / began.elapsed().as_secs_f64();
-        let served = outcome.whole as f64 / began.elapsed().as_secs_f64();
-        row(&format!("{rate:.0}/s offered"), &outcome);
+        let cores = (after - ticks_before) as f64 / 100.0 / start.elapsed().as_secs_f64();
+        let served = outcome.completed as f64 / start.elapsed().as_secs_f64();
+        print_row(&format!("{rate:.0}/s offered"), &outcome);
         println!("{:>22} {:.2} cores, {:.0} requests/s a core", "", cores, served / cores);
     }
     streams(&cluster);
@@ -122,9 +129,9 @@
     std::thread::scope(|scope| {
         let load = scope.spawn(move || {
             load::send(Load {
-                to: vec![front],
+                addresses: vec![front],
                 rate: 500.0,
-                length: Duration::from_secs(2),
+                duration: Duration::from_secs(2),
                 tokens: 12,
                 keyed: false,
                 burst: None,
@@ -136,39 +143,39 @@
         let open = cluster.engines[0].running()[0];
         let each = (during - before) as f64 / f64::from(open.max(1));
         println!("{:>22} {open} of {STREAMS} open, {each:.1} KiB a stream", "");
-        load.join().expect("the load ends");
+        load.join().expect("load thread panicked");
     });
 }
 
-/// Goodput at offered loads of half to three times what the targets can do.
+/// Prints the goodput at 0.5 to 3 times the capacity of the targets.
 pub fn saturation() {
     let token = Duration::from_millis(10);
     let engine =
         Config { slots: 8, token, prefill: Duration::from_millis(10), ..Config::default() };
-    // A request holds a slot for 10 ms and 19 gaps of 10 ms.
+    // A request takes a slot for 200 ms: 10 ms of prefill and 19 gaps of 10 ms.
     let capacity = 3.0 * 8.0 / 0.2;
-    head();
-    for times in [0.5, 0.8, 1.0, 1.5, 2.0, 3.0] {
+    print_header();
+    for factor in [0.5, 0.8, 1.0, 1.5, 2.0, 3.0] {
         let cluster = start(3, 3, engine.clone());
         chat(cluster.daemons[0].front_address, "warm", &[], json!({}));
-        let length = Duration::from_secs(8);
+        let duration = Duration::from_secs(8);
         let outcome = load::send(Load {
-            to: fronts(&cluster),
-            rate: capacity * times,
-            length,
+            addresses: fronts(&cluster),
+            rate: capacity * factor,
+            duration,
             tokens: 20,
             keyed: false,
             burst: None,
             name: "online",
         });
-        row(&format!("{times:.1} times capacity"), &outcome);
-        let goodput = outcome.whole as f64 / length.as_secs_f64();
+        print_row(&format!("{factor:.1} times capacity"), &outcome);
+        let goodput = outcome.completed as f64 / duration.as_secs_f64();
         println!("{:>22} {:.1} whole/s of {capacity:.0}", "", goodput);
     }
 }
 
-/// Processor time of a daemon for each request and each token, and bytes between
-/// daemons for each request: slopes over load.
+/// Prints the CPU time of a daemon and the bytes sent between daemons by load and
+/// completion length.
 pub fn slopes() {
     let token = Duration::from_millis(10);
     let engine =
@@ -189,28 +196,37 @@
     );
     for (rate, tokens) in [(0.0, 0), (50.0, 5), (100.0, 5), (100.0, 55), (100.0, 105), (200.0, 55)]
     {
-        let peers = |daemon: usize| {
+        let peer_bytes = |daemon: usize| {
             let status = cluster.daemons[daemon].get("/v1/status").json();
             let count = |name: &str| status[name].as_f64().unwrap_or(0.0);
             count("peer_bytes_sent") + count("peer_bytes_received")
         };
-        let (bytes, (ticks, _)) = (peers(0), cluster.daemons[0].cpu_ticks_and_rss_kib());
-        let began = Instant::now();
-        let length = Duration::from_secs(6);
+        let (bytes_before, (ticks_before, _)) =
+            (peer_bytes(0), cluster.daemons[0].cpu_ticks_and_rss_kib());
+        let start = Instant::now();
+        let duration = Duration::from_secs(6);
         if rate > 0.0 {
-            let to = vec![cluster.daemons[0].front_address];
-            load::send(Load { to, rate, length, tokens, keyed: false, burst: None, name: "slope" });
+            let addresses = vec![cluster.daemons[0].front_address];
+            load::send(Load {
+                addresses,
+                rate,
+                duration,
+                tokens,
+                keyed: false,
+                burst: None,
+                name: "slope",
+            });
         } else {
-            std::thread::sleep(length);
+            std::thread::sleep(duration);
         }
-        let seconds = began.elapsed().as_secs_f64();
+        let seconds = start.elapsed().as_secs_f64();
         let (after, _) = cluster.daemons[0].cpu_ticks_and_rss_kib();
-        let busy = (after - ticks) as f64 / 100.0;
-        let each = busy * 1000.0 / (rate * length.as_secs_f64()).max(1.0);
+        let cpu_seconds = (after - ticks_before) as f64 / 100.0;
+        let each = cpu_seconds * 1000.0 / (rate * duration.as_secs_f64()).max(1.0);
         println!(
             "{rate:>8.0} {tokens:>8} {each:>16.3} {:>14.2} {:>14.0}",
-            busy * 100.0 / seconds,
-            (peers(0) - bytes) / seconds
+            cpu_seconds * 100.0 / seconds,
+            (peer_bytes(0) - bytes_before) / seconds
         );
     }
 }
--- a/crates/daemon/benches/measure/load.rs
+++ b/crates/daemon/benches/measure/load.rs
@@ -1,4 +1,4 @@
-//! An open-loop load: requests leave at their times, whatever came of the last.
+//! Open-loop load generator: sends at a fixed rate, regardless of responses.
 
 use bytes::Bytes;
 use cli::client::{Client, Headers};
@@ -9,64 +9,64 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What to send.
+/// The load to send.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Daemons, called in turn.
-    pub to: Vec<SocketAddr>,
-    /// Requests a second.
+    /// Daemons, in round-robin order.
+    pub addresses: Vec<SocketAddr>,
+    /// Requests per second.
     pub rate: f64,
-    /// For how long.
-    pub length: Duration,
-    /// Tokens of an answer.
+    /// How long to send; responses are awaited after it.
+    pub duration: Duration,
+    /// Maximum tokens of each completion.
     pub tokens: u32,
-    /// Whether each has a key.
+    /// Whether requests have idempotency keys.
     pub keyed: bool,
-    /// Every so often a burst of this many times the rate, for two seconds.
+    /// Interval of bursts and the factor by which they raise the rate.
     pub burst: Option<(Duration, f64)>,
-    /// Start of the prompts.
+    /// Prefix of the prompts.
     pub name: &'static str,
 }
 
-/// What came of it.
+/// Results of a load.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Answers that were whole.
-    pub whole: u64,
-    /// Refused as not run.
-    pub refused: u64,
-    /// Anything else.
+    /// Complete responses.
+    pub completed: u64,
+    /// Requests rejected without having run.
+    pub rejected: u64,
+    /// All other requests.
     pub failed: u64,
     /// Time to the first token, in microseconds.
-    pub first: Histogram<u64>,
-    /// Gaps between tokens, in microseconds.
-    pub gap: Histogram<u64>,
-    /// Time to the end, in microseconds.
-    pub whole_time: Histogram<u64>,
+    pub first_token: Histogram<u64>,
+    /// Time between tokens, in microseconds.
+    pub token_gap: Histogram<u64>,
+    /// Time to the end of the response, in microseconds.
+    pub total_time: Histogram<u64>,
 }
 
 impl Outcome {
     fn new() -> Outcome {
         let empty = || Histogram::new(3).expect("a histogram");
         Outcome {
-            whole: 0,
-            refused: 0,
+            completed: 0,
+            rejected: 0,
             failed: 0,
-            first: empty(),
-            gap: empty(),
-            whole_time: empty(),
+            first_token: empty(),
+            token_gap: empty(),
+            total_time: empty(),
         }
     }
 }
 
-/// Milliseconds at a quantile.
-pub fn at(histogram: &Histogram<u64>, quantile: f64) -> f64 {
+/// Value at a quantile, in milliseconds.
+pub fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-const BURST: Duration = Duration::from_secs(2);
+const BURST_DURATION: Duration = Duration::from_secs(2);
 
-/// Sends the load and waits for the answers.
+/// Sends the load and waits for all responses.
 pub fn send(load: Load) -> Outcome {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(3)
@@ -78,28 +78,28 @@
 
 async fn run(load: Load) -> Outcome {
     let outcome = Arc::new(Mutex::new(Outcome::new()));
-    let client = Client::new(load.to[0]);
+    let client = Client::new(load.addresses[0]);
     let start = Instant::now();
     let mut tasks = tokio::task::JoinSet::new();
-    let mut due = Duration::ZERO;
+    let mut send_at = Duration::ZERO;
     let mut number = 0usize;
-    while due < load.length {
-        tokio::time::sleep_until(start + due).await;
-        let client = client.at(load.to[number % load.to.len()]);
-        let (one, outcome) = (load.clone(), outcome.clone());
-        tasks.spawn(async move { ask(client, one, number, outcome).await });
+    while send_at < load.duration {
+        tokio::time::sleep_until(start + send_at).await;
+        let client = client.at(load.addresses[number % load.addresses.len()]);
+        let (request_load, outcome) = (load.clone(), outcome.clone());
+        tasks.spawn(async move { send_request(client, request_load, number, outcome).await });
         number += 1;
         let in_burst = load.burst.filter(|(every, _)| {
-            due.as_millis() % every.as_millis() >= (*every - BURST).as_millis()
+            send_at.as_millis() % every.as_millis() >= (*every - BURST_DURATION).as_millis()
         });
-        let rate = load.rate * in_burst.map_or(1.0, |(_, times)| times);
-        due += Duration::from_secs_f64(1.0 / rate);
+        let rate = load.rate * in_burst.map_or(1.0, |(_, factor)| factor);
+        send_at += Duration::from_secs_f64(1.0 / rate);
     }
     while tasks.join_next().await.is_some() {}
     outcome.lock().expect("no panic").clone()
 }
 
-async fn ask(client: Client, load: Load, number: usize, outcome: Arc<Mutex<Outcome>>) {
+async fn send_request(client: Client, load: Load, number: usize, outcome: Arc<Mutex<Outcome>>) {
     let prompt = format!("{} {number}", load.name);
     let body = serde_json::json!({
         "model": "pustak-llm", "stream": true, "max_tokens": load.tokens,
@@ -109,7 +109,7 @@
     if load.keyed {
         headers.push((protocol::header::IDEMPOTENCY_KEY, prompt));
     }
-    let began = Instant::now();
+    let start = Instant::now();
     let body = Bytes::from(body.to_string());
     let response = client.open("POST", "/v1/chat/completions", &headers, body).await;
     let Ok(response) = response else {
@@ -119,26 +119,26 @@
     let is_stream = response.status().is_success();
     let mut body = response.into_body();
     let mut all = Vec::new();
-    let mut times = Vec::new();
+    let mut arrivals = Vec::new();
     while let Some(Ok(frame)) = body.frame().await {
         if let Some(bytes) = frame.data_ref() {
-            // The first event carries the role only; it comes with the first token.
-            times.push(Instant::now());
+            // The first event holds only the role; it arrives with the first token.
+            arrivals.push(Instant::now());
             all.extend_from_slice(bytes);
         }
     }
     let text = String::from_utf8_lossy(&all);
     let mut outcome = outcome.lock().expect("no panic");
     if is_stream && text.contains("[DONE]") {
-        outcome.whole += 1;
+        outcome.completed += 1;
         let micros = |from: Instant, to: Instant| (to - from).as_micros() as u64;
-        let _ = outcome.first.record(micros(began, times[0]));
-        let _ = outcome.whole_time.record(micros(began, times[times.len() - 1]));
-        for pair in times.windows(2).skip(1) {
-            let _ = outcome.gap.record(micros(pair[0], pair[1]));
+        let _ = outcome.first_token.record(micros(start, arrivals[0]));
+        let _ = outcome.total_time.record(micros(start, arrivals[arrivals.len() - 1]));
+        for pair in arrivals.windows(2).skip(1) {
+            let _ = outcome.token_gap.record(micros(pair[0], pair[1]));
         }
     } else if text.contains("\"not_run\"") {
-        outcome.refused += 1;
+        outcome.rejected += 1;
     } else {
         outcome.failed += 1;
     }
--- a/crates/daemon/benches/measure/log.rs
+++ b/crates/daemon/benches/measure/log.rs
@@ -1,5 +1,5 @@
-//! The durable log: writes against daemons and load, grouped and not, durable
-//! before the answer and not, takeover, and items.
+//! The durable log: platform writes by daemons and load, with and without group
+//! commit and durable responses; takeover of shards; batch items.
 
 use crate::fleet::production;
 use crate::load::{self, Load};
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-const LENGTH: Duration = Duration::from_secs(6);
+const DURATION: Duration = Duration::from_secs(6);
 const RATES: [f64; 2] = [150.0, 450.0];
 
 fn engine() -> Config {
@@ -36,16 +36,16 @@
     cluster.daemons.iter().map(|daemon| daemon.front_address).collect()
 }
 
-fn keyed(cluster: &Cluster, rate: f64, keyed: bool) -> (load::Outcome, Counts, Counts) {
+fn send_load(cluster: &Cluster, rate: f64, keyed: bool) -> (load::Outcome, Counts, Counts) {
     let before = cluster.platform.counts();
-    let to = fronts(cluster);
+    let addresses = fronts(cluster);
     let name = if keyed { "keyed" } else { "plain" };
-    let load = Load { to, rate, length: LENGTH, tokens: 3, keyed, burst: None, name };
+    let load = Load { addresses, rate, duration: DURATION, tokens: 3, keyed, burst: None, name };
     let outcome = load::send(load);
     (outcome, before, cluster.platform.counts())
 }
 
-/// Writes of the platform against daemons and load.
+/// Prints platform writes by number of daemons and load.
 pub fn run() {
     println!(
         "{:>7} {:>8} {:>7} {:>10} {:>12} {:>10} {:>20}",
@@ -54,26 +54,26 @@
     for rate in RATES {
         for daemons in [3, 6, 12, 24] {
             let cluster = start(daemons, "");
-            let (outcome, before, after) = keyed(&cluster, rate, true);
+            let (outcome, before, after) = send_load(&cluster, rate, true);
             let writes = after.writes - before.writes;
             println!(
                 "{:>7} {:>8.0} {:>7} {:>10.1} {:>12.1} {:>10} {:>11.1} / {:>6.1}",
                 daemons,
                 rate,
-                outcome.whole,
-                writes as f64 / LENGTH.as_secs_f64(),
-                writes as f64 * 1000.0 / outcome.whole.max(1) as f64,
+                outcome.completed,
+                writes as f64 / DURATION.as_secs_f64(),
+                writes as f64 * 1000.0 / outcome.completed.max(1) as f64,
                 after.conflicts - before.conflicts,
-                load::at(&outcome.whole_time, 0.5),
-                load::at(&outcome.whole_time, 0.99),
+                load::quantile_ms(&outcome.total_time, 0.5),
+                load::quantile_ms(&outcome.total_time, 0.99),
             );
         }
     }
 }
 
-/// Grouped commits against one object for each record, and an answer that waits
-/// for its record against one that doesn't.
-pub fn modes() {
+/// Compares group commit with one object per record, and responses sent after
+/// their record is durable with ones sent before.
+pub fn commit_modes() {
     println!(
         "{:>28} {:>7} {:>12} {:>20} {:>14}",
         "mode", "whole", "per 1000 req", "whole ms p50/p99", "lost at a kill"
@@ -85,23 +85,23 @@
         ("grouped, answered first", "durable", true),
     ] {
         let mut cluster = start(3, disabled_guards);
-        let (outcome, before, after) = keyed(&cluster, RATES[1], with_key);
+        let (outcome, before, after) = send_load(&cluster, RATES[1], with_key);
         let writes = after.writes - before.writes;
         let lost = if with_key { lost_at_kill(&mut cluster) } else { 0 };
         println!(
             "{:>28} {:>7} {:>12.1} {:>11.1} / {:>6.1} {:>14}",
             mode,
-            outcome.whole,
-            writes as f64 * 1000.0 / outcome.whole.max(1) as f64,
-            load::at(&outcome.whole_time, 0.5),
-            load::at(&outcome.whole_time, 0.99),
+            outcome.completed,
+            writes as f64 * 1000.0 / outcome.completed.max(1) as f64,
+            load::quantile_ms(&outcome.total_time, 0.5),
+            load::quantile_ms(&outcome.total_time, 0.99),
             lost
         );
     }
 }
 
-/// Answers acknowledged by an instance just before its kill that no other one
-/// knows of.
+/// Number of outcomes acknowledged just before an instance is killed that its
+/// peers don't have.
 fn lost_at_kill(cluster: &mut Cluster) -> usize {
     const CALLS: usize = 60;
     let front = cluster.daemons[0].front_address;
@@ -124,7 +124,8 @@
     keys.iter().filter(is_lost).count()
 }
 
-/// Time from the kill of a shard's owner until the shard takes commands again.
+/// Prints the time from the kill of a shard's owner until the shard accepts
+/// commands again.
 pub fn takeover() {
     const ROUNDS: usize = 5;
     let mut settings = production();
@@ -142,24 +143,24 @@
                 json!({}),
             );
         }
-        // The owner is found by who made the platform calls of the commits.
+        // The owner is the daemon with the most platform calls, made for commits.
         let calls = |d: usize| {
             let status = cluster.daemons[d].get("/v1/status").json();
             status["platform_calls"].as_u64().unwrap_or(0)
         };
         let owner = (0..3).max_by_key(|d| calls(*d)).expect("a daemon");
         cluster.daemons[owner].kill();
-        let began = Instant::now();
+        let start = Instant::now();
         let other = cluster.daemons[(owner + 1) % 3].front_address;
         wait_until("a command is recorded", || {
             let response = chat(other, "next", &[("idempotency-key", "next")], json!({}));
             response.header("gatespool-recorded") == "now"
         });
-        println!("{:>6} {:>22.0}", round, began.elapsed().as_secs_f64() * 1000.0);
+        println!("{:>6} {:>22.0}", round, start.elapsed().as_secs_f64() * 1000.0);
     }
 }
 
-/// Platform writes for each thousand items, and work repeated after a kill.
+/// Prints platform writes per thousand items, and items repeated after a kill.
 pub fn jobs() {
     println!(
         "{:>7} {:>8} {:>9} {:>10} {:>16} {:>18} {:>10}",
@@ -169,15 +170,15 @@
         const ITEMS: usize = 20_000;
         let mut cluster = start(3, "");
         let before = cluster.platform.counts();
-        let began = Instant::now();
-        let list: Vec<_> = items("describe", ITEMS)
+        let start = Instant::now();
+        let items: Vec<_> = items("describe", ITEMS)
             .into_iter()
             .map(|mut item| {
                 item["max_tokens"] = json!(4);
                 item
             })
             .collect();
-        let accepted = cluster.submit(0, "night", &list);
+        let accepted = cluster.submit(0, "night", &items);
         let job = accepted.json()["job"].as_str().expect("its id").to_owned();
         if kill {
             wait_until("half is done", || {
@@ -186,10 +187,10 @@
             cluster.daemons[2].kill();
         }
         cluster.wait_job(0, &job, "finished");
-        let seconds = began.elapsed().as_secs_f64();
+        let seconds = start.elapsed().as_secs_f64();
         let after = cluster.platform.counts();
         let writes = after.writes - before.writes;
-        let whole = cluster.runs().iter().filter(|run| run.whole).count();
+        let runs = cluster.runs().iter().filter(|run| run.whole).count();
         println!(
             "{:>7} {:>8.1} {:>9.0} {:>10} {:>16.1} {:>18.0} {:>10}",
             ITEMS,
@@ -198,7 +199,7 @@
             writes,
             writes as f64 * 1000.0 / ITEMS as f64,
             (after.bytes - before.bytes) as f64 / ITEMS as f64,
-            whole - ITEMS
+            runs - ITEMS
         );
     }
 }
--- a/crates/daemon/benches/measure/main.rs
+++ b/crates/daemon/benches/measure/main.rs
@@ -1,7 +1,7 @@
-//! Measurements: `cargo bench -p gatespoold --bench measure -- NAME ...`.
+//! Benchmarks: `cargo bench -p gatespoold --bench measure -- NAME ...`.
 //!
-//! Each prints the table that the pages quote. Daemons are processes of the real
-//! binary, stand-ins run in this process. Figures are compared within one run.
+//! Each prints a table. Daemons run as processes of the real binary, stand-ins in
+//! this process. Compare only figures of the same run.
 
 #[path = "../../tests/util/mod.rs"]
 mod util;
@@ -17,12 +17,12 @@
 const BENCHES: &[Bench] = &[
     ("fleet", fleet::run),
     ("log", log::run),
-    ("modes", log::modes),
+    ("modes", log::commit_modes),
     ("takeover", log::takeover),
     ("items", log::jobs),
     ("harm", batch::run),
-    ("quick", batch::quick),
-    ("giving_way", batch::giving_way),
+    ("quick", batch::run_once),
+    ("giving_way", batch::preemption_wait),
     ("faults", front::faults),
     ("overhead", front::overhead),
     ("saturation", front::saturation),
@@ -39,6 +39,6 @@
     }
     if names.is_empty() {
         let all: Vec<&str> = BENCHES.iter().map(|(name, _)| *name).collect();
-        println!("name one or more of: {}", all.join(", "));
+        println!("name one or more benchmarks: {}", all.join(", "));
     }
 }
--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -1,5 +1,5 @@
-//! Slopes of state and decisions, without a network: memory for each key, chunk
-//! and target, time for each record, choice and change.
+//! Memory and CPU time of state and decisions as their size grows, without a
+//! network.
 //!
 //! `cargo bench -p gatespoold --bench slopes`
 
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Resident memory in bytes.
+/// Resident memory of this process, in bytes.
 fn resident() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -29,21 +29,21 @@
 }
 
 fn main() {
-    // Small things first, and nothing is freed: memory that is used again would
-    // not show as resident memory that grows.
+    // Smallest first, and nothing is freed: reused memory wouldn't show as growth
+    // of resident memory.
     members();
     configuration();
     jobs();
     keys();
-    choices();
-    strikes();
+    target_selection();
+    crash_reports();
 }
 
-fn kept() -> StoredOutcome {
+fn stored_outcome() -> StoredOutcome {
     StoredOutcome::Chat(Outcome { text: "a".repeat(1000), finish: "stop".into(), tokens: 200 })
 }
 
-/// Keyed requests: each decided, encoded in an entry of 50, and folded.
+/// Outcomes of keyed requests: decided, encoded in log entries of 50 and applied.
 fn keys() {
     println!("{:>10} {:>16} {:>18} {:>16}", "keys", "bytes a key", "us decide+fold", "us encode");
     for count in [50_000u64, 100_000, 200_000, 400_000] {
@@ -51,24 +51,25 @@
         let mut shard = Shard::new(0, Policy::default());
         let (mut work, mut encode) = (0.0, 0.0);
         for group in 0..count / 50 {
-            let began = Instant::now();
+            let start = Instant::now();
             let mut batch = Batch::default();
             let mut records = Vec::new();
             for n in 0..50 {
                 let key = format!("caller/service/key-{group}-{n}");
-                let command = Command::Finish { key, digest: n, issued: 1_000, outcome: kept() };
+                let command =
+                    Command::Finish { key, digest: n, issued: 1_000, outcome: stored_outcome() };
                 if let Decision::Commit(more, _) = shard.decide(&mut batch, &command, 1_000) {
                     records.extend(more);
                 }
             }
-            work += began.elapsed().as_secs_f64();
+            work += start.elapsed().as_secs_f64();
             let entry = Entry { token: "t".into(), at: 0, records };
-            let began = Instant::now();
+            let start = Instant::now();
             black_box(entry.encode());
-            encode += began.elapsed().as_secs_f64();
-            let began = Instant::now();
+            encode += start.elapsed().as_secs_f64();
+            let start = Instant::now();
             shard.apply(entry, 1_000);
-            work += began.elapsed().as_secs_f64();
+            work += start.elapsed().as_secs_f64();
         }
         let each = 1e6 / count as f64;
         let bytes = (resident() - before) / count as f64;
@@ -90,8 +91,7 @@
     }
 }
 
-/// Jobs of 57 chunks, half of them done: as many chunks as a mean job has at the
-/// full size.
+/// Jobs with as many chunks as an average job, half of them completed.
 fn jobs() {
     const CHUNKS: u64 = 57;
     println!(
@@ -105,7 +105,7 @@
             let records = vec![Record::Accepted(spec(job, CHUNKS))];
             shard.apply(Entry { token: "t".into(), at: 0, records }, 1_000);
         }
-        let began = Instant::now();
+        let start = Instant::now();
         let services = vec![String::from("pustak-llm")];
         let mut reports = 0;
         for _ in 0..count * CHUNKS / 2 {
@@ -129,18 +129,20 @@
             shard.apply(Entry { token: "t".into(), at: 0, records: vec![record] }, 1_000);
             reports += 1;
         }
-        let each = began.elapsed().as_secs_f64() * 1e6 / f64::from(reports);
+        let each = start.elapsed().as_secs_f64() * 1e6 / f64::from(reports);
         let running = (resident() - before) / (count * CHUNKS) as f64;
-        let began = Instant::now();
+        let start = Instant::now();
         black_box(serde_json::to_vec(&Body::of(&shard)).unwrap_or_default());
-        let snapshot = began.elapsed().as_secs_f64() * 1e3;
-        let archived = archived(count);
-        println!("{count:>10} {running:>16.0} {each:>18.2} {archived:>16.0} {snapshot:>16.1}");
+        let snapshot = start.elapsed().as_secs_f64() * 1e3;
+        let archived_bytes_per_job = archived_bytes_per_job(count);
+        println!(
+            "{count:>10} {running:>16.0} {each:>18.2} {archived_bytes_per_job:>16.0} {snapshot:>16.1}"
+        );
         std::mem::forget(shard);
     }
 }
 
-fn archived(count: u64) -> f64 {
+fn archived_bytes_per_job(count: u64) -> f64 {
     let before = resident();
     let mut shard = Shard::new(0, Policy::default());
     for job in 0..count * 10 {
@@ -172,7 +174,7 @@
     serde_json::from_value(json!({ "put": put })).expect("a change")
 }
 
-/// A configuration of so many targets: its memory, and what one change costs.
+/// Memory of a configuration by number of targets, and the cost of one change.
 fn configuration() {
     println!(
         "{:>10} {:>16} {:>18} {:>16} {:>16}",
@@ -185,20 +187,20 @@
         let place = ViewContext { me: 7, data_centre: "dc1".into(), max_targets: 64 };
         let view = fleet.view(document.clone(), HashSet::new(), &place, true);
         let bytes = (resident() - before) / targets as f64;
-        let one: Change = serde_json::from_value(json!({ "put": [
+        let limit_change: Change = serde_json::from_value(json!({ "put": [
             { "object": "limit", "caller": "x", "rate": 1.0, "burst": 1.0 }
         ] }))
         .expect("a change");
-        let began = Instant::now();
-        (0..20).for_each(|_| drop(black_box(document.with_change(&one))));
-        let changed = began.elapsed().as_secs_f64() * 50.0;
-        let began = Instant::now();
+        let start = Instant::now();
+        (0..20).for_each(|_| drop(black_box(document.with_change(&limit_change))));
+        let change_ms = start.elapsed().as_secs_f64() * 50.0;
+        let start = Instant::now();
         for _ in 0..20 {
             drop(black_box(fleet.view(document.clone(), HashSet::new(), &place, true)));
         }
-        let viewed = began.elapsed().as_secs_f64() * 50.0;
+        let view_ms = start.elapsed().as_secs_f64() * 50.0;
         let encoded = serde_json::to_vec(&document).map_or(0, |b| b.len()) / 1024;
-        println!("{targets:>10} {bytes:>16.0} {changed:>18.2} {viewed:>16.2} {encoded:>16}");
+        println!("{targets:>10} {bytes:>16.0} {change_ms:>18.2} {view_ms:>16.2} {encoded:>16}");
         std::mem::forget((view, fleet, document));
     }
 }
@@ -216,8 +218,8 @@
     }
 }
 
-/// A table of so many members: memory, a tick, one piece of news, and ranking
-/// every target of the full size against every member.
+/// Membership by number of members: memory, a tick, one update and ranking all
+/// targets against all members.
 fn members() {
     println!(
         "{:>10} {:>16} {:>12} {:>12} {:>20}",
@@ -232,32 +234,32 @@
             table.merge(member(id), now);
         }
         let bytes = (resident() - before) / count as f64;
-        let began = Instant::now();
+        let start = Instant::now();
         (0..1000).for_each(|_| drop(black_box(table.tick(now))));
-        let tick = began.elapsed().as_secs_f64() * 1e3;
-        let began = Instant::now();
+        let tick = start.elapsed().as_secs_f64() * 1e3;
+        let start = Instant::now();
         for n in 0..1000u64 {
             table.broadcast(Update::JobCancelled(format!("job-{n}")));
             for to in table.out_of_date() {
-                let (mark, news) = table.updates_for(to.id);
-                black_box(news);
-                table.on_delivered(to.id, mark);
+                let (cursor, updates) = table.updates_for(to.id);
+                black_box(updates);
+                table.on_delivered(to.id, cursor);
             }
         }
-        let note = began.elapsed().as_secs_f64() * 1e3;
-        let began = Instant::now();
+        let update = start.elapsed().as_secs_f64() * 1e3;
+        let start = Instant::now();
         for target in 0..3000u64 {
             let ids = table.workers().map(|m| m.id);
             black_box(coordination::hash::owner(&target.to_le_bytes(), ids));
         }
-        let rank = began.elapsed().as_secs_f64() * 1e3;
-        println!("{count:>10} {bytes:>16.0} {tick:>12.2} {note:>12.2} {rank:>20.2}");
+        let rank = start.elapsed().as_secs_f64() * 1e3;
+        println!("{count:>10} {bytes:>16.0} {tick:>12.2} {update:>12.2} {rank:>20.2}");
         std::mem::forget(table);
     }
 }
 
-/// One choice among so many targets.
-fn choices() {
+/// Selection of a target by number of targets.
+fn target_selection() {
     println!("{:>10} {:>16}", "targets", "us a choice");
     for targets in [8u64, 16, 32, 64] {
         let all: Vec<Candidate> = (0..targets)
@@ -269,24 +271,23 @@
                 free: 8,
             })
             .collect();
-        let began = Instant::now();
+        let start = Instant::now();
         for n in 0..100_000u64 {
             black_box(route::pick(n, &all, RoutePolicy::default(), [n, n + 1]));
         }
-        println!("{targets:>10} {:>16.3}", began.elapsed().as_secs_f64() * 10.0);
+        println!("{targets:>10} {:>16.3}", start.elapsed().as_secs_f64() * 10.0);
     }
 }
 
-/// A mass crash: eight requests on each target get a strike. To judge all requests at each
-/// took 2.3, 13.5, 49.7 and 49.6 us a strike at these sizes; it takes 0.3, 0.2, 0.6 and 0.7.
-fn strikes() {
+/// Crash reports for eight requests on each target, by number of targets.
+fn crash_reports() {
     println!("{:>10} {:>16}", "targets", "us a strike");
     for targets in [10u64, 100, 1_000, 3_000] {
         let now = Instant::now();
         let mut table = quarantine::Table::new(quarantine::Policy::default(), now);
         for n in 0..targets * 8 {
-            let boot = quarantine::TargetStart { target: format!("t{}", n / 8), started_at: 1 };
-            black_box(table.on_crash_report(quarantine::CrashReport::new(n, boot), now));
+            let start = quarantine::TargetStart { target: format!("t{}", n / 8), started_at: 1 };
+            black_box(table.on_crash_report(quarantine::CrashReport::new(n, start), now));
         }
         let each = now.elapsed().as_secs_f64() * 1e6 / (targets * 8) as f64;
         println!("{targets:>10} {each:>16.2}");
--- a/crates/daemon/examples/trial.rs
+++ b/crates/daemon/examples/trial.rs
@@ -1,5 +1,5 @@
-//! The main job on embedded stand-ins: a platform, engines and three daemons on
-//! loopback, a recorded trace replayed against them, and its printed outcome.
+//! Replays recorded traces against three daemons, a platform and engines that are
+//! embedded in this process, and prints the reports.
 //!
 //! ```text
 //! cargo run --release -p gatespoold --example trial [TRACE ...]
@@ -17,8 +17,8 @@
 use std::time::Duration;
 
 const ENGINES: usize = 6;
-const CENTRES: [&str; 3] = ["first", "second", "third"];
-const PATIENCE_SECONDS: u64 = 30;
+const DATA_CENTRES: [&str; 3] = ["first", "second", "third"];
+const RETRY_PERIOD_SECONDS: u64 = 30;
 
 fn main() -> anyhow::Result<()> {
     let mut traces: Vec<PathBuf> = std::env::args().skip(1).map(PathBuf::from).collect();
@@ -26,24 +26,24 @@
         let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../traces");
         traces = vec![folder.join("book-night.jsonl"), folder.join("match.jsonl")];
     }
-    let mut all_hold = true;
+    let mut all_passed = true;
     for trace in traces {
-        all_hold &= trial(trace)?;
+        all_passed &= trial(trace)?;
     }
-    anyhow::ensure!(all_hold, "a stated outcome doesn't hold");
+    anyhow::ensure!(all_passed, "a stated outcome doesn't hold");
     Ok(())
 }
 
 fn trial(trace: PathBuf) -> anyhow::Result<bool> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let platform = serve::start(any, Platform::default())?;
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let platform = serve::start(any_port, Platform::default())?;
     let engines: Vec<Running> = (0..ENGINES)
-        .map(|_| serve::start(any, Engine::new(Config::default())))
+        .map(|_| serve::start(any_port, Engine::new(Config::default())))
         .collect::<Result<_, _>>()?;
     let mut daemons: Vec<daemon::Daemon> = Vec::new();
-    for centre in CENTRES {
+    for data_centre in DATA_CENTRES {
         let settings = Settings {
-            data_centre: centre.into(),
+            data_centre: data_centre.into(),
             platform_address: platform.address,
             platform_calls_per_second: 1000.0,
             seeds: daemons.iter().map(|daemon| daemon.peer).collect(),
@@ -78,11 +78,17 @@
     let mut controls = vec![control("platform".into(), platform.address)];
     let numbered = engines.iter().enumerate();
     controls.extend(numbered.map(|(n, engine)| control(format!("engine-{n}"), engine.address)));
-    Replay { more: fronts[1..].to_vec(), controls, speed: 1.0, patience: PATIENCE_SECONDS, file }
+    Replay {
+        more: fronts[1..].to_vec(),
+        controls,
+        speed: 1.0,
+        patience: RETRY_PERIOD_SECONDS,
+        file,
+    }
 }
 
-/// Gives both services the same engines' kind: half of them each would leave a
-/// trace with one service only half the fleet, so each service gets all.
+/// Configures the services and their targets. All engines serve both services, so
+/// that a trace that uses only one still has the whole fleet.
 async fn configure(
     context: &Context,
     fronts: &[SocketAddr],
@@ -97,16 +103,16 @@
         put.extend(engines.iter().enumerate().map(|(n, engine)| {
             serde_json::json!({
                 "object": "target", "name": format!("{service}-{n}"),
-                "address": engine.address.to_string(), "data_centre": CENTRES[n % 3],
+                "address": engine.address.to_string(), "data_centre": DATA_CENTRES[n % 3],
                 "service": service, "slots": 8, "checks_fence": true,
             })
         }));
     }
-    let offer = serde_json::json!({ "revision": 0, "change": { "put": put } });
+    let request = serde_json::json!({ "revision": 0, "change": { "put": put } });
     for front in fronts {
         wait_ready(&context.client.at(*front)).await;
     }
-    context.client.post("/v1/config", &vec![], &offer).await?.check()?;
+    context.client.post("/v1/config", &vec![], &request).await?.check()?;
     for front in fronts {
         wait_generation(&context.client.at(*front)).await;
     }
