--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -238,7 +238,7 @@
         let after = lock(&shared.config_log).generation();
         if let Ok(found) = shared.peers.entries(address, after).await {
             replied |= found.head > 0;
-            peers::absorb(shared, &found);
+            peers::apply_entries(shared, &found);
         }
     }
     replied
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,9 +1,8 @@
-//! The gatespool daemon: duties as threads, joined by bounded rings.
+//! The gatespool daemon: worker threads joined by bounded channels.
 //!
-//! [`start`] brings a whole daemon up inside the calling process, which is how
-//! the example and the tests of the command line embed it; the binary
-//! `gatespoold` is a thin shell over it. It is not a place for decisions: those
-//! are in `coordination` and `state`, and the duties here carry them out.
+//! [`start`] runs a whole daemon inside the calling process, as the example and the tests
+//! of the command line do; the binary `gatespoold` only adds options and signals. Decisions
+//! are made in `coordination` and `state`; the workers here carry them out.
 //!
 //! ```no_run
 //! # fn main() -> anyhow::Result<()> {
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,15 +1,15 @@
-//! JSON lines on standard output.
+//! JSON log lines on standard output.
 //!
-//! A thread of its own writes them from a bounded queue. A line for which there
-//! is no place is dropped and counted, and the count is told with the next line:
-//! a process never waits for its log.
+//! A separate thread writes them from a bounded queue. Lines that don't fit are dropped,
+//! and their number is logged with the next line, so a process never waits for its log.
 
 use slog::{Drain, Level, Logger, o};
 
-/// Lines that may wait to be written.
+/// Maximum number of queued lines.
 const QUEUE: usize = 1024;
 
-/// A logger that writes JSON lines of at least `level`.
+/// Creates a logger for JSON lines of at least `level`: `debug`, `warning` or `error`, else
+/// info.
 pub fn json(level: &str, data_centre: &str) -> Logger {
     let level = match level {
         "debug" => Level::Debug,
@@ -27,7 +27,7 @@
     Logger::root(drain, o!("data_centre" => data_centre.to_owned()))
 }
 
-/// A logger that drops everything.
+/// Creates a logger that drops everything.
 pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's process: settings, signals, and nothing else.
+//! The daemon's binary: options, settings and signals.
 
 use anyhow::Context;
 use bpaf::{OptionParser, Parser, construct, long};
@@ -39,7 +39,7 @@
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut signals = {
-        let _inside = runtime.enter();
+        let _guard = runtime.enter();
         let terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
         let interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
         (terminate, interrupt)
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,8 +1,8 @@
-//! The peers duty: heartbeats, news, commands to owners, online load at targets.
+//! The peers worker: heartbeats, updates, commands to shard owners, online load of targets.
 
 mod calls;
 
-pub use calls::{Call, Handle, duty};
+pub use calls::{Call, Handle, new_handle};
 
 use crate::fleet::{Node, lock};
 use crate::shared::Shared;
@@ -23,33 +23,34 @@
 use transport::partition::SimulatedPartition;
 use transport::peer::{Entries, Handler, Pool};
 
-const CAPACITY: usize = 4096;
-/// Longest wait for a heartbeat's answer.
-const PING_TIMEOUT: Duration = Duration::from_millis(1000);
-/// News that comes in within this time leaves together.
-const GATHER: Duration = Duration::from_millis(5);
-/// Time between looks at the seeds.
-const SEED_EVERY: Duration = Duration::from_secs(5);
-/// The same while no other member is known.
-const SEED_ALONE: Duration = Duration::from_millis(500);
-/// Time between exchanges of whole member lists.
-const EXCHANGE_EVERY: Duration = Duration::from_secs(60);
-/// Online load that hasn't changed is told again after this, before it goes stale.
-const RETELL: Duration = Duration::from_millis(700);
-/// Entries in one answer.
-const ENTRIES: usize = 64;
+const CHANNEL_CAPACITY: usize = 4096;
+/// Timeout of a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Updates that arrive within this time are sent together.
+const BATCH_WINDOW: Duration = Duration::from_millis(5);
+/// Interval between attempts to reach seeds that aren't members.
+const SEED_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between these attempts while no other member is known.
+const ISOLATED_SEED_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between exchanges of whole member lists.
+const EXCHANGE_INTERVAL: Duration = Duration::from_secs(60);
+/// Interval at which unchanged online load is sent again, before its owner drops it as
+/// stale.
+const LOAD_REFRESH_INTERVAL: Duration = Duration::from_millis(700);
+/// Maximum number of configuration entries in one reply.
+const MAX_ENTRIES: usize = 64;
 
 #[derive(Clone)]
-struct Local {
+struct Peers {
     shared: Arc<Shared>,
     pool: Pool,
 }
 
-impl Handler for Local {
-    async fn ping(&self, from: Member, notes: Vec<Update>) -> (Member, Vec<Update>) {
-        self.hear(from, &notes);
-        // News travels with the one who pings: an answer that is lost would
-        // otherwise count as told.
+impl Handler for Peers {
+    async fn ping(&self, from: Member, updates: Vec<Update>) -> (Member, Vec<Update>) {
+        self.on_heartbeat(from, &updates);
+        // Updates are only sent with requests: those in a lost reply would count as
+        // delivered.
         (lock(&self.shared.members).me().clone(), Vec::new())
     }
 
@@ -74,32 +75,32 @@
     }
 
     async fn ask(&self, _body: Vec<u8>) -> Vec<u8> {
-        Vec::new() // The gateway's messages mean nothing here.
+        Vec::new() // Only the gateway uses these messages.
     }
 
     async fn members(&self) -> Vec<Member> {
-        let table = lock(&self.shared.members);
-        std::iter::once(table.me().clone()).chain(table.others().cloned()).collect()
+        let members = lock(&self.shared.members);
+        std::iter::once(members.me().clone()).chain(members.others().cloned()).collect()
     }
 }
 
 fn entries_after(shared: &Shared, after: u64) -> Entries {
-    let chain = lock(&shared.config_log);
-    let found = chain.since(after, ENTRIES);
+    let config_log = lock(&shared.config_log);
+    let found = config_log.since(after, MAX_ENTRIES);
     let is_next = found.first().is_some_and(|entry| entry.generation == after + 1);
-    let behind = chain.generation() > after;
+    let is_behind = config_log.generation() > after;
     let entries = found.iter().map(|entry| serde_json::to_vec(entry).unwrap_or_default());
-    let document = serde_json::to_vec(chain.document()).unwrap_or_default();
-    let needs_document = behind && !is_next;
+    let document = serde_json::to_vec(config_log.document()).unwrap_or_default();
+    let needs_document = is_behind && !is_next;
     Entries {
-        head: chain.generation(),
+        head: config_log.generation(),
         entries: if needs_document { Vec::new() } else { entries.collect() },
         document: if needs_document { document } else { Vec::new() },
     }
 }
 
-/// Takes in what a member sent of its configuration.
-pub fn absorb(shared: &Shared, found: &Entries) {
+/// Applies the configuration entries or the document that a member sent.
+pub fn apply_entries(shared: &Shared, found: &Entries) {
     if !found.document.is_empty()
         && let Ok(document) = serde_json::from_slice::<Document>(&found.document)
     {
@@ -118,27 +119,27 @@
     }
 }
 
-impl Local {
-    fn hear(&self, from: Member, notes: &[Update]) {
-        let told = notes.iter().map(|note| match note {
+impl Peers {
+    fn on_heartbeat(&self, from: Member, updates: &[Update]) {
+        let generations = updates.iter().map(|update| match update {
             Update::Generation(generation) => *generation,
             _ => 0,
         });
-        let head = told.max().unwrap_or(0).max(from.generation);
-        let further = head > lock(&self.shared.config_log).generation();
+        let head = generations.max().unwrap_or(0).max(from.generation);
+        let is_ahead = head > lock(&self.shared.config_log).generation();
         let address = from.peer;
         lock(&self.shared.members).on_heartbeat(from, Instant::now());
-        for note in notes {
-            let is_news = self.shared.on_update(note);
-            if is_news && !matches!(note, Update::Member(_)) {
-                lock(&self.shared.members).broadcast(note.clone());
+        for update in updates {
+            let is_new = self.shared.on_update(update);
+            if is_new && !matches!(update, Update::Member(_)) {
+                lock(&self.shared.members).broadcast(update.clone());
             }
         }
-        let is_behind = !lock(&self.shared.members).out_of_date().is_empty();
-        if is_behind {
+        let has_unsent = !lock(&self.shared.members).out_of_date().is_empty();
+        if has_unsent {
             self.shared.updates_ready.notify_one();
         }
-        if further {
+        if is_ahead {
             spawn_local(self.clone().fetch(address));
         }
     }
@@ -149,7 +150,7 @@
             let Ok(found) = self.pool.entries(from, after).await else {
                 return;
             };
-            absorb(&self.shared, &found);
+            apply_entries(&self.shared, &found);
             let now = lock(&self.shared.config_log).generation();
             if now == after || now >= found.head {
                 return;
@@ -158,21 +159,21 @@
     }
 
     async fn ping(self, to: Member) {
-        let (me, mark, updates_for) = {
-            let table = lock(&self.shared.members);
-            let (mark, news) = table.updates_for(to.id);
-            (table.me().clone(), mark, news)
+        let (me, cursor, updates) = {
+            let members = lock(&self.shared.members);
+            let (cursor, updates) = members.updates_for(to.id);
+            (members.me().clone(), cursor, updates)
         };
-        match self.pool.ping(to.peer, &me, &updates_for).await {
-            Ok((member, notes)) => {
-                lock(&self.shared.members).on_delivered(to.id, mark);
-                self.hear(member, &notes);
+        match self.pool.ping(to.peer, &me, &updates).await {
+            Ok((member, updates)) => {
+                lock(&self.shared.members).on_delivered(to.id, cursor);
+                self.on_heartbeat(member, &updates);
             }
             Err(_) => lock(&self.shared.members).on_heartbeat_missed(to.id, Instant::now()),
         }
     }
 
-    async fn meet(self, address: SocketAddr) {
+    async fn join(self, address: SocketAddr) {
         let me = lock(&self.shared.members).me().clone();
         if address == me.peer {
             return;
@@ -180,7 +181,7 @@
         let Ok((member, _)) = self.pool.ping(address, &me, &[]).await else {
             return;
         };
-        self.hear(member, &[]);
+        self.on_heartbeat(member, &[]);
         self.exchange(address).await;
     }
 
@@ -194,7 +195,7 @@
         }
     }
 
-    async fn gossip(self, stop: CancellationToken) {
+    async fn send_heartbeats(self, stop: CancellationToken) {
         let mut ticks = tokio::time::interval(self.shared.settings.heartbeat_interval);
         loop {
             tokio::select! {
@@ -206,69 +207,69 @@
         }
     }
 
-    /// Sends news as soon as there is some, rather than at the next heartbeat.
-    async fn flood(self, stop: CancellationToken) {
+    /// Sends updates at once, rather than with the next heartbeat.
+    async fn send_updates(self, stop: CancellationToken) {
         loop {
             tokio::select! {
                 () = self.shared.updates_ready.notified() => {}
-                () = tokio::time::sleep(RETELL) => {}
+                () = tokio::time::sleep(LOAD_REFRESH_INTERVAL) => {}
                 () = stop.cancelled() => return,
             }
-            tokio::time::sleep(GATHER).await;
-            let behind = lock(&self.shared.members).out_of_date();
-            let pings = behind.into_iter().map(|member| self.clone().ping(member));
+            tokio::time::sleep(BATCH_WINDOW).await;
+            let out_of_date = lock(&self.shared.members).out_of_date();
+            let pings = out_of_date.into_iter().map(|member| self.clone().ping(member));
             spawn_local(futures_util::future::join_all(pings));
         }
     }
 
-    /// Tells the deciders of targets how many online requests this instance has
-    /// there, within milliseconds of a change.
-    async fn press(self, stop: CancellationToken) {
-        let untold = self.shared.fleet.changed_loads.clone();
-        // A clock of its own: while something changes at every moment, what doesn't
-        // change must still be told again before its words go stale.
-        let mut again = tokio::time::interval(RETELL);
+    /// Sends the number of this instance's online requests to the owners of the targets,
+    /// within milliseconds of a change.
+    async fn send_loads(self, stop: CancellationToken) {
+        let changed_loads = self.shared.fleet.changed_loads.clone();
+        // A separate timer: unchanged loads must be refreshed before they go stale, even
+        // while others change all the time.
+        let mut refresh = tokio::time::interval(LOAD_REFRESH_INTERVAL);
         loop {
             let changed = tokio::select! {
-                () = untold.signal.notified() => true,
-                _ = again.tick() => false,
+                () = changed_loads.signal.notified() => true,
+                _ = refresh.tick() => false,
                 () = stop.cancelled() => return,
             };
             if changed {
-                // Told at once; only what changes right after is gathered. A
-                // request that meets a target full of batch waits for this word.
-                untold.take().iter().for_each(|node| self.tell_load(node, false));
-                tokio::time::sleep(GATHER).await;
+                // Sent at once; only later changes are batched. A request at a target full
+                // of batch work waits for this report.
+                changed_loads.take().iter().for_each(|node| self.send_load(node, false));
+                tokio::time::sleep(BATCH_WINDOW).await;
                 continue;
             }
             let view = self.shared.view();
             let busy = view.nodes.values().filter(|node| lock(&node.state).load.own() > 0);
-            busy.for_each(|node| self.tell_load(node, true));
+            busy.for_each(|node| self.send_load(node, true));
         }
     }
 
-    /// Tells one target's target_owner; a word that it has heard only when `again`.
-    fn tell_load(&self, node: &Node, again: bool) {
+    /// Sends the load of one target to its owner; an unchanged one only on `refresh`.
+    fn send_load(&self, node: &Node, refresh: bool) {
         let online = admission::advertised(lock(&node.state).load.own());
         let is_new = node.reported_online.swap(online, Ordering::Relaxed) != online;
         match self.shared.target_owner(node) {
-            Some(target_owner) if target_owner.id == self.shared.id => self.shared.batch.wake(),
-            _ if !is_new && !again => {}
-            Some(target_owner) => {
-                let local = self.clone();
+            Some(owner) if owner.id == self.shared.id => self.shared.batch.wake(),
+            _ if !is_new && !refresh => {}
+            Some(owner) => {
+                let peers = self.clone();
                 let target = node.target.name.clone();
                 spawn_local(async move {
-                    let me = local.shared.id;
-                    // A word that is lost is followed by another.
-                    drop(local.pool.pressure(target_owner.peer, me, &target, online).await);
+                    let me = peers.shared.id;
+                    // A lost report is followed by the next one.
+                    drop(peers.pool.pressure(owner.peer, me, &target, online).await);
                 });
             }
             None => {}
         }
     }
 
-    /// Meets members by the settings and by the platform's list.
-    async fn seek(self, stop: CancellationToken) {
+    /// Joins members found in the settings and in the platform's list.
+    async fn discover(self, stop: CancellationToken) {
         let mut exchanged = Instant::now();
         let mut is_registered = false;
         loop {
@@ -279,22 +280,22 @@
             let known: HashSet<SocketAddr> =
                 lock(&self.shared.members).others().map(|m| m.peer).collect();
             let seeds = self.shared.settings.seeds.iter().filter(|seed| !known.contains(seed));
-            let mut met: Vec<SocketAddr> = seeds.copied().collect();
+            let mut candidates: Vec<SocketAddr> = seeds.copied().collect();
             if fingers.is_empty()
                 && let Ok(listed) = self.shared.store.instances().await
             {
                 let me = lock(&self.shared.members).me().peer;
-                met.extend(listed.into_iter().filter(|a| *a != me && !known.contains(a)));
+                candidates.extend(listed.into_iter().filter(|a| *a != me && !known.contains(a)));
             }
-            let meetings = met.into_iter().map(|address| self.clone().meet(address));
-            futures_util::future::join_all(meetings).await;
-            if exchanged.elapsed() >= EXCHANGE_EVERY
-                && let Some(partner) = self.partner(&fingers)
+            let joins = candidates.into_iter().map(|address| self.clone().join(address));
+            futures_util::future::join_all(joins).await;
+            if exchanged.elapsed() >= EXCHANGE_INTERVAL
+                && let Some(address) = self.exchange_partner(&fingers)
             {
                 exchanged = Instant::now();
-                self.exchange(partner).await;
+                self.exchange(address).await;
             }
-            let wait = if fingers.is_empty() { SEED_ALONE } else { SEED_EVERY };
+            let wait = if fingers.is_empty() { ISOLATED_SEED_INTERVAL } else { SEED_INTERVAL };
             tokio::select! {
                 () = tokio::time::sleep(wait) => {}
                 () = stop.cancelled() => return,
@@ -302,8 +303,8 @@
         }
     }
 
-    /// Leaves this instance's address on the platform, for those that find no
-    /// seed; `false` when that has to be tried again.
+    /// Registers this instance's address on the platform, for instances that reach no seed;
+    /// `false` if that must be retried.
     async fn register(&self) -> bool {
         let peer = lock(&self.shared.members).me().peer;
         let entry = instance::Registration {
@@ -311,13 +312,13 @@
             data_centre: self.shared.settings.data_centre.clone(),
         };
         let registered = self.shared.store.register(&peer.to_string(), entry).await;
-        if let Err(fault) = &registered {
-            slog::info!(self.shared.log, "not registered"; "fault" => %fault);
+        if let Err(error) = &registered {
+            slog::info!(self.shared.log, "registration failed"; "fault" => %error);
         }
         registered.is_ok()
     }
 
-    fn partner(&self, fingers: &[u64]) -> Option<SocketAddr> {
+    fn exchange_partner(&self, fingers: &[u64]) -> Option<SocketAddr> {
         let chosen = fingers.get(rand::random_range(0..fingers.len().max(1)))?;
         lock(&self.shared.members).get(*chosen).map(|member| member.peer)
     }
@@ -334,11 +335,11 @@
             let pool = self.pool.clone();
             spawn_local(async move {
                 match call {
-                    Call::Command { to, shard, body, limit, answer } => {
-                        drop(answer.send(pool.command(to, shard, &body, limit).await));
+                    Call::Command { to, shard, body, timeout, reply } => {
+                        drop(reply.send(pool.command(to, shard, &body, timeout).await));
                     }
-                    Call::Entries { to, after, answer } => {
-                        drop(answer.send(pool.entries(to, after).await));
+                    Call::Entries { to, after, reply } => {
+                        drop(reply.send(pool.entries(to, after).await));
                     }
                 }
             });
@@ -346,7 +347,7 @@
     }
 }
 
-/// Runs the duty until `stop`. Must be called inside a `LocalSet`.
+/// Runs the worker until `stop`. Must be called inside a `LocalSet`.
 pub async fn run(
     shared: Arc<Shared>,
     listener: TcpListener,
@@ -354,16 +355,16 @@
     partition: SimulatedPartition,
     stop: CancellationToken,
 ) {
-    let pool = Pool::new(PING_TIMEOUT, partition, shared.traffic.clone());
-    let local = Local { shared: shared.clone(), pool };
+    let pool = Pool::new(HEARTBEAT_TIMEOUT, partition, shared.traffic.clone());
+    let peers = Peers { shared: shared.clone(), pool };
     let serving =
-        transport::peer::serve(listener, local.clone(), shared.traffic.clone(), stop.clone());
+        transport::peer::serve(listener, peers.clone(), shared.traffic.clone(), stop.clone());
     tokio::join!(
         serving,
-        local.clone().gossip(stop.clone()),
-        local.clone().flood(stop.clone()),
-        local.clone().press(stop.clone()),
-        local.clone().seek(stop.clone()),
-        local.serve_calls(calls, stop),
+        peers.clone().send_heartbeats(stop.clone()),
+        peers.clone().send_updates(stop.clone()),
+        peers.clone().send_loads(stop.clone()),
+        peers.clone().discover(stop.clone()),
+        peers.serve_calls(calls, stop),
     );
 }
--- a/crates/daemon/src/peers/calls.rs
+++ b/crates/daemon/src/peers/calls.rs
@@ -1,44 +1,44 @@
-//! What other duties ask of the peers.
+//! Calls of other workers to peers.
 
-use super::{CAPACITY, GATHER, PING_TIMEOUT};
+use super::{BATCH_WINDOW, CHANNEL_CAPACITY, HEARTBEAT_TIMEOUT};
 use std::net::SocketAddr;
 use std::time::Duration;
 use transport::channel::{self, ReplySender, RequestReceiver, RequestSender};
 use transport::peer::{Entries, PeerError};
 
-/// A call of another duty.
+/// A call to a peer on behalf of another worker.
 pub enum Call {
-    /// A command to the owner of a shard.
+    /// Sends a command to the owner of a shard.
     Command {
-        /// The owner.
+        /// Peer address of the owner.
         to: SocketAddr,
-        /// The shard.
+        /// Shard of the command.
         shard: u32,
-        /// The command, encoded.
+        /// The command, encoded as JSON.
         body: Vec<u8>,
-        /// Longest wait.
-        limit: Duration,
-        /// Where the answer goes.
-        answer: ReplySender<Result<Vec<u8>, PeerError>>,
+        /// Timeout of the call.
+        timeout: Duration,
+        /// Receives the owner's encoded reply.
+        reply: ReplySender<Result<Vec<u8>, PeerError>>,
     },
-    /// Configuration entries of a member.
+    /// Fetches configuration entries from a member.
     Entries {
-        /// The member.
+        /// Peer address of the member.
         to: SocketAddr,
-        /// The generation in force here.
+        /// Generation after which entries are wanted.
         after: u64,
-        /// Where the answer goes.
-        answer: ReplySender<Result<Entries, PeerError>>,
+        /// Receives the entries.
+        reply: ReplySender<Result<Entries, PeerError>>,
     },
 }
 
-/// The peers as other duties see them.
+/// The peers, for the other workers.
 #[derive(Clone)]
 pub struct Handle(RequestSender<Call>);
 
-/// A handle and the duty's own end.
-pub fn duty() -> (Handle, RequestReceiver<Call>) {
-    let (sender, receiver) = channel::channel("peers", CAPACITY);
+/// A handle, and the receiver to run the worker with.
+pub fn new_handle() -> (Handle, RequestReceiver<Call>) {
+    let (sender, receiver) = channel::channel("peers", CHANNEL_CAPACITY);
     (Handle(sender), receiver)
 }
 
@@ -47,16 +47,16 @@
     ///
     /// # Errors
     ///
-    /// Whether it left.
+    /// `NotSent` when the command surely had no effect, else `OutcomeUnknown`.
     pub async fn command(
         &self,
         to: SocketAddr,
         shard: u32,
         body: Vec<u8>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Vec<u8>, PeerError> {
-        let call = |answer| Call::Command { to, shard, body, limit, answer };
-        match self.0.call(limit + GATHER, call).await {
+        let call = |reply| Call::Command { to, shard, body, timeout, reply };
+        match self.0.call(timeout + BATCH_WINDOW, call).await {
             Ok(result) => result,
             Err(error) if error.kind == protocol::Kind::Undetermined => {
                 Err(PeerError::OutcomeUnknown(error.message))
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Asks a member for configuration entries.
+    /// Fetches the configuration entries after a generation from a member.
     ///
     /// # Errors
     ///
-    /// How the call failed.
+    /// The error of the call.
     pub async fn entries(&self, to: SocketAddr, after: u64) -> Result<Entries, PeerError> {
-        let call = |answer| Call::Entries { to, after, answer };
-        match self.0.call(PING_TIMEOUT * 2, call).await {
+        let call = |reply| Call::Entries { to, after, reply };
+        match self.0.call(HEARTBEAT_TIMEOUT * 2, call).await {
             Ok(result) => result,
             Err(error) => Err(PeerError::NotSent(error.message)),
         }
--- a/crates/daemon/src/retry_queue.rs
+++ b/crates/daemon/src/retry_queue.rs
@@ -1,5 +1,5 @@
-//! Commands that must still reach the log: outcomes that were given while the
-//! platform was away, and claims of requests that were never sent.
+//! Commands that the log must still record: outcomes returned while the platform was
+//! unavailable, and claims of requests that were never sent.
 
 use crate::fleet::lock;
 use crate::shared::Shared;
@@ -10,19 +10,19 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// Most commands kept; beyond that an outcome is not recorded, and its caller
-/// has been told so.
+/// Maximum number of queued commands. When the queue is full, an outcome isn't recorded;
+/// its caller has been told so.
 const MAX_COMMANDS: usize = 10_000;
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 const BACKOFF_BASE: Duration = Duration::from_millis(200);
 const BACKOFF_CAP: Duration = Duration::from_secs(5);
 
-/// The queue.
+/// Commands in the order in which they are retried.
 #[derive(Debug, Default)]
 pub struct RetryQueue(Mutex<VecDeque<Command>>);
 
 impl RetryQueue {
-    /// Keeps a command; `false` when there is no more room.
+    /// Queues a command; `false` when the queue is full.
     pub fn push(&self, command: Command) -> bool {
         let mut queue = lock(&self.0);
         if queue.len() >= MAX_COMMANDS {
@@ -32,12 +32,12 @@
         true
     }
 
-    /// How many wait.
+    /// Number of queued commands.
     pub fn len(&self) -> usize {
         lock(&self.0).len()
     }
 
-    /// Whether none waits.
+    /// Whether no command is queued.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -51,8 +51,8 @@
     }
 }
 
-/// Brings waiting commands to the log until `stop`, slower while it fails. The
-/// jitter keeps many instances from returning to the platform at one moment.
+/// Submits the queued commands until `stop`, with exponential backoff on errors. The jitter
+/// keeps instances from returning to the platform at the same moment.
 pub async fn run(shared: Arc<Shared>, stop: CancellationToken) {
     let mut failures = 0;
     while !stop.is_cancelled() {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Whether an error says only that the log can't be reached now.
+/// Whether an error only means that the log can't be reached now.
 pub fn is_transient(kind: Kind) -> bool {
     matches!(
         kind,
--- a/crates/daemon/src/standby.rs
+++ b/crates/daemon/src/standby.rs
@@ -1,17 +1,17 @@
 //! A process for machines on which nothing has to run.
 //!
-//! Some deployments have machines with disks and want a process on each. All
-//! that lasts is kept on the platform, so there is nothing to do there: the
-//! process waits for its stop. Such a machine can be emptied at any time.
+//! Some deployments require a process on each machine with disks. All durable state is on
+//! the platform, so this process only waits for a stop signal, and its machine can be
+//! drained at any time.
 
 use slog::Logger;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Waits for a signal to stop.
+/// Waits for `SIGTERM`; `SIGHUP` has no effect but a log line.
 ///
 /// # Errors
 ///
-/// When a signal can't be handled.
+/// If a signal handler can't be installed.
 pub fn run(log: &Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -1,4 +1,4 @@
-//! Brings the duties of one daemon up, and takes them down again.
+//! Starts and stops the worker threads of one daemon.
 
 use crate::batch;
 use crate::clock;
@@ -27,28 +27,28 @@
 use transport::partition::SimulatedPartition;
 use transport::target::Client;
 
-const STOP_LOOK: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A daemon that runs.
+/// A running daemon.
 pub struct Daemon {
-    /// Where callers are served.
+    /// Address at which callers are served.
     pub front: SocketAddr,
-    /// Where other daemons are served.
+    /// Address at which other instances are served.
     pub peer: SocketAddr,
     shared: Arc<Shared>,
     tokens: Tokens,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// Tokens passed down to the duties. The front ends first, since the others
-/// serve what it still runs.
+/// Cancellation tokens. The front end's is cancelled first: the others serve the requests
+/// that it still runs.
 #[derive(Clone, Default)]
 struct Tokens {
     front: CancellationToken,
-    rest: CancellationToken,
+    workers: CancellationToken,
 }
 
-/// Starts a daemon: binds its addresses, then starts a thread for each duty.
+/// Starts a daemon: binds its addresses, then starts one thread for each worker.
 ///
 /// # Errors
 ///
@@ -59,28 +59,32 @@
         .thread_name("front")
         .enable_all()
         .build()?;
-    let peer_runtime = single()?;
+    let peer_runtime = single_threaded()?;
     let front = bind(&front_runtime, settings.front_address)?;
     let peer = bind(&peer_runtime, settings.peer_address)?;
     let me = member(&settings, front.1, peer.1);
     let partition = SimulatedPartition::new(settings.partition_file.clone());
-    let (store, platform) = store::duty(store::Config {
+    let (store, store_worker) = store::new_worker(store::Config {
         address: settings.platform_address,
         timeout: settings.platform_timeout,
-        rate: settings.platform_calls_per_second,
+        calls_per_second: settings.platform_calls_per_second,
         partition: partition.clone(),
     });
     let (shards, items) = shards::new_handle(&settings);
-    let (peers, calls) = peers::duty();
+    let (peers, calls) = peers::new_handle();
     let batch = batch::Handle::default();
     let telemetry = Telemetry::new(settings.metrics_address)?;
     let shared =
         Arc::new(Parts { settings, log, me, store, shards, peers, batch, telemetry }.join());
     let tokens = Tokens::default();
-    let mut duties = Duties { tokens: tokens.clone(), threads: Vec::new() };
-    let (log, stop) = (shared.log.clone(), tokens.rest.clone());
-    duties.spawn_local("platform", single()?, move || platform.run(log, stop))?;
-    duties.spawn("log", single()?, shards::run(shared.clone(), items, tokens.rest.clone()))?;
+    let mut workers = Workers { tokens: tokens.clone(), threads: Vec::new() };
+    let (log, stop) = (shared.log.clone(), tokens.workers.clone());
+    workers.spawn_local("platform", single_threaded()?, move || store_worker.run(log, stop))?;
+    workers.spawn(
+        "log",
+        single_threaded()?,
+        shards::run(shared.clone(), items, tokens.workers.clone()),
+    )?;
     let client = || {
         Client::new(
             shared.settings.connect_timeout,
@@ -88,40 +92,44 @@
             partition.clone(),
         )
     };
-    duties.spawn("batch", single()?, batch::run(shared.clone(), client(), tokens.rest.clone()))?;
-    let control = control::run(shared.clone(), client(), tokens.rest.clone());
-    duties.spawn("control", single()?, control)?;
-    let stop = tokens.rest.clone();
-    let (of_peers, partition_of_peers) = (shared.clone(), partition.clone());
-    duties.spawn_local("peers", peer_runtime, move || {
-        peers::run(of_peers, peer.0, calls, partition_of_peers, stop)
+    workers.spawn(
+        "batch",
+        single_threaded()?,
+        batch::run(shared.clone(), client(), tokens.workers.clone()),
+    )?;
+    let control = control::run(shared.clone(), client(), tokens.workers.clone());
+    workers.spawn("control", single_threaded()?, control)?;
+    let stop = tokens.workers.clone();
+    let (shared_of_peers, partition_of_peers) = (shared.clone(), partition.clone());
+    workers.spawn_local("peers", peer_runtime, move || {
+        peers::run(shared_of_peers, peer.0, calls, partition_of_peers, stop)
     })?;
     let service = HttpHandler { shared: shared.clone(), client: client() };
-    duties.spawn("front", front_runtime, http::serve(front.0, service, tokens.front.clone()))?;
+    workers.spawn("front", front_runtime, http::serve(front.0, service, tokens.front.clone()))?;
     slog::info!(shared.log, "started"; "front" => front.1.to_string(),
         "peers" => peer.1.to_string(), "id" => format!("{:016x}", shared.id));
-    Ok(Daemon { front: front.1, peer: peer.1, shared, tokens, threads: duties.threads })
+    Ok(Daemon { front: front.1, peer: peer.1, shared, tokens, threads: workers.threads })
 }
 
-fn single() -> std::io::Result<Runtime> {
+fn single_threaded() -> std::io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
 
 fn bind(runtime: &Runtime, address: SocketAddr) -> anyhow::Result<(TcpListener, SocketAddr)> {
-    let _inside = runtime.enter();
+    let _guard = runtime.enter();
     let listener = http::listen(address)
         .map_err(|error| anyhow::anyhow!("can't listen on {address}: {error}"))?;
     let bound = listener.local_addr()?;
     Ok((listener, bound))
 }
 
-/// Set in every id drawn, so that none is zero.
-const LEAST_ID: u64 = 1 << 4;
+/// Set in every id drawn, so that no id is zero.
+const NONZERO_ID_BIT: u64 = 1 << 4;
 
-/// This start of an instance, as other members know it.
+/// The member table entry of this start of an instance.
 pub(crate) fn member(settings: &Settings, front: SocketAddr, peer: SocketAddr) -> Member {
     Member {
-        id: capacity::tag_id(rand::random::<u64>() | LEAST_ID, settings.cpu_cores),
+        id: capacity::tag_id(rand::random::<u64>() | NONZERO_ID_BIT, settings.cpu_cores),
         peer,
         http: front,
         data_centre: settings.data_centre.clone(),
@@ -131,21 +139,21 @@
     }
 }
 
-struct Duties {
+struct Workers {
     tokens: Tokens,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Duties {
+impl Workers {
     fn spawn(
         &mut self,
         name: &str,
         runtime: Runtime,
-        duty: impl Future<Output = ()> + Send + 'static,
+        worker: impl Future<Output = ()> + Send + 'static,
     ) -> std::io::Result<()> {
         let thread = std::thread::Builder::new().name(name.into());
         self.threads.push(thread.spawn(move || {
-            runtime.block_on(duty);
+            runtime.block_on(worker);
             runtime.shutdown_background();
         })?);
         Ok(())
@@ -155,15 +163,15 @@
         &mut self,
         name: &str,
         runtime: Runtime,
-        duty: impl FnOnce() -> F + Send + 'static,
+        new_worker: impl FnOnce() -> F + Send + 'static,
     ) -> std::io::Result<()> {
-        let stop = self.tokens.rest.clone();
+        let stop = self.tokens.workers.clone();
         let thread = std::thread::Builder::new().name(name.into());
         self.threads.push(thread.spawn(move || {
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, async move {
                 tokio::select! {
-                    () = duty() => {}
+                    () = new_worker() => {}
                     () = stop.cancelled() => {}
                 }
             });
@@ -173,12 +181,12 @@
 }
 
 impl Daemon {
-    /// What the duties share, for embedding.
+    /// State shared with the workers, for embedding.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Orders a planned stop; [`Daemon::join`] returns when it is done.
+    /// Requests a planned stop; [`Daemon::join`] returns when it is done.
     pub fn stop(&self) {
         let mut stopping = lock(&self.shared.stopping);
         if stopping.is_none() {
@@ -191,23 +199,23 @@
         self.shared.batch.wake();
     }
 
-    /// Waits for a planned stop and goes through its phases.
+    /// Waits until a planned stop is requested and has gone through its phases.
     pub fn join(self) {
         let settings = &self.shared.settings;
         let plan = Plan { grace: settings.stop_grace, max_duration: settings.max_stop_duration };
         loop {
-            std::thread::sleep(STOP_LOOK);
+            std::thread::sleep(STOP_POLL_INTERVAL);
             let Some(since) = *lock(&self.shared.stopping) else {
                 continue;
             };
             let running = self.shared.in_flight.load(Ordering::Relaxed)
                 + self.shared.batch.assigned_chunks()
                 + self.shared.retry_queue.len();
-            let unguarded = settings.is_guard_disabled("drain");
-            let is_closed = self.shared.rejects_new.load(Ordering::Relaxed);
-            match drain::phase(plan, since, running, is_closed, Instant::now()) {
+            let without_drain = settings.is_guard_disabled("drain");
+            let rejects_new = self.shared.rejects_new.load(Ordering::Relaxed);
+            match drain::phase(plan, since, running, rejects_new, Instant::now()) {
                 Phase::Exit => break,
-                _ if unguarded => break,
+                _ if without_drain => break,
                 Phase::Grace => {}
                 Phase::Draining => self.shared.rejects_new.store(true, Ordering::Relaxed),
             }
@@ -215,13 +223,13 @@
         slog::info!(self.shared.log, "stopped";
             "unrecorded" => self.shared.retry_queue.len());
         self.tokens.front.cancel();
-        self.tokens.rest.cancel();
+        self.tokens.workers.cancel();
     }
 
-    /// Ends every duty now, as a kill would; for embedding in tests.
+    /// Cancels every worker at once, like a kill; for tests that embed a daemon.
     pub fn kill(self) {
         self.tokens.front.cancel();
-        self.tokens.rest.cancel();
+        self.tokens.workers.cancel();
         for thread in self.threads {
             drop(thread);
         }
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -1,10 +1,9 @@
-//! The platform's store as the duties of one daemon see it.
+//! The platform's store, for the workers of one daemon.
 //!
-//! One thread makes every call of a daemon, under one budget: the platform
-//! counts calls, and a daemon that retried on each thread by itself would meet
-//! an outage with a flood. The client is `platform::store`'s; what this adds is
-//! the ring that joins it to the other duties, the rate, and a line in the log
-//! when the platform is lost and regained.
+//! One thread makes all calls of a daemon, under one rate limit: the platform counts calls,
+//! and retries from every worker would flood it during an outage. `platform::store` is the
+//! client; this module adds the channel, the rate limit and log lines when the platform is
+//! lost and regained.
 
 use bytes::Bytes;
 use coordination::limit::TokenBucket;
@@ -25,39 +24,39 @@
 use transport::channel::{self, ReplySender, RequestReceiver, RequestSender};
 use transport::partition::SimulatedPartition;
 
-/// Calls that may wait for the duty; more fail at once.
-const CAPACITY: usize = 4096;
+/// Calls that may wait for the worker; further ones fail at once.
+const CHANNEL_CAPACITY: usize = 4096;
 
-/// Where the platform is and how much it may be asked.
+/// Address and limits of the platform's store.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Address of the store.
     pub address: SocketAddr,
-    /// Longest wait for one call.
+    /// Timeout of one call.
     pub timeout: Duration,
-    /// Most calls a second.
-    pub rate: f64,
-    /// Cuts of a test.
+    /// Maximum rate of calls.
+    pub calls_per_second: f64,
+    /// Network partitions simulated by tests.
     pub partition: SimulatedPartition,
 }
 
-/// Calls made and failed, for metrics.
+/// Counts of calls since the start, for metrics.
 #[derive(Debug, Default)]
-pub struct Counts {
-    /// Calls made.
+pub struct CallCounts {
+    /// Calls, including failed ones.
     pub calls: AtomicU64,
-    /// Calls that failed otherwise than by their condition.
+    /// Failed calls, except those whose condition didn't hold.
     pub failed: AtomicU64,
 }
 
-/// How the platform lists a target.
+/// A target in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
-    /// The target.
+pub struct TargetEntry {
+    /// Name of the target.
     pub name: TargetId,
-    /// Whether it is leaving.
+    /// Whether it must get no new requests.
     pub is_leaving: bool,
-    /// Revision of its entry: of two lists, the one with the higher is later.
+    /// Revision of its entry; the higher one is later.
     pub revision: Revision,
 }
 
@@ -67,27 +66,27 @@
     Delete(String, ReplySender<Result<(), StoreError>>),
     Keys(String, ReplySender<Result<Changes, StoreError>>),
     Watch(String, Option<Revision>, Duration, ReplySender<Result<Changes, StoreError>>),
-    Targets(ReplySender<Result<Vec<Listed>, StoreError>>),
+    Targets(ReplySender<Result<Vec<TargetEntry>, StoreError>>),
     Instances(ReplySender<Result<Vec<SocketAddr>, StoreError>>),
     Register(String, instance::Registration, ReplySender<Result<(), StoreError>>),
 }
 
-/// The store, for the other duties.
+/// The store, for the other workers.
 #[derive(Clone)]
 pub struct Handle {
     sender: RequestSender<Call>,
-    limit: Duration,
-    counts: Arc<Counts>,
+    timeout: Duration,
+    counts: Arc<CallCounts>,
 }
 
 impl Handle {
-    async fn ask<T>(
+    async fn call<T>(
         &self,
-        limit: Duration,
-        call: impl FnOnce(ReplySender<Result<T, StoreError>>) -> Call,
+        timeout: Duration,
+        new_call: impl FnOnce(ReplySender<Result<T, StoreError>>) -> Call,
     ) -> Result<T, StoreError> {
         self.counts.calls.fetch_add(1, Ordering::Relaxed);
-        let result = match self.sender.call(limit, call).await {
+        let result = match self.sender.call(timeout, new_call).await {
             Ok(result) => result,
             Err(error) if error.kind == protocol::Kind::Undetermined => {
                 Err(StoreError::OutcomeUnknown(error.message))
@@ -100,8 +99,8 @@
         result
     }
 
-    /// Calls made and failed.
-    pub fn counts(&self) -> &Counts {
+    /// Counts of the calls of all handles.
+    pub fn counts(&self) -> &CallCounts {
         &self.counts
     }
 
@@ -109,10 +108,10 @@
     ///
     /// # Errors
     ///
-    /// As [`KeyValueStore::get`]; here and below also [`StoreError::Unavailable`] when the duty is
-    /// overloaded or has ended.
+    /// As [`KeyValueStore::get`]; here and below also [`StoreError::Unavailable`] when the
+    /// worker is overloaded or has ended.
     pub async fn get(&self, key: &str) -> Result<Option<Value>, StoreError> {
-        self.ask(self.limit, |answer| Call::Get(key.into(), answer)).await
+        self.call(self.timeout, |reply| Call::Get(key.into(), reply)).await
     }
 
     /// As [`KeyValueStore::put`].
@@ -126,7 +125,7 @@
         value: Bytes,
         condition: Condition,
     ) -> Result<Revision, StoreError> {
-        self.ask(self.limit, |answer| Call::Put(key.into(), value, condition, answer)).await
+        self.call(self.timeout, |reply| Call::Put(key.into(), value, condition, reply)).await
     }
 
     /// As [`KeyValueStore::delete`].
@@ -135,7 +134,7 @@
     ///
     /// As [`KeyValueStore::delete`].
     pub async fn delete(&self, key: &str) -> Result<(), StoreError> {
-        self.ask(self.limit, |answer| Call::Delete(key.into(), answer)).await
+        self.call(self.timeout, |reply| Call::Delete(key.into(), reply)).await
     }
 
     /// As [`KeyValueStore::keys`].
@@ -144,7 +143,7 @@
     ///
     /// As [`KeyValueStore::keys`].
     pub async fn keys(&self, prefix: &str) -> Result<Vec<String>, StoreError> {
-        let found = self.ask(self.limit, |answer| Call::Keys(prefix.into(), answer)).await?;
+        let found = self.call(self.timeout, |reply| Call::Keys(prefix.into(), reply)).await?;
         Ok(found.keys)
     }
 
@@ -159,67 +158,67 @@
         revision: Option<Revision>,
         wait: Duration,
     ) -> Result<Changes, StoreError> {
-        let limit = wait + self.limit;
-        self.ask(limit, |answer| Call::Watch(prefix.into(), revision, wait, answer)).await
+        let timeout = wait + self.timeout;
+        self.call(timeout, |reply| Call::Watch(prefix.into(), revision, wait, reply)).await
     }
 
-    /// The targets as the platform lists them.
+    /// Lists the targets on the platform, without entries that can't be decoded.
     ///
     /// # Errors
     ///
-    /// How the call failed.
-    pub async fn targets(&self) -> Result<Vec<Listed>, StoreError> {
-        self.ask(self.limit, Call::Targets).await
+    /// The error of the call.
+    pub async fn targets(&self) -> Result<Vec<TargetEntry>, StoreError> {
+        self.call(self.timeout, Call::Targets).await
     }
 
-    /// Addresses that instances have left on the platform.
+    /// Lists the peer addresses that instances registered on the platform.
     ///
     /// # Errors
     ///
-    /// How the call failed.
+    /// The error of the call.
     pub async fn instances(&self) -> Result<Vec<SocketAddr>, StoreError> {
-        self.ask(self.limit, Call::Instances).await
+        self.call(self.timeout, Call::Instances).await
     }
 
-    /// Leaves this instance's address on the platform.
+    /// Registers this instance's address on the platform, replacing an earlier entry.
     ///
     /// # Errors
     ///
-    /// How the call failed.
+    /// The error of the call.
     pub async fn register(
         &self,
         name: &str,
         entry: instance::Registration,
     ) -> Result<(), StoreError> {
-        self.ask(self.limit, |answer| Call::Register(name.into(), entry, answer)).await
+        self.call(self.timeout, |reply| Call::Register(name.into(), entry, reply)).await
     }
 }
 
-/// The duty's own end: run it on a thread of its own, inside a `LocalSet`.
-pub struct Duty {
+/// Makes the calls; run it on a thread of its own, inside a `LocalSet`.
+pub struct Worker {
     calls: RequestReceiver<Call>,
     config: Config,
 }
 
-/// A handle for the other duties, and the duty itself.
-pub fn duty(config: Config) -> (Handle, Duty) {
-    let (sender, calls) = channel::channel("platform", CAPACITY);
-    // The handle waits longer than one call may take, so that the call's own
-    // verdict (sent or not) arrives before the handle gives up on it.
-    let limit = config.timeout * 2;
-    (Handle { sender, limit, counts: Arc::default() }, Duty { calls, config })
+/// A handle for the other workers, and the worker.
+pub fn new_worker(config: Config) -> (Handle, Worker) {
+    let (sender, calls) = channel::channel("platform", CHANNEL_CAPACITY);
+    // Longer than one call may take, so that the call's own result arrives first: it says
+    // whether the call was sent.
+    let timeout = config.timeout * 2;
+    (Handle { sender, timeout, counts: Arc::default() }, Worker { calls, config })
 }
 
-impl Duty {
+impl Worker {
     /// Makes calls until `stop`.
     pub async fn run(mut self, log: Logger, stop: CancellationToken) {
         let client = Rc::new(Client {
-            keyed: KeyValueStore::new(Store::new(self.config.address, self.config.timeout)),
+            key_values: KeyValueStore::new(Store::new(self.config.address, self.config.timeout)),
             config: self.config.clone(),
             log,
             failures: Cell::new(0),
         });
-        let rate = self.config.rate;
+        let rate = self.config.calls_per_second;
         let mut bucket = TokenBucket::new(rate, rate.max(1.0), Instant::now());
         loop {
             let call = tokio::select! {
@@ -238,57 +237,59 @@
 }
 
 struct Client {
-    keyed: KeyValueStore,
+    key_values: KeyValueStore,
     config: Config,
     log: Logger,
-    /// Calls in a row that the platform didn't answer.
+    /// Calls in a row without a response.
     failures: Cell<u64>,
 }
 
 impl Client {
     async fn perform(self: Rc<Client>, call: Call) {
-        // A caller that no longer waits for its answer is no fault.
+        // A send fails when the caller no longer waits.
         match call {
-            Call::Get(key, answer) => drop(answer.send(self.note(self.keyed.get(&key)).await)),
-            Call::Put(key, value, condition, answer) => {
-                let put = self.keyed.put(&key, &value, condition);
-                drop(answer.send(self.note(put).await));
+            Call::Get(key, reply) => {
+                drop(reply.send(self.record_result(self.key_values.get(&key)).await))
             }
-            Call::Delete(key, answer) => {
-                drop(answer.send(self.note(self.keyed.delete(&key)).await));
+            Call::Put(key, value, condition, reply) => {
+                let put = self.key_values.put(&key, &value, condition);
+                drop(reply.send(self.record_result(put).await));
             }
-            Call::Keys(prefix, answer) => {
-                drop(answer.send(self.note(self.keyed.keys(&prefix)).await));
+            Call::Delete(key, reply) => {
+                drop(reply.send(self.record_result(self.key_values.delete(&key)).await));
             }
-            Call::Watch(prefix, revision, wait, answer) => {
-                let watch = self.keyed.watch(&prefix, revision, wait);
-                drop(answer.send(self.note(watch).await));
+            Call::Keys(prefix, reply) => {
+                drop(reply.send(self.record_result(self.key_values.keys(&prefix)).await));
             }
-            Call::Targets(answer) => drop(answer.send(self.note(self.targets()).await)),
-            Call::Instances(answer) => drop(answer.send(self.note(self.instances()).await)),
-            Call::Register(name, entry, answer) => {
-                drop(answer.send(self.note(self.register(&name, &entry)).await));
+            Call::Watch(prefix, revision, wait, reply) => {
+                let watch = self.key_values.watch(&prefix, revision, wait);
+                drop(reply.send(self.record_result(watch).await));
+            }
+            Call::Targets(reply) => drop(reply.send(self.record_result(self.targets()).await)),
+            Call::Instances(reply) => drop(reply.send(self.record_result(self.instances()).await)),
+            Call::Register(name, entry, reply) => {
+                drop(reply.send(self.record_result(self.register(&name, &entry)).await));
             }
         }
     }
 
-    /// Makes a call, unless a test has cut the platform off, and notes whether the
-    /// platform answers.
-    async fn note<T>(
+    /// Awaits a call, unless a test simulates a partition, and tracks whether the platform
+    /// responds.
+    async fn record_result<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         let result = if self.config.partition.is_unreachable(self.config.address, Instant::now()) {
-            Err(StoreError::Unavailable("cut off".into()))
+            Err(StoreError::Unavailable("simulated partition".into()))
         } else {
             call.await
         };
         let failures = self.failures.get();
         match &result {
-            Err(fault @ (StoreError::Unavailable(_) | StoreError::OutcomeUnknown(_))) => {
+            Err(error @ (StoreError::Unavailable(_) | StoreError::OutcomeUnknown(_))) => {
                 self.failures.set(failures + 1);
                 if failures == 0 {
-                    slog::warn!(self.log, "platform lost"; "fault" => %fault);
+                    slog::warn!(self.log, "platform lost"; "fault" => %error);
                 }
             }
             _ if failures > 0 => {
@@ -300,42 +301,44 @@
         result
     }
 
-    async fn targets(&self) -> Result<Vec<Listed>, StoreError> {
-        let objects = self.keyed.store().list_all(target::KIND).await?.objects;
-        let read = |object: &platform::store::Object| match target::decode(
+    async fn targets(&self) -> Result<Vec<TargetEntry>, StoreError> {
+        let objects = self.key_values.store().list_all(target::KIND).await?.objects;
+        let decode = |object: &platform::store::Object| match target::decode(
             &object.name,
             object.revision,
             object.spec.get(),
         ) {
-            Ok(found) => {
-                Some(Listed { name: found.id, is_leaving: found.leaving, revision: found.revision })
-            }
+            Ok(found) => Some(TargetEntry {
+                name: found.id,
+                is_leaving: found.leaving,
+                revision: found.revision,
+            }),
             Err(error) => {
-                slog::warn!(self.log, "entry of a target not understood";
+                slog::warn!(self.log, "malformed entry of a target";
                         "target" => &object.name, "error" => %error);
                 None
             }
         };
-        Ok(objects.iter().filter_map(read).collect())
+        Ok(objects.iter().filter_map(decode).collect())
     }
 
     async fn instances(&self) -> Result<Vec<SocketAddr>, StoreError> {
-        let objects = self.keyed.store().list_all(instance::KIND).await?.objects;
-        let read = |object: &platform::store::Object| match instance::decode(object.spec.get()) {
+        let objects = self.key_values.store().list_all(instance::KIND).await?.objects;
+        let decode = |object: &platform::store::Object| match instance::decode(object.spec.get()) {
             Ok(entry) => Some(entry.peer_address),
             Err(error) => {
-                slog::warn!(self.log, "entry of an instance not understood";
+                slog::warn!(self.log, "malformed entry of an instance";
                         "instance" => &object.name, "error" => %error);
                 None
             }
         };
-        Ok(objects.iter().filter_map(read).collect())
+        Ok(objects.iter().filter_map(decode).collect())
     }
 
     async fn register(&self, name: &str, entry: &instance::Registration) -> Result<(), StoreError> {
-        let store = self.keyed.store();
+        let store = self.key_values.store();
         match store.create(instance::KIND, name, entry).await {
-            // An earlier start of this instance, perhaps at another address.
+            // Left by an earlier start of this instance, perhaps with another address.
             Err(StoreError::Conflict(_)) => {
                 store.replace(instance::KIND, name, None, entry).await.map(|_| ())
             }
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics over UDP and the counts behind the burn report.
+//! Metrics over UDP, and the counts behind the burn rate report.
 
 use crate::fleet::lock;
 use crate::shared::Shared;
@@ -16,80 +16,83 @@
 use tokio_util::sync::CancellationToken;
 
 const PREFIX: &str = "gatespool";
-const EVERY: Duration = Duration::from_secs(1);
-/// Longest first token that a histogram tells apart, in milliseconds.
-const LONGEST_MS: u64 = 600_000;
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum time to the first token in a histogram; longer ones count as this.
+const MAX_FIRST_TOKEN_MS: u64 = 600_000;
 /// Significant digits of a histogram; two keep it at a few kilobytes.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// One line of the burn report.
+/// One line of the burn rate report: a service level.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Burn {
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Class.
+    /// Class of its requests.
     pub class: String,
-    /// Limit for the first token.
+    /// Maximum time to the first token for a good request, in milliseconds.
     pub first_token_ms: u64,
-    /// Share that must be good.
+    /// Ratio of requests that must be good.
     pub share: f64,
-    /// First token in ms since the start: p50, p95, p99.
+    /// Time to the first token since the start, in milliseconds: p50, p95, p99.
     pub first_ms: [f64; 3],
-    /// Counts for each window, in seconds.
+    /// Counts in each window, shortest first.
     pub windows: Vec<Window>,
 }
 
-/// Counts of one window.
+/// Counts in one window.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Window {
-    /// Length in seconds.
+    /// Length of the window, in seconds.
     pub seconds: u64,
-    /// Good and all requests.
+    /// Numbers of good and of all requests.
     #[serde(flatten)]
     pub count: Counts,
-    /// How fast the error budget burns.
+    /// Burn rate of the error budget.
     pub burn: f64,
 }
 
-/// Metrics and service levels of one daemon.
+/// Metrics and service-level counts of one daemon.
 pub struct Telemetry {
     client: StatsdClient,
     levels: Mutex<HashMap<(String, String), Level>>,
 }
 
-/// What is kept of one service and class.
+/// Counts of one service and class.
 struct Level {
-    series: History,
-    first: Histogram<u64>,
+    history: History,
+    first_token: Histogram<u64>,
 }
 
 impl Default for Level {
     fn default() -> Level {
-        let first = Histogram::new_with_max(LONGEST_MS, DIGITS);
-        // The bounds are constants that the library accepts.
-        Level { series: History::default(), first: first.expect("sound bounds") }
+        let first = Histogram::new_with_max(MAX_FIRST_TOKEN_MS, SIGNIFICANT_DIGITS);
+        // Both are constants within the library's bounds.
+        Level {
+            history: History::default(),
+            first_token: first.expect("the histogram's bounds are valid"),
+        }
     }
 }
 
 impl Level {
-    fn note(&mut self, first: Option<Duration>, limit: Duration, now: Instant) {
-        self.series.record(first.is_some_and(|first| first <= limit), now);
+    fn record(&mut self, first: Option<Duration>, limit: Duration, now: Instant) {
+        self.history.record(first.is_some_and(|first| first <= limit), now);
         if let Some(first) = first {
-            self.first.saturating_record(first.as_millis() as u64);
+            self.first_token.saturating_record(first.as_millis() as u64);
         }
     }
 
     fn first_ms(&self) -> [f64; 3] {
-        [0.5, 0.95, 0.99].map(|q| self.first.value_at_quantile(q) as f64)
+        [0.5, 0.95, 0.99].map(|q| self.first_token.value_at_quantile(q) as f64)
     }
 }
 
 impl Telemetry {
-    /// Metrics go to `address`, or nowhere.
+    /// Creates a client that sends metrics to `address`; `None` drops them.
     ///
     /// # Errors
     ///
-    /// When no socket can be had.
+    /// When no UDP socket can be opened.
     pub fn new(address: Option<SocketAddr>) -> anyhow::Result<Telemetry> {
         let client = match address {
             None => StatsdClient::from_sink(PREFIX, NopMetricSink),
@@ -103,18 +106,18 @@
         Ok(Telemetry { client, levels: Mutex::default() })
     }
 
-    /// Counts one. A metric that can't be sent is no fault of the work.
+    /// Increments a counter. A metric that can't be sent is dropped.
     pub fn count(&self, name: &str) {
         drop(self.client.incr(name));
     }
 
-    /// Records a time.
+    /// Records a duration.
     pub fn time(&self, name: &str, time: Duration) {
         drop(self.client.time(name, time));
     }
 
-    /// Counts a request against its service level; `first` is the time to the
-    /// first token, `None` when the request failed.
+    /// Counts a request against its service level; `first` is the time to the first token,
+    /// `None` when the request failed.
     pub fn on_request(
         &self,
         document: &Document,
@@ -129,11 +132,11 @@
         for level in found.levels.iter().filter(|level| level.class == class) {
             let limit = Duration::from_millis(level.first_token_ms);
             let key = (service.to_owned(), class.to_owned());
-            lock(&self.levels).entry(key).or_default().note(first, limit, now);
+            lock(&self.levels).entry(key).or_default().record(first, limit, now);
         }
     }
 
-    /// The burn report of this instance.
+    /// The burn rate report of this instance.
     pub fn burn(&self, document: &Document, now: Instant) -> Vec<Burn> {
         let levels = lock(&self.levels);
         let mut lines = Vec::new();
@@ -141,9 +144,9 @@
             for level in &service.levels {
                 let key = (service.name.clone(), level.class.clone());
                 let window = |length: &Duration| {
-                    let found = levels.get(&key);
-                    let count =
-                        found.map_or(Counts::default(), |l| l.series.count_within(*length, now));
+                    let level_counts = levels.get(&key);
+                    let count = level_counts
+                        .map_or(Counts::default(), |l| l.history.count_within(*length, now));
                     Window { seconds: length.as_secs(), count, burn: count.burn(level.share) }
                 };
                 lines.push(Burn {
@@ -168,7 +171,7 @@
 pub async fn run(shared: Arc<Shared>, stop: CancellationToken) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(EVERY) => {}
+            () = tokio::time::sleep(GAUGE_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
         let telemetry = &shared.telemetry;
