--- a/crates/daemon/benches/measure/batch.rs
+++ b/crates/daemon/benches/measure/batch.rs
@@ -1,7 +1,7 @@
 //! Share of idle capacity that batch fills, and its effect on the tail latency of
 //! online requests.
 
-use crate::fleet::production;
+use crate::fleet::production_settings;
 use crate::load::{self, Load, Outcome};
 use crate::util::client::chat;
 use crate::util::cluster::{Cluster, Plan, items};
@@ -61,7 +61,7 @@
         prefill: Duration::from_millis(40),
         ..Config::default()
     };
-    let mut settings = production();
+    let mut settings = production_settings();
     settings.push(String::from("batch.report_ms = 1000"));
     if mode == Mode::StaticSplit {
         settings.push(format!("batch.reserve = {}", SLOTS / 2));
@@ -73,14 +73,14 @@
     let plan = Plan { engines: ENGINES, engine, settings, disabled_guards, ..Plan::default() };
     let cluster = Cluster::start(plan);
     if mode != Mode::OnlineOnly {
-        let list: Vec<_> = items("filler", 30_000)
+        let items: Vec<_> = items("filler", 30_000)
             .into_iter()
             .map(|mut item| {
                 item["max_tokens"] = json!(40);
                 item
             })
             .collect();
-        assert_eq!(cluster.submit(0, "fill", &list).status, 201);
+        assert_eq!(cluster.submit(0, "fill", &items).status, 201);
         std::thread::sleep(Duration::from_secs(3));
     }
     let before = tokens(&cluster);
@@ -122,8 +122,13 @@
         prefill: Duration::from_millis(40),
         ..Config::default()
     };
-    let plan =
-        Plan { daemons: 1, engines: ENGINES, engine, settings: production(), ..Plan::default() };
+    let plan = Plan {
+        daemons: 1,
+        engines: ENGINES,
+        engine,
+        settings: production_settings(),
+        ..Plan::default()
+    };
     let cluster = Cluster::start(plan);
     let start = Instant::now();
     std::thread::scope(|scope| {
@@ -225,13 +230,13 @@
 pub fn preemption_wait() {
     let token = Duration::from_millis(10);
     let engine = Config { slots: SLOTS, token, ..Config::default() };
-    let mut settings = production();
+    let mut settings = production_settings();
     settings.push(String::from("batch.reserve = 0"));
     let plan = Plan { daemons: 3, engines: 3, engine, settings, ..Plan::default() };
     let cluster = Cluster::start(plan);
-    let list: Vec<_> =
+    let items: Vec<_> =
         (0..2000).map(|n| json!({ "prompt": format!("filler {n}"), "max_tokens": 400 })).collect();
-    assert_eq!(cluster.submit(0, "fill", &list).status, 201);
+    assert_eq!(cluster.submit(0, "fill", &items).status, 201);
     std::thread::sleep(Duration::from_secs(3));
     let addresses = cluster.daemons.iter().map(|daemon| daemon.front_address).collect();
     let duration = Duration::from_secs(10);
--- a/crates/daemon/benches/measure/fleet.rs
+++ b/crates/daemon/benches/measure/fleet.rs
@@ -11,7 +11,7 @@
 const CHANGES: u64 = 7;
 
 /// Production settings, in place of the short intervals of the tests.
-pub fn production() -> Vec<String> {
+pub fn production_settings() -> Vec<String> {
     [
         "peers.ping_ms = 500",
         "peers.suspect_ms = 3000",
@@ -51,7 +51,7 @@
     sum
 }
 
-/// Prints the table.
+/// Prints the overhead by number of daemons.
 pub fn run() {
     println!(
         "{:>7} {:>12} {:>9} {:>9} {:>14} {:>9} {:>22}",
@@ -64,7 +64,8 @@
         "in force ms med/max"
     );
     for size in SIZES {
-        let plan = Plan { daemons: size, engines: 6, settings: production(), ..Plan::default() };
+        let plan =
+            Plan { daemons: size, engines: 6, settings: production_settings(), ..Plan::default() };
         let cluster = Cluster::start(plan);
         std::thread::sleep(WARM_UP);
         let (before, calls_before) = (sample(&cluster), cluster.platform.counts());
--- a/crates/daemon/benches/measure/front.rs
+++ b/crates/daemon/benches/measure/front.rs
@@ -1,6 +1,6 @@
 //! HTTP front end: latency and CPU time of a daemon, failing targets, overload.
 
-use crate::fleet::production;
+use crate::fleet::production_settings;
 use crate::load::{self, Load, Outcome};
 use crate::util::client::chat;
 use crate::util::cluster::{Cluster, Plan};
@@ -10,7 +10,13 @@
 use std::time::{Duration, Instant};
 
 fn start(daemons: usize, engines: usize, engine: Config) -> Cluster {
-    Cluster::start(Plan { daemons, engines, engine, settings: production(), ..Plan::default() })
+    Cluster::start(Plan {
+        daemons,
+        engines,
+        engine,
+        settings: production_settings(),
+        ..Plan::default()
+    })
 }
 
 fn fronts(cluster: &Cluster) -> Vec<SocketAddr> {
@@ -184,7 +190,7 @@
         daemons: 3,
         engines: 6,
         engine,
-        settings: production(),
+        settings: production_settings(),
         data_centres: 1,
         ..Plan::default()
     };
--- a/crates/daemon/benches/measure/load.rs
+++ b/crates/daemon/benches/measure/load.rs
@@ -47,7 +47,7 @@
 
 impl Outcome {
     fn new() -> Outcome {
-        let empty = || Histogram::new(3).expect("a histogram");
+        let empty = || Histogram::new(3).expect("invalid histogram precision");
         Outcome {
             completed: 0,
             rejected: 0,
@@ -72,7 +72,7 @@
         .worker_threads(3)
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("failed to start the runtime");
     runtime.block_on(run(load))
 }
 
@@ -96,7 +96,7 @@
         send_at += Duration::from_secs_f64(1.0 / rate);
     }
     while tasks.join_next().await.is_some() {}
-    outcome.lock().expect("no panic").clone()
+    outcome.lock().expect("a request panicked").clone()
 }
 
 async fn send_request(client: Client, load: Load, number: usize, outcome: Arc<Mutex<Outcome>>) {
@@ -113,22 +113,22 @@
     let body = Bytes::from(body.to_string());
     let response = client.open("POST", "/v1/chat/completions", &headers, body).await;
     let Ok(response) = response else {
-        outcome.lock().expect("no panic").failed += 1;
+        outcome.lock().expect("a request panicked").failed += 1;
         return;
     };
     let is_stream = response.status().is_success();
     let mut body = response.into_body();
-    let mut all = Vec::new();
+    let mut received = Vec::new();
     let mut arrivals = Vec::new();
     while let Some(Ok(frame)) = body.frame().await {
         if let Some(bytes) = frame.data_ref() {
             // The first event holds only the role; it arrives with the first token.
             arrivals.push(Instant::now());
-            all.extend_from_slice(bytes);
+            received.extend_from_slice(bytes);
         }
     }
-    let text = String::from_utf8_lossy(&all);
-    let mut outcome = outcome.lock().expect("no panic");
+    let text = String::from_utf8_lossy(&received);
+    let mut outcome = outcome.lock().expect("a request panicked");
     if is_stream && text.contains("[DONE]") {
         outcome.completed += 1;
         let micros = |from: Instant, to: Instant| (to - from).as_micros() as u64;
--- a/crates/daemon/benches/measure/log.rs
+++ b/crates/daemon/benches/measure/log.rs
@@ -1,7 +1,7 @@
 //! The durable log: platform writes by daemons and load, with and without group
 //! commit and durable responses; takeover of shards; batch items.
 
-use crate::fleet::production;
+use crate::fleet::production_settings;
 use crate::load::{self, Load};
 use crate::util::client::chat;
 use crate::util::cluster::{Cluster, Plan, items};
@@ -25,7 +25,7 @@
     let plan = Plan {
         daemons,
         engine: engine(),
-        settings: production(),
+        settings: production_settings(),
         disabled_guards,
         ..Plan::default()
     };
@@ -128,7 +128,7 @@
 /// commands again.
 pub fn takeover() {
     const ROUNDS: usize = 5;
-    let mut settings = production();
+    let mut settings = production_settings();
     settings.push(String::from("log.shards = 1"));
     println!("{:>6} {:>22}", "round", "ms until recorded");
     for round in 0..ROUNDS {
@@ -148,7 +148,7 @@
             let status = cluster.daemons[d].get("/v1/status").json();
             status["platform_calls"].as_u64().unwrap_or(0)
         };
-        let owner = (0..3).max_by_key(|d| calls(*d)).expect("a daemon");
+        let owner = (0..3).max_by_key(|d| calls(*d)).expect("no daemons");
         cluster.daemons[owner].kill();
         let start = Instant::now();
         let other = cluster.daemons[(owner + 1) % 3].front_address;
@@ -179,7 +179,7 @@
             })
             .collect();
         let accepted = cluster.submit(0, "night", &items);
-        let job = accepted.json()["job"].as_str().expect("its id").to_owned();
+        let job = accepted.json()["job"].as_str().expect("the response has no job id").to_owned();
         if kill {
             wait_until("half is done", || {
                 cluster.status(0, &job)["done"].as_u64().unwrap_or(0) > ITEMS as u64 / 2
--- a/crates/daemon/benches/slopes.rs
+++ b/crates/daemon/benches/slopes.rs
@@ -21,7 +21,7 @@
 use std::time::Instant;
 
 /// Resident memory of this process, in bytes.
-fn resident() -> f64 {
+fn resident_bytes() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|text| text.split_whitespace().next()?.parse::<f64>().ok());
@@ -47,7 +47,7 @@
 fn keys() {
     println!("{:>10} {:>16} {:>18} {:>16}", "keys", "bytes a key", "us decide+fold", "us encode");
     for count in [50_000u64, 100_000, 200_000, 400_000] {
-        let before = resident();
+        let before = resident_bytes();
         let mut shard = Shard::new(0, Policy::default());
         let (mut work, mut encode) = (0.0, 0.0);
         for group in 0..count / 50 {
@@ -72,13 +72,13 @@
             work += start.elapsed().as_secs_f64();
         }
         let each = 1e6 / count as f64;
-        let bytes = (resident() - before) / count as f64;
+        let bytes = (resident_bytes() - before) / count as f64;
         println!("{count:>10} {bytes:>16.0} {:>18.2} {:>16.2}", work * each, encode * each);
         std::mem::forget(shard);
     }
 }
 
-fn spec(job: u64, chunks: u64) -> JobSpec {
+fn job_spec(job: u64, chunks: u64) -> JobSpec {
     JobSpec {
         job: format!("job-{job:032x}"),
         digest: job,
@@ -99,10 +99,10 @@
         "jobs", "bytes a chunk", "us claim+report", "bytes archived", "ms snapshot"
     );
     for count in [250u64, 500, 1000, 2000] {
-        let before = resident();
+        let before = resident_bytes();
         let mut shard = Shard::new(0, Policy::default());
         for job in 0..count {
-            let records = vec![Record::Accepted(spec(job, CHUNKS))];
+            let records = vec![Record::Accepted(job_spec(job, CHUNKS))];
             shard.apply(Entry { token: "t".into(), at: 0, records }, 1_000);
         }
         let start = Instant::now();
@@ -130,7 +130,7 @@
             reports += 1;
         }
         let each = start.elapsed().as_secs_f64() * 1e6 / f64::from(reports);
-        let running = (resident() - before) / (count * CHUNKS) as f64;
+        let running = (resident_bytes() - before) / (count * CHUNKS) as f64;
         let start = Instant::now();
         black_box(serde_json::to_vec(&Body::of(&shard)).unwrap_or_default());
         let snapshot = start.elapsed().as_secs_f64() * 1e3;
@@ -143,18 +143,18 @@
 }
 
 fn archived_bytes_per_job(count: u64) -> f64 {
-    let before = resident();
+    let before = resident_bytes();
     let mut shard = Shard::new(0, Policy::default());
     for job in 0..count * 10 {
         let id = format!("job-{job:032x}");
         let records = vec![
-            Record::Accepted(spec(job, 1)),
+            Record::Accepted(job_spec(job, 1)),
             Record::Cancelled { job: id.clone() },
             Record::Archived { job: id },
         ];
         shard.apply(Entry { token: "t".into(), at: 0, records }, 1_000);
     }
-    let bytes = (resident() - before) / (count * 10) as f64;
+    let bytes = (resident_bytes() - before) / (count * 10) as f64;
     std::mem::forget(shard);
     bytes
 }
@@ -171,7 +171,7 @@
             "data_centre": format!("dc{}", n % 4), "service": format!("service-{}", n % 35), "slots": 8,
         })
     }));
-    serde_json::from_value(json!({ "put": put })).expect("a change")
+    serde_json::from_value(json!({ "put": put })).expect("invalid change")
 }
 
 /// Memory of a configuration by number of targets, and the cost of one change.
@@ -181,22 +181,23 @@
         "targets", "bytes a target", "ms a change", "ms a view", "KiB encoded"
     );
     for targets in [375usize, 750, 1500, 3000] {
-        let before = resident();
-        let document = Document::default().with_change(&change(targets)).expect("valid");
+        let before = resident_bytes();
+        let document =
+            Document::default().with_change(&change(targets)).expect("invalid configuration");
         let fleet = Fleet::default();
-        let place = ViewContext { me: 7, data_centre: "dc1".into(), max_targets: 64 };
-        let view = fleet.view(document.clone(), HashSet::new(), &place, true);
-        let bytes = (resident() - before) / targets as f64;
+        let context = ViewContext { me: 7, data_centre: "dc1".into(), max_targets: 64 };
+        let view = fleet.view(document.clone(), HashSet::new(), &context, true);
+        let bytes = (resident_bytes() - before) / targets as f64;
         let limit_change: Change = serde_json::from_value(json!({ "put": [
             { "object": "limit", "caller": "x", "rate": 1.0, "burst": 1.0 }
         ] }))
-        .expect("a change");
+        .expect("invalid change");
         let start = Instant::now();
         (0..20).for_each(|_| drop(black_box(document.with_change(&limit_change))));
         let change_ms = start.elapsed().as_secs_f64() * 50.0;
         let start = Instant::now();
         for _ in 0..20 {
-            drop(black_box(fleet.view(document.clone(), HashSet::new(), &place, true)));
+            drop(black_box(fleet.view(document.clone(), HashSet::new(), &context, true)));
         }
         let view_ms = start.elapsed().as_secs_f64() * 50.0;
         let encoded = serde_json::to_vec(&document).map_or(0, |b| b.len()) / 1024;
@@ -226,14 +227,14 @@
         "members", "bytes a member", "us a tick", "us a note", "ms to rank 3,000"
     );
     for count in [50u64, 100, 200, 400] {
-        let before = resident();
+        let before = resident_bytes();
         let now = Instant::now();
         let mut table = MemberTable::new(member(u64::MAX / 2), MemberPolicy::default());
         let ids = (1..=count).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         for id in ids {
             table.merge(member(id), now);
         }
-        let bytes = (resident() - before) / count as f64;
+        let bytes = (resident_bytes() - before) / count as f64;
         let start = Instant::now();
         (0..1000).for_each(|_| drop(black_box(table.tick(now))));
         let tick = start.elapsed().as_secs_f64() * 1e3;
--- a/crates/daemon/src/front/admin.rs
+++ b/crates/daemon/src/front/admin.rs
@@ -55,8 +55,8 @@
 
 /// Returns the latest accepted changes, newest first.
 pub fn history(handler: &HttpHandler) -> Response {
-    let chain = lock(&handler.shared.config_log);
-    let entries: Vec<&ConfigEntry> = chain.history().rev().take(MAX_HISTORY_ENTRIES).collect();
+    let config_log = lock(&handler.shared.config_log);
+    let entries: Vec<&ConfigEntry> = config_log.history().rev().take(MAX_HISTORY_ENTRIES).collect();
     http::json(200, &entries)
 }
 
--- a/crates/daemon/src/front/chat.rs
+++ b/crates/daemon/src/front/chat.rs
@@ -40,11 +40,12 @@
     let body = http::read_body(&mut body, settings.max_body_bytes, settings.body_timeout).await?;
     let request: Request = serde_json::from_slice(&body)
         .map_err(|error| Error::new(Kind::Malformed, format!("body: {error}")))?;
-    let (service, wanted) = parse_model(&request);
-    let deadline = check_service(handler, &service, &wanted)?;
+    let (service, requirements) = parse_model(&request);
+    let deadline = check_service(handler, &service, &requirements)?;
     let options = RequestOptions::read(head, &service, &body, deadline, arrived)?;
     let is_keyed = options.key.is_some();
-    let response = serve(handler.clone(), options, service, wanted, request, arrived, in_flight);
+    let response =
+        serve(handler.clone(), options, service, requirements, request, arrived, in_flight);
     // A keyed request continues when its caller disconnects, so that its claim is
     // settled and its outcome recorded for a resend. Others are dropped.
     if !is_keyed {
@@ -58,7 +59,7 @@
     handler: HttpHandler,
     options: RequestOptions,
     service: String,
-    wanted: Requirements,
+    requirements: Requirements,
     request: Request,
     arrived: Instant,
     in_flight: InFlightGuard,
@@ -73,7 +74,7 @@
         handler.shared.clone(),
         handler.client.clone(),
         options.clone(),
-        wanted,
+        requirements,
         service.clone(),
         request,
     );
@@ -99,19 +100,19 @@
 fn check_service(
     handler: &HttpHandler,
     service: &str,
-    wanted: &Requirements,
+    requirements: &Requirements,
 ) -> Result<Duration, Error> {
     let view = handler.shared.view();
-    let bound = view.services.get(service);
-    let bound = bound.filter(|bound| bound.service.protocol == Protocol::Chat);
-    let Some(bound) = bound else {
+    let targets = view.services.get(service);
+    let targets = targets.filter(|targets| targets.service.protocol == Protocol::Chat);
+    let Some(targets) = targets else {
         return Err(Error::new(Kind::UnknownService, format!("no service `{service}`")));
     };
-    if !fleet::is_servable(bound, wanted) {
-        let text = format!("service `{service}` has no target with {wanted:?}");
+    if !fleet::is_servable(targets, requirements) {
+        let text = format!("service `{service}` has no target with {requirements:?}");
         return Err(Error::new(Kind::UnknownModel, text));
     }
-    Ok(Duration::from_millis(bound.service.deadline_ms))
+    Ok(Duration::from_millis(targets.service.deadline_ms))
 }
 
 /// A request of a caller and its completion.
--- a/crates/daemon/src/front/completion_stream.rs
+++ b/crates/daemon/src/front/completion_stream.rs
@@ -22,7 +22,7 @@
     shared: Arc<Shared>,
     client: Client,
     options: RequestOptions,
-    wanted: Requirements,
+    requirements: Requirements,
     service: String,
     request: Request,
     stream: Option<(TargetGuard, Stream)>,
@@ -40,7 +40,7 @@
         shared: Arc<Shared>,
         client: Client,
         options: RequestOptions,
-        wanted: Requirements,
+        requirements: Requirements,
         service: String,
         request: Request,
     ) -> CompletionStream {
@@ -48,7 +48,7 @@
             shared,
             client,
             options,
-            wanted,
+            requirements,
             service,
             request,
             stream: None,
@@ -91,14 +91,14 @@
             if self.stream.is_none() {
                 self.open().await?;
             }
-            let Some((hold, stream)) = &mut self.stream else {
+            let Some((guard, stream)) = &mut self.stream else {
                 continue;
             };
             let remaining = self.options.remaining(Instant::now());
             let repeatable = self.options.repeatable;
             let item = tokio::time::timeout(
                 remaining,
-                until_unresponsive(hold, repeatable, stream.next()),
+                until_unresponsive(guard, repeatable, stream.next()),
             );
             match item.await {
                 Err(_) => {
@@ -110,7 +110,7 @@
                     return Ok(StreamItem::Token(text));
                 }
                 Ok(Ok(end)) => {
-                    hold.on_success();
+                    guard.on_success();
                     self.stream = None;
                     return Ok(end);
                 }
@@ -118,15 +118,15 @@
                     if self.shared.settings.is_guard_disabled("whole") {
                         return Ok(StreamItem::End("stop".into()));
                     }
-                    let hold = self.stream.take().map(|(hold, _)| hold);
-                    self.on_error(hold, &error)?;
+                    let guard = self.stream.take().map(|(guard, _)| guard);
+                    self.on_error(guard, &error)?;
                 }
             }
         }
     }
 
     async fn open(&mut self) -> Result<(), Error> {
-        let hold = self.acquire_target().await?;
+        let guard = self.acquire_target().await?;
         let now = Instant::now();
         let remaining = self.options.remaining(now);
         let meta = AttemptMeta {
@@ -142,16 +142,16 @@
         if self.attempts == 1 {
             lock(&self.shared.budget).on_request();
         }
-        self.target.clone_from(&hold.node.target.name);
-        let address = hold.node.target.address;
+        self.target.clone_from(&guard.node.target.name);
+        let address = guard.node.target.address;
         let chat = self.client.chat(address, &self.request, &meta);
-        match until_unresponsive(&hold, self.options.repeatable, chat).await {
+        match until_unresponsive(&guard, self.options.repeatable, chat).await {
             Ok(stream) => {
                 self.sent = true;
-                self.stream = Some((hold, stream));
+                self.stream = Some((guard, stream));
                 Ok(())
             }
-            Err(error) => self.on_error(Some(hold), &error),
+            Err(error) => self.on_error(Some(guard), &error),
         }
     }
 
@@ -160,40 +160,42 @@
         let mut waited = false;
         loop {
             let view = self.shared.view();
-            let bound = view.services.get(&self.service);
-            let bound = bound.ok_or_else(|| unknown_service(&self.service))?;
+            let targets = view.services.get(&self.service);
+            let targets = targets.ok_or_else(|| unknown_service(&self.service))?;
             let now = Instant::now();
-            let here = &self.shared.settings.data_centre;
-            if let Some(hold) = fleet::pick(bound, &self.wanted, &self.tried, here, now) {
-                return Ok(hold);
+            let data_centre = &self.shared.settings.data_centre;
+            if let Some(guard) =
+                fleet::pick(targets, &self.requirements, &self.tried, data_centre, now)
+            {
+                return Ok(guard);
             }
             if !self.tried.is_empty() {
                 // Every other target is busy or unavailable: retry the failed ones.
                 self.tried.clear();
                 continue;
             }
-            if bound.nodes.is_empty() {
+            if targets.nodes.is_empty() {
                 let text = format!("service `{}` has no targets", self.service);
                 return Err(Error::new(Kind::NoTarget, text));
             }
             if waited {
-                return Err(self.busy_error(bound, Duration::from_secs(1)));
+                return Err(self.busy_error(targets, Duration::from_secs(1)));
             }
-            waited = self.wait(bound, now).await?;
+            waited = self.wait(targets, now).await?;
         }
     }
 
     /// Waits in the service's queue; returns whether the wait timed out.
-    async fn wait(&self, bound: &ServiceTargets, now: Instant) -> Result<bool, Error> {
-        let counts = &bound.counts;
+    async fn wait(&self, targets: &ServiceTargets, now: Instant) -> Result<bool, Error> {
+        let counts = &targets.counts;
         let queue = Queue {
             waiting: counts.waiting.load(Ordering::Relaxed),
-            max_waiting: bound.service.queue,
+            max_waiting: targets.service.queue,
             running: counts.running.load(Ordering::Relaxed),
             mean_duration: Duration::from_micros(counts.mean_duration_us.load(Ordering::Relaxed)),
         };
         let max_wait = match queue::decide(queue, self.options.remaining(now)) {
-            Decision::Refuse(after) => return Err(self.busy_error(bound, after)),
+            Decision::Refuse(after) => return Err(self.busy_error(targets, after)),
             Decision::Wait(max_wait) => max_wait,
         };
         counts.waiting.fetch_add(1, Ordering::Relaxed);
@@ -202,7 +204,7 @@
         Ok(freed.is_err())
     }
 
-    fn busy_error(&self, bound: &ServiceTargets, after: Duration) -> Error {
+    fn busy_error(&self, targets: &ServiceTargets, after: Duration) -> Error {
         if self.sent {
             // An earlier attempt was sent, so the request may have run.
             return Error::new(Kind::TargetFailed, "no other target is free")
@@ -211,19 +213,19 @@
         if self.options.remaining(Instant::now()).is_zero() {
             return Error::new(Kind::DeadlinePassed, "no target was free in time");
         }
-        let text = format!("every target of `{}` is busy", bound.service.name);
+        let text = format!("every target of `{}` is busy", targets.service.name);
         Error::new(Kind::Overloaded, text).with_retry_after(after)
     }
 
     /// Returns `Ok` if the request should be retried, otherwise the final error.
-    fn on_error(&mut self, hold: Option<TargetGuard>, error: &AttemptError) -> Result<(), Error> {
+    fn on_error(&mut self, guard: Option<TargetGuard>, error: &AttemptError) -> Result<(), Error> {
         let now = Instant::now();
-        if let Some(hold) = hold {
-            hold.on_failure(now);
-            self.tried.push(hold.node.target.name.clone());
+        if let Some(guard) = guard {
+            guard.on_failure(now);
+            self.tried.push(guard.node.target.name.clone());
             if error.leaving {
                 let notice = Notice { leaving: true, stamp: clock::millis() };
-                self.shared.report_leaving(&hold.node.target.name, Source::Target, notice);
+                self.shared.report_leaving(&guard.node.target.name, Source::Target, notice);
             }
         }
         let may_have_run = error.failure == Failure::Unknown;
@@ -263,7 +265,7 @@
 /// Fails when the target becomes unresponsive, so that another target can continue
 /// a repeatable request. A request that may run at most once waits for its target.
 async fn until_unresponsive<T>(
-    hold: &TargetGuard,
+    guard: &TargetGuard,
     repeatable: bool,
     response: impl Future<Output = Result<T, AttemptError>>,
 ) -> Result<T, AttemptError> {
@@ -272,7 +274,7 @@
     }
     tokio::select! {
         response = response => response,
-        () = hold.node.wait_unresponsive() => {
+        () = guard.node.wait_unresponsive() => {
             Err(AttemptError::new(Failure::Unknown, "the target is unresponsive"))
         }
     }
--- a/crates/daemon/src/front/jobs.rs
+++ b/crates/daemon/src/front/jobs.rs
@@ -43,21 +43,21 @@
     }
     let scoped = format!("{}/{key}", head.header(header::CALLER));
     let job = format!("job-{:032x}", xxh3_128(scoped.as_bytes()));
-    let known = shared.shards.submit(shared, Command::Status { job: job.clone() }).await;
-    if let Err(error) = &known
+    let status = shared.shards.submit(shared, Command::Status { job: job.clone() }).await;
+    if let Err(error) = &status
         && error.kind != Kind::NotFound
     {
         return Err(error.clone());
     }
     let lines = LineReader::new(body, MAX_LINE_BYTES, shared.settings.body_timeout);
-    let mut upload = Upload::new(shared.clone(), job.clone(), known.is_ok());
+    let mut upload = Upload::new(shared.clone(), job.clone(), status.is_ok());
     let spec = upload.read(lines).await?;
     match shared.shards.submit(shared, Command::Accept(spec.clone())).await {
         Ok(Reply::Status(status)) => Ok(http::json(200, &status)),
         Ok(_) => {
             upload.is_referenced = true;
             slog::info!(shared.log, "job accepted"; "job" => &job, "items" => spec.items);
-            Ok(http::json(201, &accepted(&spec)))
+            Ok(http::json(201, &initial_status(&spec)))
         }
         Err(error) => {
             upload.is_referenced = error.kind == Kind::Undetermined;
@@ -66,7 +66,7 @@
     }
 }
 
-fn accepted(spec: &JobSpec) -> Status {
+fn initial_status(spec: &JobSpec) -> Status {
     Status {
         job: spec.job.clone(),
         service: spec.service.clone(),
@@ -88,8 +88,10 @@
     is_duplicate: bool,
     digest: Xxh3Default,
     chunk: ChunkItems,
+    /// Length of the lines of `chunk`.
     bytes: usize,
     items: u64,
+    /// Index of the first item of each chunk.
     starts: Vec<u64>,
     /// Whether an accepted job refers, or may refer, to the written chunks.
     is_referenced: bool,
@@ -261,15 +263,15 @@
     job: &str,
 ) -> Result<Response, Error> {
     let shared = &handler.shared;
-    let from = number(head, "from")?.unwrap_or(0);
-    let limit = number(head, "limit")?.unwrap_or(MAX_PAGE_ITEMS).clamp(1, MAX_PAGE_ITEMS);
+    let from = number_parameter(head, "from")?.unwrap_or(0);
+    let limit = number_parameter(head, "limit")?.unwrap_or(MAX_PAGE_ITEMS).clamp(1, MAX_PAGE_ITEMS);
     let command = Command::Results { job: job.into(), from, limit };
     let reply = shared.shards.submit(shared, command).await?;
     let Reply::Results { status, mut chunks, archived } = reply else {
         return Err(Error::new(Kind::Internal, "unexpected reply from the log"));
     };
     if archived {
-        let index: Vec<ChunkResults> = read(shared, &object_key::index(&status.job)).await?;
+        let index: Vec<ChunkResults> = read_object(shared, &object_key::index(&status.job)).await?;
         chunks = index.into_iter().filter(|c| c.start < from + limit && c.end > from).collect();
     }
     let mut lines = Vec::new();
@@ -290,7 +292,7 @@
     let mut progress = ChunkProgress::default();
     for part in &chunk.parts {
         let key = object_key::result_part(&status.job, chunk.chunk, part.attempt, part.part);
-        progress.apply(read::<ResultPart>(shared, &key).await?);
+        progress.apply(read_object::<ResultPart>(shared, &key).await?);
     }
     let items = chunk.start..chunk.end;
     let outcome = |item: u64| {
@@ -303,7 +305,10 @@
     Ok(items.filter_map(outcome).collect())
 }
 
-async fn read<T: serde::de::DeserializeOwned>(shared: &Shared, key: &str) -> Result<T, Error> {
+async fn read_object<T: serde::de::DeserializeOwned>(
+    shared: &Shared,
+    key: &str,
+) -> Result<T, Error> {
     let unavailable =
         |text: String| Error::new(Kind::PlatformUnavailable, format!("`{key}`: {text}"));
     let found = shared.store.get(key).await.map_err(|error| unavailable(error.to_string()))?;
@@ -311,7 +316,7 @@
     serde_json::from_slice(&found.bytes).map_err(|error| unavailable(error.to_string()))
 }
 
-fn number(head: &RequestHead, name: &str) -> Result<Option<u64>, Error> {
+fn number_parameter(head: &RequestHead, name: &str) -> Result<Option<u64>, Error> {
     let parse = |text: &str| {
         text.parse()
             .map_err(|_| Error::new(Kind::Malformed, format!("`{name}`: expected a number")))
--- a/crates/daemon/src/front/keyed.rs
+++ b/crates/daemon/src/front/keyed.rs
@@ -16,7 +16,7 @@
 
 /// Whether a request needs to run.
 pub enum BeginOutcome {
-    /// It has no recorded outcome.
+    /// No outcome is known; send it to a target.
     Run,
     /// It has already finished with this outcome.
     Replay(StoredOutcome),
--- a/crates/daemon/src/front/plain.rs
+++ b/crates/daemon/src/front/plain.rs
@@ -29,12 +29,12 @@
     let body = http::read_body(&mut body, settings.max_body_bytes, settings.body_timeout).await?;
     let (service, repeatable, deadline) = {
         let view = handler.shared.view();
-        let bound = view.plain_service(&head.path);
-        let bound = bound.ok_or_else(|| Error::new(Kind::UnknownPath, head.path.clone()))?;
+        let targets = view.plain_service(&head.path);
+        let targets = targets.ok_or_else(|| Error::new(Kind::UnknownPath, head.path.clone()))?;
         let method = head.method.as_str();
-        let repeatable = bound.service.repeatable.iter().any(|m| m.eq_ignore_ascii_case(method));
-        let deadline = Duration::from_millis(bound.service.deadline_ms);
-        (bound.service.name.clone(), repeatable, deadline)
+        let repeatable = targets.service.repeatable.iter().any(|m| m.eq_ignore_ascii_case(method));
+        let deadline = Duration::from_millis(targets.service.deadline_ms);
+        (targets.service.name.clone(), repeatable, deadline)
     };
     let scope = format!("{service} {} {}", head.method, head.path);
     let mut options = RequestOptions::read(head, &scope, &body, deadline, Instant::now())?;
@@ -121,7 +121,7 @@
         PlainCall { method: head.method.clone(), path, headers: head.headers.clone(), body };
     for attempt in 1.. {
         let now = Instant::now();
-        let Some(hold) = acquire_target(handler, service, &tried, now) else {
+        let Some(guard) = acquire_target(handler, service, &tried, now) else {
             return Err((Error::new(Kind::NoTarget, format!("no target of `{service}`")), sent));
         };
         let meta = AttemptMeta {
@@ -130,24 +130,24 @@
             priority: 0,
             timeout: options.remaining(now),
         };
-        let error = match handler.client.plain(hold.node.target.address, plain.clone(), &meta).await
-        {
-            // The server accepted the call before it failed: it may have run.
-            Ok((status, ..)) if status.is_server_error() => {
-                AttemptError::new(Failure::Unknown, format!("target returned status {status}"))
-            }
-            Ok(response) => {
-                hold.on_success();
-                return Ok(response);
-            }
-            // A plain service may have run a call that it rejected.
-            Err(error) if error.failure == Failure::Refused && !options.repeatable => {
-                AttemptError { failure: Failure::Unknown, ..error }
-            }
-            Err(error) => error,
-        };
-        hold.on_failure(Instant::now());
-        tried.push(hold.node.target.name.clone());
+        let error =
+            match handler.client.plain(guard.node.target.address, plain.clone(), &meta).await {
+                // The server accepted the call before it failed: it may have run.
+                Ok((status, ..)) if status.is_server_error() => {
+                    AttemptError::new(Failure::Unknown, format!("target returned status {status}"))
+                }
+                Ok(response) => {
+                    guard.on_success();
+                    return Ok(response);
+                }
+                // A plain service may have run a call that it rejected.
+                Err(error) if error.failure == Failure::Refused && !options.repeatable => {
+                    AttemptError { failure: Failure::Unknown, ..error }
+                }
+                Err(error) => error,
+            };
+        guard.on_failure(Instant::now());
+        tried.push(guard.node.target.name.clone());
         sent |= error.failure == Failure::Unknown;
         let guard_disabled = handler.shared.settings.is_guard_disabled("retry");
         let may_retry = retry::may_retry(options.repeatable || guard_disabled, error.failure);
@@ -166,10 +166,10 @@
     now: Instant,
 ) -> Option<TargetGuard> {
     let view = handler.shared.view();
-    let bound = view.services.get(service)?;
-    let here = &handler.shared.settings.data_centre;
-    let wanted = Requirements { prefix: rand::random(), ..Requirements::default() };
-    fleet::pick(bound, &wanted, tried, here, now)
+    let targets = view.services.get(service)?;
+    let data_centre = &handler.shared.settings.data_centre;
+    let requirements = Requirements { prefix: rand::random(), ..Requirements::default() };
+    fleet::pick(targets, &requirements, tried, data_centre, now)
 }
 
 fn replay(stored: StoredOutcome) -> Result<Response, Error> {
