--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -3,7 +3,7 @@
 use protocol::settings::Settings;
 use standin::engine::{Config, Engine};
 use standin::platform::Platform;
-use standin::serve::{self, Running};
+use standin::serve::{self, Server};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -12,7 +12,7 @@
 struct Bench {
     daemon: daemon::Daemon,
     folder: PathBuf,
-    _standins: Vec<Running>,
+    _standins: Vec<Server>,
 }
 
 impl Bench {
@@ -71,7 +71,7 @@
 fn a_question_gets_the_same_text_streamed_and_not() {
     let bench = Bench::start("question");
     let whole = bench.good(&["request", "pustak-llm", "which edition?"]);
-    assert_eq!(whole.trim(), standin::text::whole("which edition?", None).trim());
+    assert_eq!(whole.trim(), standin::text::full_text("which edition?", None).trim());
     assert_eq!(bench.good(&["request", "--stream", "pustak-llm", "which edition?"]), whole);
     let json = bench.good(&["--json", "request", "--key", "k", "--once", "pustak-llm", "offer"]);
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
--- a/crates/daemon/benches/measure/batch.rs
+++ b/crates/daemon/benches/measure/batch.rs
@@ -57,7 +57,7 @@
 fn run_mode(mode: Mode, capacity: f64) -> Run {
     let engine = Config {
         slots: SLOTS,
-        token: TOKEN_INTERVAL,
+        token_interval: TOKEN_INTERVAL,
         prefill: Duration::from_millis(40),
         ..Config::default()
     };
@@ -118,7 +118,7 @@
 fn capacity() -> f64 {
     let engine = Config {
         slots: SLOTS,
-        token: TOKEN_INTERVAL,
+        token_interval: TOKEN_INTERVAL,
         prefill: Duration::from_millis(40),
         ..Config::default()
     };
@@ -229,7 +229,7 @@
 /// Wait of online requests for a slot at targets filled with batch.
 pub fn preemption_wait() {
     let token = Duration::from_millis(10);
-    let engine = Config { slots: SLOTS, token, ..Config::default() };
+    let engine = Config { slots: SLOTS, token_interval: token, ..Config::default() };
     let mut settings = production_settings();
     settings.push(String::from("batch.reserve = 0"));
     let plan = Plan { daemons: 3, engines: 3, engine, settings, ..Plan::default() };
--- a/crates/daemon/benches/measure/front.rs
+++ b/crates/daemon/benches/measure/front.rs
@@ -49,14 +49,17 @@
     print_header();
     let cases: [(&str, Option<Control>); 5] = [
         ("none", None),
-        ("cuts every stream", Some(Control { cut: Some(100_000), ..Control::default() })),
+        (
+            "cuts every stream",
+            Some(Control { interrupted_streams: Some(100_000), ..Control::default() }),
+        ),
         ("fails", Some(Control { failing: Some(true), ..Control::default() })),
         ("frozen", Some(Control { frozen: Some(true), ..Control::default() })),
-        ("slowed 10x", Some(Control { slow: Some(10.0), ..Control::default() })),
+        ("slowed 10x", Some(Control { slow_factor: Some(10.0), ..Control::default() })),
     ];
     for (name, control) in cases {
         let token = Duration::from_millis(10);
-        let cluster = start(3, 6, Config { token, ..Config::default() });
+        let cluster = start(3, 6, Config { token_interval: token, ..Config::default() });
         let engine = cluster.engines[0].clone();
         let injection = std::thread::spawn(move || {
             std::thread::sleep(Duration::from_secs(3));
@@ -84,7 +87,7 @@
     let engine = Config {
         slots: 4000,
         prefill: Duration::from_millis(5),
-        token: Duration::from_millis(1),
+        token_interval: Duration::from_millis(1),
         ..Config::default()
     };
     let cluster = start(1, 1, engine);
@@ -156,8 +159,12 @@
 /// Prints the goodput at 0.5 to 3 times the capacity of the targets.
 pub fn saturation() {
     let token = Duration::from_millis(10);
-    let engine =
-        Config { slots: 8, token, prefill: Duration::from_millis(10), ..Config::default() };
+    let engine = Config {
+        slots: 8,
+        token_interval: token,
+        prefill: Duration::from_millis(10),
+        ..Config::default()
+    };
     // A request takes a slot for 200 ms: 10 ms of prefill and 19 gaps of 10 ms.
     let capacity = 3.0 * 8.0 / 0.2;
     print_header();
@@ -184,8 +191,12 @@
 /// completion length.
 pub fn slopes() {
     let token = Duration::from_millis(10);
-    let engine =
-        Config { slots: 4000, prefill: Duration::from_millis(5), token, ..Config::default() };
+    let engine = Config {
+        slots: 4000,
+        prefill: Duration::from_millis(5),
+        token_interval: token,
+        ..Config::default()
+    };
     let plan = Plan {
         daemons: 3,
         engines: 6,
--- a/crates/daemon/benches/measure/log.rs
+++ b/crates/daemon/benches/measure/log.rs
@@ -17,7 +17,12 @@
 
 fn engine() -> Config {
     let token = Duration::from_millis(1);
-    Config { slots: 64, prefill: Duration::from_millis(1), token, ..Config::default() }
+    Config {
+        slots: 64,
+        prefill: Duration::from_millis(1),
+        token_interval: token,
+        ..Config::default()
+    }
 }
 
 fn start(daemons: usize, disabled_guards: &str) -> Cluster {
@@ -190,7 +195,7 @@
         let seconds = start.elapsed().as_secs_f64();
         let after = cluster.platform.counts();
         let writes = after.writes - before.writes;
-        let runs = cluster.runs().iter().filter(|run| run.whole).count();
+        let runs = cluster.runs().iter().filter(|run| run.is_complete).count();
         println!(
             "{:>7} {:>8.1} {:>9.0} {:>10} {:>16.1} {:>18.0} {:>10}",
             ITEMS,
@@ -198,7 +203,7 @@
             ITEMS as f64 / seconds,
             writes,
             writes as f64 * 1000.0 / ITEMS as f64,
-            (after.bytes - before.bytes) as f64 / ITEMS as f64,
+            (after.written_bytes - before.written_bytes) as f64 / ITEMS as f64,
             runs - ITEMS
         );
     }
--- a/crates/daemon/examples/trial.rs
+++ b/crates/daemon/examples/trial.rs
@@ -11,7 +11,7 @@
 use protocol::settings::Settings;
 use standin::engine::{Config, Engine};
 use standin::platform::Platform;
-use standin::serve::{self, Running};
+use standin::serve::{self, Server};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 fn trial(trace: PathBuf) -> anyhow::Result<bool> {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = serve::start(any_port, Platform::default())?;
-    let engines: Vec<Running> = (0..ENGINES)
+    let engines: Vec<Server> = (0..ENGINES)
         .map(|_| serve::start(any_port, Engine::new(Config::default())))
         .collect::<Result<_, _>>()?;
     let mut daemons: Vec<daemon::Daemon> = Vec::new();
@@ -71,8 +71,8 @@
 fn replay_args(
     file: PathBuf,
     fronts: &[SocketAddr],
-    platform: &Running,
-    engines: &[Running],
+    platform: &Server,
+    engines: &[Server],
 ) -> Replay {
     let control = |name: String, address| Control { name, address };
     let mut controls = vec![control("platform".into(), platform.address)];
@@ -92,7 +92,7 @@
 async fn configure(
     context: &Context,
     fronts: &[SocketAddr],
-    engines: &[Running],
+    engines: &[Server],
 ) -> anyhow::Result<()> {
     let mut put = vec![serde_json::json!({ "object": "version", "name": "v1", "weights": "w/v1" })];
     for service in ["pustak-llm", "scoreline-llm"] {
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn an_offer_whose_instance_is_killed_is_not_made_again() {
-    let engine = Config { token: Duration::from_millis(100), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(100), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let front = cluster.daemons[0].front_address;
     let sent = std::thread::spawn(move || {
@@ -74,7 +74,8 @@
 fn a_cut_answer_is_final_and_told_at_once() {
     let cluster = Cluster::start(Plan::default());
     for engine in &cluster.engines {
-        engine.control(EngineControl { cut: Some(100), ..EngineControl::default() });
+        engine
+            .control(EngineControl { interrupted_streams: Some(100), ..EngineControl::default() });
     }
     let first = offer(&cluster, 0, "a");
     assert_eq!(first.json()["error"]["type"], "may_have_run", "{first:?}");
@@ -90,7 +91,11 @@
 fn a_claim_whose_answer_is_lost_runs_nothing_twice(#[case] lose: u32) {
     let cluster = Cluster::start(Plan::default());
     let lose_prefix = Some(String::from("log/"));
-    cluster.platform_fault(Control { lose: Some(lose), lose_prefix, ..Control::default() });
+    cluster.platform_fault(Control {
+        lost_replies: Some(lose),
+        lost_replies_prefix: lose_prefix,
+        ..Control::default()
+    });
     for round in 0..12 {
         offer(&cluster, round % 3, &format!("k{}", round % 4));
     }
@@ -104,7 +109,7 @@
 
 #[test]
 fn a_holder_paused_between_claim_and_answer_runs_it_once() {
-    let engine = Config { token: Duration::from_millis(60), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(60), ..Config::default() };
     let cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let front = cluster.daemons[0].front_address;
     let sent = std::thread::spawn(move || {
@@ -135,7 +140,7 @@
 #[test]
 fn a_call_of_a_plain_service_whose_answer_is_lost_is_not_repeated() {
     let cluster = Cluster::start(Plan::default());
-    cluster.plain.lose(1);
+    cluster.plain.lose_replies(1);
     let first = post_offer(&cluster, 0, "a");
     assert_eq!(first.json()["error"]["type"], "may_have_run", "{first:?}");
     for daemon in [1, 2, 0] {
@@ -151,7 +156,7 @@
 
 #[test]
 fn items_that_may_run_once_survive_kills_without_a_second_run() {
-    let engine = Config { token: Duration::from_millis(10), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(10), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let list: Vec<Value> =
         (0..200).map(|n| json!({ "prompt": format!("wire {n}"), "repeatable": false })).collect();
--- a/crates/daemon/tests/cancel_stops.rs
+++ b/crates/daemon/tests/cancel_stops.rs
@@ -10,7 +10,7 @@
 use util::{wait_for, wait_until};
 
 fn start(items_in_all: usize) -> (Cluster, String) {
-    let engine = Config { token: Duration::from_millis(20), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(20), ..Config::default() };
     // Large chunks: a holder that went on would go on for long.
     let settings = vec![String::from("batch.chunk_items = 1000")];
     let cluster = Cluster::start(Plan { engine, settings, ..Plan::default() });
--- a/crates/daemon/tests/config_in_force.rs
+++ b/crates/daemon/tests/config_in_force.rs
@@ -25,9 +25,9 @@
 
 #[rstest]
 #[case::sound(Control::default())]
-#[case::deaf_watches(Control { deaf: Some(true), ..Control::default() })]
-#[case::stale_reads(Control { stale: Some(true), ..Control::default() })]
-#[case::slow(Control { slow_ms: Some(50), ..Control::default() })]
+#[case::deaf_watches(Control { no_watch_events: Some(true), ..Control::default() })]
+#[case::stale_reads(Control { stale_reads: Some(true), ..Control::default() })]
+#[case::slow(Control { latency_ms: Some(50), ..Control::default() })]
 fn accepted_is_in_force_everywhere(#[case] control: Control) {
     let cluster = Cluster::start(Plan::default());
     fault(&cluster, control);
@@ -65,10 +65,10 @@
 #[test]
 fn a_restored_platform_reverts_nothing() {
     let mut cluster = Cluster::start(Plan::default());
-    fault(&cluster, Control { save: Some(true), ..Control::default() });
+    fault(&cluster, Control { save_snapshot: Some(true), ..Control::default() });
     assert_eq!(cluster.apply(0, 1, &limit(7)).status, 200);
     cluster.wait_generation(2);
-    fault(&cluster, Control { restore: Some(true), ..Control::default() });
+    fault(&cluster, Control { restore_snapshot: Some(true), ..Control::default() });
     wait_until("the platform is healed", || {
         let healed = cluster.platform.value("config/e/000000000002").is_some();
         assert!(cluster.daemons.iter().all(|daemon| rate(daemon) == 7.0), "it reverted");
@@ -85,11 +85,11 @@
 /// An instance that keeps nothing and starts while the platform is away gets the
 /// configuration in force from its peers.
 #[rstest]
-#[case::away(Control { down: Some(true), ..Control::default() })]
-#[case::stale(Control { stale: Some(true), ..Control::default() })]
+#[case::away(Control { unavailable: Some(true), ..Control::default() })]
+#[case::stale(Control { stale_reads: Some(true), ..Control::default() })]
 fn a_start_during_an_outage_serves_nothing_older(#[case] control: Control) {
     let mut cluster = Cluster::start(Plan::default());
-    if control.stale == Some(true) {
+    if control.stale_reads == Some(true) {
         fault(&cluster, control.clone());
     }
     assert_eq!(cluster.apply(0, 1, &limit(7)).status, 200);
@@ -137,7 +137,10 @@
 fn a_change_whose_answer_is_lost_is_accepted_once() {
     let cluster = Cluster::start(Plan::default());
     let lose_prefix = Some(String::from("config/"));
-    fault(&cluster, Control { lose: Some(1), lose_prefix, ..Control::default() });
+    fault(
+        &cluster,
+        Control { lost_replies: Some(1), lost_replies_prefix: lose_prefix, ..Control::default() },
+    );
     let response = cluster.apply(0, 1, &limit(7));
     assert_eq!((response.status, response.json()["generation"].clone()), (200, json!(2)));
     cluster.wait_generation(2);
--- a/crates/daemon/tests/contract.rs
+++ b/crates/daemon/tests/contract.rs
@@ -140,9 +140,13 @@
     let control = |control: EngineControl| {
         cluster.engines.iter().for_each(|engine| engine.control(control.clone()));
     };
-    control(EngineControl { cut: Some(1000), ..EngineControl::default() });
+    control(EngineControl { interrupted_streams: Some(1000), ..EngineControl::default() });
     check_error(&chat(front, "cut", &[], json!({})), Kind::Truncated);
-    control(EngineControl { cut: Some(0), failing: Some(true), ..EngineControl::default() });
+    control(EngineControl {
+        interrupted_streams: Some(0),
+        failing: Some(true),
+        ..EngineControl::default()
+    });
     check_error(&chat(front, "failing", &[], json!({})), Kind::TargetFailed);
 }
 
--- a/crates/daemon/tests/cut_off.rs
+++ b/crates/daemon/tests/cut_off.rs
@@ -57,7 +57,7 @@
     cut(&cluster, 0, true);
     let front = cluster.daemons[0].front_address;
     let plain = chat(front, "which edition?", &[], json!({ "stream": true }));
-    assert_eq!(plain.streamed_text(), (text::whole("which edition?", None), true));
+    assert_eq!(plain.streamed_text(), (text::full_text("which edition?", None), true));
     let keyed = chat(front, "keyed", &[("idempotency-key", "k")], json!({}));
     assert_eq!((keyed.status, keyed.header("gatespool-recorded")), (200, "later"));
     let once = [("idempotency-key", "o"), ("gatespool-repeatable", "false")];
@@ -85,7 +85,7 @@
 /// it joins while both are at it, and each item has one outcome.
 #[test]
 fn batch_work_of_both_sides_has_one_outcome_each() {
-    let engine = Config { token: Duration::from_millis(20), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(20), ..Config::default() };
     let cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let list: Vec<Value> =
         (0..48).map(|n| json!({ "prompt": format!("long {n}"), "max_tokens": 150 })).collect();
--- a/crates/daemon/tests/exactly_once.rs
+++ b/crates/daemon/tests/exactly_once.rs
@@ -25,14 +25,14 @@
     assert_eq!(results.len(), count);
     for (place, line) in results.iter().enumerate() {
         assert_eq!(line["item"], place);
-        assert_eq!(line["text"], text::whole(&format!("{prompt} {place}"), None));
+        assert_eq!(line["text"], text::full_text(&format!("{prompt} {place}"), None));
     }
 }
 
 /// Whole runs beyond the first of each key.
 fn repeated(cluster: &Cluster) -> usize {
     let mut whole: HashMap<String, usize> = HashMap::new();
-    for run in cluster.runs().into_iter().filter(|run| run.whole) {
+    for run in cluster.runs().into_iter().filter(|run| run.is_complete) {
         *whole.entry(run.key).or_default() += 1;
     }
     whole.values().map(|runs| runs - 1).sum()
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_job_survives_the_kill_of_every_instance() {
-    let engine = Config { token: Duration::from_millis(5), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(5), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let job = job_of(&cluster.submit(0, "night", &items("describe", 600)));
     for round in 0..3 {
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_holder_paused_past_its_claim_records_no_second_outcome() {
-    let engine = Config { token: Duration::from_millis(20), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(20), ..Config::default() };
     let cluster = Cluster::start(Plan { engine, ..Plan::default() });
     // Items of some two seconds: the next holder is still at them when the
     // paused one wakes with its own answers in hand.
@@ -82,7 +82,7 @@
     let results = cluster.results(holder, &job);
     assert_eq!(results.len(), 48);
     for (place, line) in results.iter().enumerate() {
-        assert_eq!(line["text"], text::whole(&format!("long {place}"), Some(100)));
+        assert_eq!(line["text"], text::full_text(&format!("long {place}"), Some(100)));
     }
 }
 
@@ -92,7 +92,11 @@
     let job = job_of(&cluster.submit(0, "night", &items("describe", 300)));
     for _ in 0..5 {
         let lose_prefix = Some(String::from("log/"));
-        cluster.platform_fault(Control { lose: Some(3), lose_prefix, ..Control::default() });
+        cluster.platform_fault(Control {
+            lost_replies: Some(3),
+            lost_replies_prefix: lose_prefix,
+            ..Control::default()
+        });
         std::thread::sleep(Duration::from_millis(100));
     }
     check_results(&cluster, 2, &job, "describe", 300);
@@ -101,7 +105,7 @@
 
 #[test]
 fn an_outage_and_a_kill_together_lose_nothing() {
-    let engine = Config { token: Duration::from_millis(5), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(5), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let job = job_of(&cluster.submit(0, "night", &items("describe", 500)));
     wait_until("work began", || cluster.runs().len() > 60);
@@ -233,7 +237,7 @@
     for n in 0..24 {
         assert_eq!(ask(&cluster, n % 3, n).status, 200);
     }
-    wait_until("writes were refused", || cluster.platform.counts().limited > 10);
+    wait_until("writes were refused", || cluster.platform.counts().rate_limited > 10);
     rate(&cluster, 1e6);
     for n in 0..24 {
         wait_until("the outcome is recorded", || {
@@ -301,7 +305,7 @@
     let (_, after) = cluster.daemons[0].cpu_ticks_and_rss_kib();
     // The body is some 12 MB; a chunk is some 10 kB.
     assert!(after < before + 40_000, "resident memory grew from {before} to {after} KiB");
-    assert!(cluster.platform.counts().largest < 1 << 20);
+    assert!(cluster.platform.counts().largest_write_bytes < 1 << 20);
     assert_eq!(cluster.status(1, &job)["items"], 290_000);
     let cancel =
         call("POST", cluster.daemons[2].front_address, &format!("/v1/jobs/{job}/cancel"), &[], "");
@@ -316,7 +320,7 @@
 /// its chunk for ever, since its reports showed that it was alive.
 #[test]
 fn a_chunk_whose_holder_lost_its_targets_is_given_back() {
-    let engine = Config { token: Duration::from_millis(20), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(20), ..Config::default() };
     let plan = Plan { daemons: 1, engines: 1, engine, data_centres: 1, ..Plan::default() };
     let mut cluster = Cluster::start(plan);
     let job = job_of(&cluster.submit(0, "night", &items("describe", 200)));
--- a/crates/daemon/tests/gateway_batch.rs
+++ b/crates/daemon/tests/gateway_batch.rs
@@ -44,7 +44,7 @@
 #[test]
 fn job_survives_a_lost_platform_response() {
     let fleet = Fleet::start(Plan::default());
-    fleet.objects.set_faults(Faults { lost: 1, ..Faults::default() });
+    fleet.objects.set_faults(Faults { lost_replies: 1, ..Faults::default() });
     let response = fleet.submit(0, "lost", &["a"]);
     assert_eq!(response.status, 202, "{response:?}");
     assert_results(&fleet.wait_results(1, "lost"), &["a"], 10);
@@ -57,7 +57,11 @@
 fn late_platform_write_is_consistent_with_the_response() {
     let fleet = Fleet::start(Plan::default());
     let late_by = Duration::from_millis(1_500);
-    fleet.objects.set_faults(Faults { late: 1, late_by, ..Faults::default() });
+    fleet.objects.set_faults(Faults {
+        delayed_writes: 1,
+        write_delay: late_by,
+        ..Faults::default()
+    });
     let response = fleet.submit(0, "late", &["a"]);
     std::thread::sleep(Duration::from_millis(2_000));
     match response.status {
@@ -73,7 +77,7 @@
 #[test]
 fn job_is_rejected_and_never_runs_while_the_platform_is_unavailable() {
     let fleet = Fleet::start(Plan::default());
-    fleet.objects.set_faults(Faults { away: true, ..Faults::default() });
+    fleet.objects.set_faults(Faults { unavailable: true, ..Faults::default() });
     let response = fleet.submit(0, "refused", &["a"]);
     assert_eq!(response.status, 503, "{response:?}");
     assert!(!response.header("retry-after").is_empty());
@@ -101,8 +105,8 @@
 fn items_that_cannot_succeed_end_as_failed() {
     let fleet = Fleet::start(Plan::default());
     for runner in &fleet.runners {
-        runner.fail("never", 422);
-        runner.fail("poison", 500);
+        runner.fail_id("never", 422);
+        runner.fail_id("poison", 500);
     }
     assert_eq!(fleet.submit(0, "mixed", &["good", "never", "poison"]).status, 202);
     let results = fleet.wait_results(1, "mixed");
@@ -138,14 +142,17 @@
     const MAX_VALUE_BYTES: usize = 6_000;
     let settings = vec![format!("platform.value_bytes = {MAX_VALUE_BYTES}")];
     let mut fleet = Fleet::start(Plan { settings, ..Plan::default() });
-    fleet.objects.set_longest(MAX_VALUE_BYTES);
+    fleet.objects.set_max_half_bytes(MAX_VALUE_BYTES);
     let ids: Vec<String> = (0..60).map(|n| format!("item-{n:02}")).collect();
     let items: Vec<&str> = ids.iter().map(String::as_str).collect();
     assert_eq!(fleet.submit(0, "long", &items).status, 202);
     assert_eq!(fleet.submit(1, "long", &items).status, 202, "the job is stored already");
     let results = fleet.wait_results(2, "long");
     assert_results(&results, &items, 10);
-    assert!(fleet.objects.all("gatespool-job-pieces").len() > 2, "the job has no overflow objects");
+    assert!(
+        fleet.objects.objects_of_kind("gatespool-job-pieces").len() > 2,
+        "the job has no overflow objects"
+    );
     // After a restart of all instances the job is loaded from its overflow objects.
     for n in 0..3 {
         fleet.gateways[n].kill();
@@ -169,7 +176,7 @@
 #[test]
 fn oversized_item_is_rejected_and_other_jobs_are_accepted() {
     let fleet = Fleet::start(Plan::default());
-    fleet.objects.set_longest(2_000);
+    fleet.objects.set_max_half_bytes(2_000);
     let long = "x".repeat(3_000);
     assert_eq!(fleet.submit(0, "too-long", &[long.as_str()]).status, 413);
     assert_eq!(fleet.submit(0, "short", &["a"]).status, 202);
--- a/crates/daemon/tests/gateway_crash.rs
+++ b/crates/daemon/tests/gateway_crash.rs
@@ -15,13 +15,13 @@
 fn fleet(path: &str) -> Fleet {
     let config = |n: u32| Config {
         id: format!("r{n}"),
-        first: Duration::from_millis(20),
+        first_event_delay: Duration::from_millis(20),
         ..Config::default()
     };
     let data_centre = |n: u32| if n.is_multiple_of(2) { "east" } else { "west" };
     let runners = (0..RUNNERS).map(|n| (data_centre(n), config(n))).collect();
     let fleet = Fleet::start(Plan { runners, ..Plan::default() });
-    fleet.runners.iter().for_each(|runner| runner.die_of(path));
+    fleet.runners.iter().for_each(|runner| runner.crash_on_path(path));
     fleet
 }
 
@@ -82,14 +82,14 @@
 fn request_interrupted_by_the_crash_of_another_is_served() {
     let config = |n: u32| Config {
         id: format!("r{n}"),
-        first: Duration::from_millis(20),
-        pace: Duration::from_millis(20),
-        events: 30,
+        first_event_delay: Duration::from_millis(20),
+        event_interval: Duration::from_millis(20),
+        event_count: 30,
         ..Config::default()
     };
     let runners = (0..8).map(|n| ("east", config(n))).collect();
     let fleet = Fleet::start(Plan { runners, ..Plan::default() });
-    fleet.runners.iter().for_each(|runner| runner.die_of("/ask/deadly"));
+    fleet.runners.iter().for_each(|runner| runner.crash_on_path("/ask/deadly"));
     std::thread::scope(|scope| {
         let calls: Vec<_> = (0..12)
             .map(|n| {
@@ -131,7 +131,9 @@
 fn quarantine_survives_a_restart_of_all_instances() {
     let mut fleet = fleet("/ask/deadly");
     assert_eq!(crash_until_quarantined(&fleet, "/ask/deadly"), 3);
-    wait_until("it is written down", || !fleet.objects.all("gatespool-quarantine").is_empty());
+    wait_until("it is written down", || {
+        !fleet.objects.objects_of_kind("gatespool-quarantine").is_empty()
+    });
     fleet.gateways.iter_mut().for_each(|gateway| gateway.kill());
     (0..3).for_each(|n| fleet.restart(n));
     fleet.wait_ready();
--- a/crates/daemon/tests/gateway_holders.rs
+++ b/crates/daemon/tests/gateway_holders.rs
@@ -50,7 +50,7 @@
     fleet.gateways[0].terminate();
     assert_results(&fleet.wait_results(1, "handed"), &["a", "b"], 40);
     let runs = fleet.runs("/batch/");
-    let resumed = runs.iter().filter(|run| run.after.is_some()).count();
+    let resumed = runs.iter().filter(|run| run.last_event_id.is_some()).count();
     assert_eq!((runs.len(), resumed), (4, 2), "{runs:?}");
 }
 
@@ -65,9 +65,9 @@
     for n in 0..3 {
         fleet.gateways[n].kill();
     }
-    fleet.objects.set_page(1);
+    fleet.objects.set_page_size(1);
     let slow = Duration::from_millis(150);
-    fleet.objects.set_faults(Faults { slow, ..Faults::default() });
+    fleet.objects.set_faults(Faults { latency: slow, ..Faults::default() });
     for n in 0..3 {
         fleet.restart(n);
     }
@@ -142,7 +142,11 @@
 fn holder_retries_to_read_its_job() {
     let (fleet, proxies) = Fleet::start_with_platform_proxies(Plan::default());
     let late_by = Duration::from_millis(300);
-    fleet.objects.set_faults(Faults { late: 1, late_by, ..Faults::default() });
+    fleet.objects.set_faults(Faults {
+        delayed_writes: 1,
+        write_delay: late_by,
+        ..Faults::default()
+    });
     std::thread::scope(|scope| {
         let first = scope.spawn(|| fleet.submit(0, "lying", &["a"]).status);
         std::thread::sleep(Duration::from_millis(150));
@@ -163,7 +167,11 @@
 fn notification_of_an_unreachable_holder_is_retried() {
     let fleet = Fleet::start(Plan::default());
     let late_by = Duration::from_millis(300);
-    fleet.objects.set_faults(Faults { late: 1, late_by, ..Faults::default() });
+    fleet.objects.set_faults(Faults {
+        delayed_writes: 1,
+        write_delay: late_by,
+        ..Faults::default()
+    });
     let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer_address).collect();
     let isolate_from = |addresses: &[std::net::SocketAddr]| {
         fleet.gateways[1..].iter().for_each(|gateway| gateway.set_unreachable(addresses));
@@ -173,7 +181,7 @@
         // No instance can read the platform, so the outcome is unknown and the holder gives up.
         let first = scope.spawn(|| fleet.submit(0, "untold", &["a"]).status);
         std::thread::sleep(Duration::from_millis(150));
-        fleet.objects.set_faults(Faults { silent: true, ..Faults::default() });
+        fleet.objects.set_faults(Faults { unresponsive: true, ..Faults::default() });
         assert_eq!(first.join().expect("a response"), 502);
     });
     fleet.objects.set_faults(Faults::default());
@@ -213,7 +221,7 @@
 #[test]
 fn permanently_failed_item_runs_once_across_a_handoff() {
     let (fleet, proxies) = Fleet::start_with_platform_proxies(slow_plan());
-    fleet.runners.iter().for_each(|runner| runner.fail("never", 422));
+    fleet.runners.iter().for_each(|runner| runner.fail_id("never", 422));
     assert_eq!(fleet.submit(0, "handed", &["never", "a", "b"]).status, 202);
     wait_until("the failing item ran", || !fleet.runs("/batch/never").is_empty());
     // The holder learns of the failure, but can't write it to the platform.
--- a/crates/daemon/tests/gateway_leaving.rs
+++ b/crates/daemon/tests/gateway_leaving.rs
@@ -76,7 +76,7 @@
 fn unanswered_watch_delays_no_update() {
     let fleet = Fleet::start(Plan::default());
     renew_watches(&fleet);
-    fleet.objects.strand_watches();
+    fleet.objects.hang_watches();
     let notice = Instant::now();
     fleet.set_runner_state(0, "draining");
     keep_sending(&fleet, &[0, 1, 2], OBSERVATION_TIME);
--- a/crates/daemon/tests/gateway_online.rs
+++ b/crates/daemon/tests/gateway_online.rs
@@ -31,7 +31,7 @@
 #[test]
 fn interrupted_at_most_once_stream_is_not_retried() {
     let fleet = Fleet::start(Plan::default());
-    fleet.runners.iter().for_each(|r| r.set_faults(Faults { cut: 1, ..Faults::default() }));
+    fleet.runners.iter().for_each(|r| r.set_faults(Faults { interrupted: 1, ..Faults::default() }));
     let response = fleet.send(0, "/ask/cut", "once");
     assert!(!response.is_complete, "a truncated response must not look complete: {response:?}");
     assert_eq!(fleet.runs("/ask/cut").len(), 1);
@@ -41,12 +41,12 @@
 fn interrupted_resumable_stream_resumes_after_the_last_event() {
     let paced = |id: &str| Config {
         id: id.to_owned(),
-        first: Duration::from_millis(100),
+        first_event_delay: Duration::from_millis(100),
         ..Config::default()
     };
     let runners = vec![("east", paced("r0")), ("west", paced("r1"))];
     let fleet = Fleet::start(Plan { runners, ..Plan::default() });
-    fleet.runners.iter().for_each(|r| r.set_faults(Faults { cut: 1, ..Faults::default() }));
+    fleet.runners.iter().for_each(|r| r.set_faults(Faults { interrupted: 1, ..Faults::default() }));
     std::thread::scope(|scope| {
         let call = scope.spawn(|| fleet.send(0, "/talk/cut", "again"));
         // Only the first run is interrupted.
@@ -57,13 +57,13 @@
         assert_eq!(event_data(&response), Runner::text("again", 10));
     });
     let runs = fleet.runs("/talk/cut");
-    assert_eq!(runs.iter().filter(|run| run.after == Some(2)).count(), 1, "{runs:?}");
+    assert_eq!(runs.iter().filter(|run| run.last_event_id == Some(2)).count(), 1, "{runs:?}");
 }
 
 #[test]
 fn response_to_another_request_is_discarded() {
     let fleet = Fleet::start(Plan::default());
-    fleet.runners.iter().for_each(|r| r.set_faults(Faults { foreign: 1, ..Faults::default() }));
+    fleet.runners.iter().for_each(|r| r.set_faults(Faults { wrong_id: 1, ..Faults::default() }));
     let response = fleet.send(0, "/ask/foreign", "mine");
     assert_eq!(
         response.status, 502,
@@ -75,7 +75,10 @@
 #[test]
 fn rejected_request_has_not_run_and_carries_a_retry_delay() {
     let fleet = Fleet::start(Plan::default());
-    fleet.runners.iter().for_each(|r| r.set_faults(Faults { full: true, ..Faults::default() }));
+    fleet
+        .runners
+        .iter()
+        .for_each(|r| r.set_faults(Faults { rejects_all: true, ..Faults::default() }));
     let start = Instant::now();
     let response = fleet.send(0, "/ask/full", "refused");
     assert_eq!(response.status, 503);
@@ -90,9 +93,9 @@
 #[test]
 fn request_that_may_have_run_is_not_rejected() {
     let fleet = Fleet::start(Plan { max_attempts: 3, ..Plan::default() });
-    let foreign = Faults { foreign: 1, full: false, ..Faults::default() };
+    let foreign = Faults { wrong_id: 1, rejects_all: false, ..Faults::default() };
     fleet.runners[0].set_faults(foreign);
-    fleet.runners[1].set_faults(Faults { full: true, ..Faults::default() });
+    fleet.runners[1].set_faults(Faults { rejects_all: true, ..Faults::default() });
     // The first target runs it and responds under another id; the second rejects it.
     let response = fleet.send(0, "/talk/denied", "denied");
     if !fleet.runs("/talk/denied").is_empty() {
@@ -105,8 +108,8 @@
     let slow = |id: &str| Config {
         id: id.to_owned(),
         slots: 2,
-        pace: Duration::from_millis(50),
-        events: 60,
+        event_interval: Duration::from_millis(50),
+        event_count: 60,
         ..Config::default()
     };
     let runners = vec![("east", slow("r0")), ("west", slow("r1"))];
@@ -135,7 +138,7 @@
         let id = result["id"].as_str().expect("an id");
         assert_eq!(result["message"], Runner::text(id, 60));
     }
-    let resumed = fleet.runs("/batch/").iter().filter(|run| run.after.is_some()).count();
+    let resumed = fleet.runs("/batch/").iter().filter(|run| run.last_event_id.is_some()).count();
     assert!(resumed > 0, "no preempted item was resumed");
 }
 
@@ -146,8 +149,8 @@
     let paced = |id: &str, events: u64| Config {
         id: id.to_owned(),
         slots: 1,
-        pace: Duration::from_millis(50),
-        events,
+        event_interval: Duration::from_millis(50),
+        event_count: events,
         ..Config::default()
     };
     let runners = vec![("east", paced("r0", 70)), ("west", paced("r1", 14))];
@@ -181,8 +184,8 @@
     let paced = |n: usize| Config {
         id: format!("r{n}"),
         slots: 1,
-        first: Duration::from_millis(20),
-        events: 20,
+        first_event_delay: Duration::from_millis(20),
+        event_count: 20,
         ..Config::default()
     };
     let runners = data_centres.iter().enumerate().map(|(n, name)| (*name, paced(n))).collect();
@@ -221,13 +224,13 @@
     // An entry expires after three missed heartbeats, so the outage lasts at least two.
     let settings = vec![String::from("platform.entry_heartbeat_ms = 400")];
     let fleet = Fleet::start(Plan { settings, ..Plan::default() });
-    fleet.objects.set_faults(objects::Faults { away: true, ..Default::default() });
+    fleet.objects.set_faults(objects::Faults { unavailable: true, ..Default::default() });
     std::thread::sleep(Duration::from_millis(800));
     assert_eq!(fleet.send(0, "/ask/away", "away").status, 200);
     for n in 0..2 {
         fleet.objects.remove("servers", &format!("r{n}"));
     }
-    fleet.objects.forget_history();
+    fleet.objects.compact_history();
     fleet.objects.set_faults(objects::Faults::default());
     std::thread::sleep(Duration::from_millis(1_000));
     for n in 0..3 {
@@ -258,7 +261,8 @@
 
 #[test]
 fn planned_stop_interrupts_no_stream() {
-    let slow = Config { pace: Duration::from_millis(60), events: 20, ..Config::default() };
+    let slow =
+        Config { event_interval: Duration::from_millis(60), event_count: 20, ..Config::default() };
     let runners = vec![("east", Config { id: "r0".into(), ..slow })];
     let mut fleet = Fleet::start(Plan { runners, ..Plan::default() });
     let front = fleet.gateways[0].front_address;
@@ -273,10 +277,10 @@
 
 #[test]
 fn disconnect_of_the_caller_cancels_its_run() {
-    let slow = Config { pace: Duration::from_millis(50), ..Config::default() };
+    let slow = Config { event_interval: Duration::from_millis(50), ..Config::default() };
     let runners = vec![("east", Config { id: "r0".into(), slots: 1, ..slow })];
     let fleet = Fleet::start(Plan { runners, ..Plan::default() });
-    fleet.runners[0].set_events(400);
+    fleet.runners[0].set_event_count(400);
     // A caller that closes its connection during the response.
     {
         use std::io::{Read, Write};
@@ -288,7 +292,7 @@
         let mut head = [0_u8; 64];
         stream.read_exact(&mut head).expect("the response starts");
     }
-    fleet.runners[0].set_events(1);
+    fleet.runners[0].set_event_count(1);
     let start = Instant::now();
     // The only slot must be free long before the run's 20 s are over.
     wait_until("the slot is free", || fleet.send(1, "/plain/1", "next").status == 200);
@@ -319,8 +323,8 @@
     let paced = |id: &str| Config {
         id: id.to_owned(),
         slots: 1,
-        pace: Duration::from_millis(50),
-        events: 40,
+        event_interval: Duration::from_millis(50),
+        event_count: 40,
         ..Config::default()
     };
     let runners = vec![("east", paced("r0")), ("west", paced("r1"))];
@@ -331,7 +335,7 @@
             scope.spawn(move || fleet.send(0, "/ask/alone", &format!("alone-{n}")));
         }
         wait_until("both requests run", || fleet.runs("/ask/alone").len() == 2);
-        let starts: Vec<Instant> = fleet.runs("/ask/alone").iter().map(|run| run.began).collect();
+        let starts: Vec<Instant> = fleet.runs("/ask/alone").iter().map(|run| run.started).collect();
         let delay = starts[0].max(starts[1]) - starts[0].min(starts[1]);
         assert!(delay < Duration::from_secs(1), "the second request waited {delay:?}");
     });
--- a/crates/daemon/tests/gateway_registry.rs
+++ b/crates/daemon/tests/gateway_registry.rs
@@ -100,10 +100,13 @@
 /// Failures of a target before its restart don't count after it.
 #[test]
 fn target_that_restarts_under_its_id_is_used_at_once() {
-    let config =
-        Config { id: String::from("r0"), down: Duration::from_millis(300), ..Config::default() };
+    let config = Config {
+        id: String::from("r0"),
+        restart_delay: Duration::from_millis(300),
+        ..Config::default()
+    };
     let fleet = Fleet::start(Plan { runners: vec![("east", config)], ..Plan::default() });
-    fleet.runners[0].life().crash.notify_one();
+    fleet.runners[0].process().crash.notify_one();
     std::thread::sleep(Duration::from_millis(100));
     // Failed connections make the target unavailable.
     for n in 0..6 {
@@ -127,7 +130,7 @@
     let config = Config {
         id: String::from("r0"),
         slots: 2,
-        pace: Duration::from_millis(20),
+        event_interval: Duration::from_millis(20),
         ..Config::default()
     };
     let fleet = Fleet::start(Plan { runners: vec![("east", config)], ..Plan::default() });
--- a/crates/daemon/tests/gateway_suspended.rs
+++ b/crates/daemon/tests/gateway_suspended.rs
@@ -16,8 +16,8 @@
     let config = Config {
         id: String::from("r0"),
         slots: 1,
-        pace: Duration::from_millis(50),
-        events: 20,
+        event_interval: Duration::from_millis(50),
+        event_count: 20,
         ..Config::default()
     };
     let plan = Plan { gateways: vec!["east"], runners: vec![("east", config)], ..Plan::default() };
@@ -49,7 +49,7 @@
     wait_until("the suspension is logged", || fleet.log(0).iter().any(is_suspension));
     match next_run(&fleet) {
         Some(run) => {
-            let remaining = run.left.expect("a time limit");
+            let remaining = run.remaining.expect("a time limit");
             assert!(
                 remaining <= CALLER_TIMEOUT - suspended_for,
                 "{remaining:?} remaining after {suspended_for:?} of suspension"
--- a/crates/daemon/tests/honest_refusal.rs
+++ b/crates/daemon/tests/honest_refusal.rs
@@ -55,7 +55,8 @@
 
 #[test]
 fn under_overload_the_refused_were_not_run() {
-    let engine = Config { slots: 2, token: Duration::from_millis(30), ..Config::default() };
+    let engine =
+        Config { slots: 2, token_interval: Duration::from_millis(30), ..Config::default() };
     let cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let refused = storm(&cluster, "crowd", 150, false);
     assert!(!refused.is_empty(), "nothing was refused");
@@ -65,7 +66,7 @@
 #[test]
 fn while_engines_cut_fail_and_leave_the_refused_were_not_run() {
     let cluster = Cluster::start(Plan::default());
-    cluster.engines[0].control(Control { cut: Some(1000), ..Control::default() });
+    cluster.engines[0].control(Control { interrupted_streams: Some(1000), ..Control::default() });
     cluster.engines[1].control(Control { failing: Some(true), ..Control::default() });
     cluster.engines[2].control(Control { leaving: Some(true), ..Control::default() });
     for once in [true, false] {
@@ -110,7 +111,8 @@
 
 #[test]
 fn a_refusal_comes_long_before_the_deadline() {
-    let engine = Config { slots: 1, token: Duration::from_millis(200), ..Config::default() };
+    let engine =
+        Config { slots: 1, token_interval: Duration::from_millis(200), ..Config::default() };
     let cluster = Cluster::start(Plan { engine, engines: 1, ..Plan::default() });
     std::thread::scope(|scope| {
         for n in 0..12 {
--- a/crates/daemon/tests/leaving_target.rs
+++ b/crates/daemon/tests/leaving_target.rs
@@ -39,7 +39,7 @@
 }
 
 fn list_as_leaving(cluster: &Cluster) {
-    cluster.platform.list_target("t0", cluster.engine_addresses[0], true);
+    cluster.platform.put_target("t0", cluster.engine_addresses[0], true);
 }
 
 /// The limit of the promise, with room for a busy machine; a wait, no verdict
@@ -51,8 +51,8 @@
 
 #[rstest]
 #[case::sound(Control::default())]
-#[case::deaf_watches(Control { deaf: Some(true), ..Control::default() })]
-#[case::slow(Control { slow_ms: Some(100), ..Control::default() })]
+#[case::deaf_watches(Control { no_watch_events: Some(true), ..Control::default() })]
+#[case::slow(Control { latency_ms: Some(100), ..Control::default() })]
 fn by_the_platforms_list(#[case] fault: Control) {
     let cluster = Cluster::start(Plan::default());
     cluster.platform_fault(fault);
@@ -117,11 +117,11 @@
 fn a_stale_list_takes_nothing_back() {
     let cluster = Cluster::start(Plan::default());
     let objects = cluster.platform.objects();
-    cluster.platform.list_target("t0", cluster.engine_addresses[0], false);
+    cluster.platform.put_target("t0", cluster.engine_addresses[0], false);
     let stale = objects.get(platform::target::KIND, "t0").expect("the entry");
     list_as_leaving(&cluster);
     wait_left(&cluster);
-    objects.put_back(platform::target::KIND, stale);
+    objects.insert_stale(platform::target::KIND, stale);
     let lists = cluster.platform.counts();
     // Three polls of each watcher have read the stale list.
     std::thread::sleep(Duration::from_millis(1200));
@@ -134,7 +134,7 @@
 #[test]
 fn running_streams_finish() {
     let engine = standin::engine::Config {
-        token: Duration::from_millis(40),
+        token_interval: Duration::from_millis(40),
         ..standin::engine::Config::default()
     };
     let cluster = Cluster::start(Plan { engine, engines: 1, ..Plan::default() });
@@ -145,5 +145,5 @@
     assert_eq!(call("POST", front, "/v1/targets/t0/leave", &[], "").status, 200);
     let (text, done) = asked.join().expect("an answer").streamed_text();
     assert!(done, "cut off after {text:?}");
-    assert_eq!(text, standin::text::whole("running", None));
+    assert_eq!(text, standin::text::full_text("running", None));
 }
--- a/crates/daemon/tests/online_first.rs
+++ b/crates/daemon/tests/online_first.rs
@@ -17,7 +17,9 @@
     let passed = |one: &standin::engine::Run| {
         let is_batch = |run: &&standin::engine::Run| run.prompt.starts_with("filler");
         let between = |run: &&standin::engine::Run| {
-            run.started > one.arrived && run.started < one.started && run.arrived > one.arrived
+            run.start_seq > one.arrival_seq
+                && run.start_seq < one.start_seq
+                && run.arrival_seq > one.arrival_seq
         };
         runs.iter().filter(is_batch).filter(between).count()
     };
@@ -25,7 +27,7 @@
 }
 
 fn busy(token: Duration, most: u32) -> Cluster {
-    let engine = Config { slots: 4, token, ..Config::default() };
+    let engine = Config { slots: 4, token_interval: token, ..Config::default() };
     let cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let list: Vec<_> = items("filler", 3000)
         .into_iter()
@@ -90,7 +92,7 @@
 /// A parked stream goes on where it stopped: nothing it generated is lost.
 #[test]
 fn parked_items_are_resumed_not_repeated() {
-    let engine = Config { slots: 4, token: Duration::from_millis(5), ..Config::default() };
+    let engine = Config { slots: 4, token_interval: Duration::from_millis(5), ..Config::default() };
     let cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let list: Vec<_> =
         (0..60).map(|n| json!({ "prompt": format!("filler {n}"), "max_tokens": 60 })).collect();
@@ -101,7 +103,7 @@
     }
     cluster.wait_job(0, &job, "finished");
     for (n, line) in cluster.results(0, &job).iter().enumerate() {
-        let expected = standin::text::whole(&format!("filler {n}"), Some(60));
+        let expected = standin::text::full_text(&format!("filler {n}"), Some(60));
         assert_eq!(line["text"], expected, "item {n}");
     }
     let filler = cluster.runs().into_iter().filter(|run| run.prompt.starts_with("filler"));
@@ -114,7 +116,8 @@
 /// target, so that online requests always find the other half.
 #[test]
 fn items_that_may_run_once_leave_half_the_slots() {
-    let engine = Config { slots: 4, token: Duration::from_millis(20), ..Config::default() };
+    let engine =
+        Config { slots: 4, token_interval: Duration::from_millis(20), ..Config::default() };
     let cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let list: Vec<_> = (0..60)
         .map(|n| json!({ "prompt": format!("wire {n}"), "repeatable": false, "max_tokens": 3000 }))
--- a/crates/daemon/tests/orders_fenced.rs
+++ b/crates/daemon/tests/orders_fenced.rs
@@ -20,7 +20,11 @@
 }
 
 fn start(engines: usize, checks_fence: bool) -> Cluster {
-    let engine = Config { checks_fence, load: Duration::from_millis(200), ..Config::default() };
+    let engine = Config {
+        checks_fencing_token: checks_fence,
+        order_duration: Duration::from_millis(200),
+        ..Config::default()
+    };
     Cluster::start(Plan { engines, engine, ..Plan::default() })
 }
 
--- a/crates/daemon/tests/planned_stop.rs
+++ b/crates/daemon/tests/planned_stop.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn running_requests_end_whole() {
-    let engine = Config { token: Duration::from_millis(60), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(60), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let front = cluster.daemons[0].front_address;
     let calls: Vec<_> = (0..12)
@@ -35,7 +35,7 @@
     wait_until("readiness is withdrawn", not_ready);
     for call in calls {
         let (n, prompt, response) = call.join().expect("an answer");
-        let expected = text::whole(&prompt, None);
+        let expected = text::full_text(&prompt, None);
         if n % 2 == 0 {
             assert_eq!(response.streamed_text(), (expected, true), "{response:?}");
         } else {
@@ -59,7 +59,7 @@
 
 #[test]
 fn batch_work_is_handed_on_with_nothing_repeated() {
-    let engine = Config { token: Duration::from_millis(10), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(10), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let accepted = cluster.submit(0, "night", &items("describe", 600));
     let job = accepted.json()["job"].as_str().expect("its id").to_owned();
--- a/crates/daemon/tests/soak/crashing_request.rs
+++ b/crates/daemon/tests/soak/crashing_request.rs
@@ -29,15 +29,15 @@
 fn fleet() -> Fleet {
     let config = |n: usize| Config {
         id: format!("r{n}"),
-        first: Duration::from_millis(20),
-        pace: Duration::from_millis(10),
-        down: Duration::from_millis(1_500),
+        first_event_delay: Duration::from_millis(20),
+        event_interval: Duration::from_millis(10),
+        restart_delay: Duration::from_millis(1_500),
         ..Config::default()
     };
     let data_centre = |n: usize| if n.is_multiple_of(2) { "east" } else { "west" };
     let runners = (0..RUNNERS).map(|n| (data_centre(n), config(n))).collect();
     let fleet = Fleet::start(Plan { runners, ..Plan::default() });
-    fleet.runners.iter().for_each(|runner| runner.die_of(CRASHING_PATH));
+    fleet.runners.iter().for_each(|runner| runner.crash_on_path(CRASHING_PATH));
     fleet
 }
 
@@ -83,7 +83,7 @@
     while Instant::now() < deadline {
         std::thread::sleep(POLL_INTERVAL);
         for (n, known_start) in starts.iter_mut().enumerate() {
-            let now = fleet.runners[n].life().starts.load(Ordering::Relaxed);
+            let now = fleet.runners[n].process().starts.load(Ordering::Relaxed);
             if now != *known_start {
                 *known_start = now;
                 fleet.reregister(n, now);
@@ -124,7 +124,7 @@
         3 => Fault::Freeze(n, period),
         4 => Fault::PeerPartition(n, period),
         _ => Fault::PlatformFaults(
-            objects::Faults { away: true, ..objects::Faults::default() },
+            objects::Faults { unavailable: true, ..objects::Faults::default() },
             period,
         ),
     }
@@ -181,7 +181,7 @@
     };
     let mut runs = fleet.runs(CRASHING_PATH);
     runs.sort_by_key(|run| run.arrived);
-    let served = fleet.runs("/ask/sound").iter().filter(|run| run.is_whole).count();
+    let served = fleet.runs("/ask/sound").iter().filter(|run| run.is_complete).count();
     println!(
         "{} runs of the crashing request, {served} others served; logs in {}",
         runs.len(),
@@ -192,11 +192,11 @@
         violations.push(format!("only {} runs", runs.len()));
     } else {
         // Each run crashes its target about 20 ms after it started.
-        let known = runs[2].began + PROPAGATION_TIME;
+        let known = runs[2].started + PROPAGATION_TIME;
         let later: Vec<Duration> = runs
             .iter()
             .filter(|run| run.arrived > known && !is_new(run))
-            .map(|run| run.arrived - runs[2].began)
+            .map(|run| run.arrived - runs[2].started)
             .collect();
         if later.len() > MAX_LATER_RUNS {
             violations
--- a/crates/daemon/tests/soak/faults.rs
+++ b/crates/daemon/tests/soak/faults.rs
@@ -55,25 +55,25 @@
 fn random_platform_faults(rng: &mut StdRng) -> objects::Faults {
     let none = objects::Faults::default();
     match rng.random_range(0..5) {
-        0 => objects::Faults { away: true, ..none },
-        1 => objects::Faults { silent: true, ..none },
-        2 => objects::Faults { lost: rng.random_range(1..6), ..none },
+        0 => objects::Faults { unavailable: true, ..none },
+        1 => objects::Faults { unresponsive: true, ..none },
+        2 => objects::Faults { lost_replies: rng.random_range(1..6), ..none },
         3 => objects::Faults {
-            late: rng.random_range(1..4),
-            late_by: random_millis(rng, 500, 3_000),
+            delayed_writes: rng.random_range(1..4),
+            write_delay: random_millis(rng, 500, 3_000),
             ..none
         },
-        _ => objects::Faults { slow: random_millis(rng, 20, 250), ..none },
+        _ => objects::Faults { latency: random_millis(rng, 20, 250), ..none },
     }
 }
 
 fn random_runner_faults(rng: &mut StdRng) -> runner::Faults {
     let none = runner::Faults::default();
     match rng.random_range(0..4) {
-        0 => runner::Faults { cut: rng.random_range(1..6), ..none },
-        1 => runner::Faults { foreign: rng.random_range(1..4), ..none },
-        2 => runner::Faults { silent: true, ..none },
-        _ => runner::Faults { full: true, ..none },
+        0 => runner::Faults { interrupted: rng.random_range(1..6), ..none },
+        1 => runner::Faults { wrong_id: rng.random_range(1..4), ..none },
+        2 => runner::Faults { unresponsive: true, ..none },
+        _ => runner::Faults { rejects_all: true, ..none },
     }
 }
 
--- a/crates/daemon/tests/soak/scenario.rs
+++ b/crates/daemon/tests/soak/scenario.rs
@@ -90,8 +90,8 @@
     fn start() -> Scenario {
         let config = |n: usize| Config {
             id: format!("r{n}"),
-            events: EVENTS_PER_RESPONSE,
-            pace: Duration::from_millis(15),
+            event_count: EVENTS_PER_RESPONSE,
+            event_interval: Duration::from_millis(15),
             ..Config::default()
         };
         let runners = vec![("east", config(0)), ("west", config(1)), ("east", config(2))];
@@ -107,7 +107,7 @@
         let runner_proxies = proxies.split_off(gateways);
         let platform_proxies = proxies;
         for runner in &fleet.runners {
-            runner.fail_all("-poison", 422);
+            runner.fail_suffix("-poison", 422);
         }
         let version = Arc::new(AtomicU64::new(10));
         let record = Arc::new(Recorder::default());
@@ -217,7 +217,7 @@
                 self.fleet.objects.set_faults(faults);
                 self.undo_after(period, Undo::PlatformFaults);
             }
-            Fault::ForgetHistory => self.fleet.objects.forget_history(),
+            Fault::ForgetHistory => self.fleet.objects.compact_history(),
             Fault::RunnerFaults(n, faults, period) => {
                 self.fleet.runners[n].set_faults(faults);
                 self.undo_after(period, Undo::RunnerFaults(n));
--- a/crates/daemon/tests/util/batch.rs
+++ b/crates/daemon/tests/util/batch.rs
@@ -7,7 +7,12 @@
 
 /// A runner that takes 1.6 s per response.
 pub fn slow(id: &str) -> Config {
-    Config { id: id.to_owned(), pace: Duration::from_millis(40), events: 40, ..Config::default() }
+    Config {
+        id: id.to_owned(),
+        event_interval: Duration::from_millis(40),
+        event_count: 40,
+        ..Config::default()
+    }
 }
 
 /// Slow runners, one in each data centre.
--- a/crates/daemon/tests/util/cluster.rs
+++ b/crates/daemon/tests/util/cluster.rs
@@ -5,9 +5,9 @@
 use super::wait_until;
 use serde_json::{Value, json};
 use standin::engine::{Config, Engine};
-use standin::plain::Plain;
+use standin::plain::PlainService;
 use standin::platform::{Control, Platform};
-use standin::serve::{self, Running};
+use standin::serve::{self, Server};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -53,13 +53,13 @@
     pub engines: Vec<Engine>,
     pub engine_addresses: Vec<SocketAddr>,
     /// Target of the service with the plain protocol.
-    pub plain: Plain,
+    pub plain: PlainService,
     pub daemons: Vec<Daemon>,
     pub plan: Plan,
     /// Directory of the test's files.
     pub dir: PathBuf,
     started_daemons: usize,
-    servers: Vec<Running>,
+    servers: Vec<Server>,
 }
 
 static DIR_COUNT: AtomicU32 = AtomicU32::new(0);
@@ -95,7 +95,7 @@
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&dir).expect("a directory");
         let platform = Platform::default();
-        let plain = Plain::default();
+        let plain = PlainService::default();
         let mut servers = vec![
             serve::start(any_port, platform.clone()).expect("the platform"),
             serve::start(any_port, plain.clone()).expect("the plain service"),
@@ -165,7 +165,7 @@
             json!({
                 "object": "target", "name": format!("t{number}"), "address": at.to_string(),
                 "data_centre": DATA_CENTRES[number % self.plan.data_centres], "service": "pustak-llm",
-                "slots": self.plan.engine.slots, "checks_fence": self.plan.engine.checks_fence,
+                "slots": self.plan.engine.slots, "checks_fence": self.plan.engine.checks_fencing_token,
             })
         };
         let mut put = vec![
@@ -218,7 +218,7 @@
 
     /// Takes the platform down or brings it back.
     pub fn platform_down(&self, down: bool) {
-        self.platform.control(Control { down: Some(down), ..Control::default() });
+        self.platform.control(Control { unavailable: Some(down), ..Control::default() });
     }
 
     /// Runs of all engines.
--- a/crates/daemon/tests/util/gateway.rs
+++ b/crates/daemon/tests/util/gateway.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use standin::objects::Objects;
 use standin::runner::{self, Run, Runner};
-use standin::serve::{self, Running};
+use standin::serve::{self, Server};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -56,7 +56,7 @@
     pub dir: PathBuf,
     plan: Plan,
     platform_addresses: Vec<SocketAddr>,
-    _servers: Vec<Running>,
+    _servers: Vec<Server>,
 }
 
 /// Loopback address with a port that the system chooses.
@@ -99,8 +99,8 @@
         let mut runner_addresses = Vec::new();
         for (data_centre, config) in &plan.runners {
             let runner = Runner::new(config.clone());
-            let server =
-                serve::start_mortal(any_port(), runner.clone(), runner.life()).expect("a runner");
+            let server = serve::start_process(any_port(), runner.clone(), runner.process())
+                .expect("a runner");
             let address = proxy(server.address);
             objects.put("servers", &config.id, runner_entry(address, data_centre, config, "ready"));
             runner_addresses.push(address);
--- a/crates/daemon/tests/whole_answers.rs
+++ b/crates/daemon/tests/whole_answers.rs
@@ -12,7 +12,7 @@
 
 fn cut_all(cluster: &Cluster, streams: u32) {
     for engine in &cluster.engines {
-        engine.control(Control { cut: Some(streams), ..Control::default() });
+        engine.control(Control { interrupted_streams: Some(streams), ..Control::default() });
     }
 }
 
@@ -25,7 +25,7 @@
             let prompt = format!("question {round} {n}");
             let front = cluster.daemons[n % 3].front_address;
             let response = chat(front, &prompt, &[], json!({ "stream": stream }));
-            let expected = text::whole(&prompt, None);
+            let expected = text::full_text(&prompt, None);
             if stream {
                 assert_eq!(response.streamed_text(), (expected, true));
             } else {
@@ -33,7 +33,7 @@
             }
         }
     }
-    let cut = cluster.runs().iter().filter(|run| !run.whole).count();
+    let cut = cluster.runs().iter().filter(|run| !run.is_complete).count();
     assert!(cut > 0, "no stream was cut");
 }
 
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_kill_mid_stream_is_not_taken_for_the_end() {
-    let engine = Config { token: Duration::from_millis(50), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(50), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let front = cluster.daemons[0].front_address;
     let asked =
@@ -80,8 +80,8 @@
 #[test]
 fn answers_are_not_mixed_when_engines_are_late_and_cut() {
     let cluster = Cluster::start(Plan::default());
-    cluster.engines[0].control(Control { slow: Some(8.0), ..Control::default() });
-    cluster.engines[1].control(Control { cut: Some(20), ..Control::default() });
+    cluster.engines[0].control(Control { slow_factor: Some(8.0), ..Control::default() });
+    cluster.engines[1].control(Control { interrupted_streams: Some(20), ..Control::default() });
     std::thread::scope(|scope| {
         for n in 0..60 {
             let cluster = &cluster;
@@ -93,7 +93,7 @@
                 let response = chat(front, &prompt, &headers, json!({ "stream": true }));
                 let (got, done) = response.streamed_text();
                 if response.status == 200 && done {
-                    assert_eq!(got, text::whole(&prompt, None));
+                    assert_eq!(got, text::full_text(&prompt, None));
                 } else {
                     check_not_whole(&response);
                 }
@@ -106,7 +106,7 @@
 /// before its streams count as cut.
 #[test]
 fn requests_move_on_from_a_target_that_freezes() {
-    let engine = Config { token: Duration::from_millis(40), ..Config::default() };
+    let engine = Config { token_interval: Duration::from_millis(40), ..Config::default() };
     let settings = vec![String::from("targets.idle_ms = 60000")];
     let cluster = Cluster::start(Plan { engine, settings, ..Plan::default() });
     std::thread::scope(|scope| {
@@ -125,7 +125,7 @@
         cluster.engines[0].control(Control { frozen: Some(true), ..Control::default() });
         for call in calls {
             let (prompt, got) = call.join().expect("an answer");
-            assert_eq!(got, (text::whole(&prompt, None), true));
+            assert_eq!(got, (text::full_text(&prompt, None), true));
         }
     });
     let moved = cluster.runs().len() - 12;
--- a/crates/daemon/tests/whole_path.rs
+++ b/crates/daemon/tests/whole_path.rs
@@ -15,9 +15,9 @@
     for daemon in &cluster.daemons {
         let plain = chat(daemon.front_address, prompt, &[], json!({}));
         assert_eq!(plain.status, 200, "{plain:?}");
-        assert_eq!(plain.text(), text::whole(prompt, None));
+        assert_eq!(plain.text(), text::full_text(prompt, None));
         let streamed = chat(daemon.front_address, prompt, &[], json!({ "stream": true }));
-        assert_eq!(streamed.streamed_text(), (text::whole(prompt, None), true));
+        assert_eq!(streamed.streamed_text(), (text::full_text(prompt, None), true));
     }
 }
 
@@ -33,7 +33,7 @@
     assert_eq!(results.len(), 50);
     for (place, line) in results.iter().enumerate() {
         assert_eq!(line["item"], place);
-        assert_eq!(line["text"], text::whole(&format!("describe {place}"), None));
+        assert_eq!(line["text"], text::full_text(&format!("describe {place}"), None));
     }
 }
 
--- a/crates/standin/examples/standin.rs
+++ b/crates/standin/examples/standin.rs
@@ -2,7 +2,7 @@
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
 use standin::engine::{Config, Engine};
-use standin::plain::Plain;
+use standin::plain::PlainService;
 use standin::platform::Platform;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,10 +31,10 @@
     let options = options().run();
     let running = match options.kind.as_str() {
         "platform" => standin::serve::start(options.listen, Platform::default())?,
-        "plain" => standin::serve::start(options.listen, Plain::default())?,
+        "plain" => standin::serve::start(options.listen, PlainService::default())?,
         "engine" => {
-            let token = Duration::from_millis(options.token_ms);
-            let config = Config { slots: options.slots, token, ..Config::default() };
+            let token_interval = Duration::from_millis(options.token_ms);
+            let config = Config { slots: options.slots, token_interval, ..Config::default() };
             standin::serve::start(options.listen, Engine::new(config))?
         }
         other => anyhow::bail!("unknown kind `{other}`: expected platform, engine or plain"),
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -17,12 +17,12 @@
 mod slot;
 mod types;
 
-use events::{collect, event};
+use events::{collect_response, event};
 use slot::Waiter;
 pub use types::{Config, Control, Run};
 
-const BODY_LIMIT: usize = 1 << 20;
-const BODY_WAIT: Duration = Duration::from_secs(10);
+const MAX_BODY_BYTES: usize = 1 << 20;
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A prompt with this in it fails on every engine.
 pub const POISON: &str = "[poison]";
@@ -36,13 +36,13 @@
     reports: VecDeque<(Instant, LoadReport)>,
     prefixes: VecDeque<u64>,
     control: Control,
-    fence: u64,
+    fencing_token: u64,
     version: String,
     adapters: Vec<String>,
     busy: bool,
     orders: Vec<(u64, Order)>,
-    refused_orders: u64,
-    hits: u64,
+    rejected_orders: u64,
+    cache_hits: u64,
 }
 
 /// A model engine.
@@ -67,10 +67,10 @@
     pub fn control(&self, control: Control) {
         let known = &mut self.lock().control;
         known.leaving = control.leaving.or(known.leaving);
-        known.slow = control.slow.or(known.slow);
+        known.slow_factor = control.slow_factor.or(known.slow_factor);
         known.frozen = control.frozen.or(known.frozen);
-        known.cut = control.cut.or(known.cut);
-        known.cut_prefix = control.cut_prefix.or(known.cut_prefix.take());
+        known.interrupted_streams = control.interrupted_streams.or(known.interrupted_streams);
+        known.interrupted_prefix = control.interrupted_prefix.or(known.interrupted_prefix.take());
         known.failing = control.failing.or(known.failing);
         known.token_ms = control.token_ms.or(known.token_ms);
     }
@@ -86,8 +86,8 @@
     }
 
     /// Orders refused for an old fencing number.
-    pub fn refused_orders(&self) -> u64 {
-        self.lock().refused_orders
+    pub fn rejected_orders(&self) -> u64 {
+        self.lock().rejected_orders
     }
 
     /// Requests that run now: online and batch.
@@ -96,8 +96,8 @@
     }
 
     /// Requests whose prefix was cached.
-    pub fn hits(&self) -> u64 {
-        self.lock().hits
+    pub fn cache_hits(&self) -> u64 {
+        self.lock().cache_hits
     }
 
     /// Model version loaded.
@@ -110,7 +110,7 @@
         let now = Instant::now();
         let current = state.current();
         state.reports.push_back((now, current.clone()));
-        let old = |at: Instant| now.saturating_duration_since(at) >= self.config.lag;
+        let old = |at: Instant| now.saturating_duration_since(at) >= self.config.report_delay;
         while state.reports.len() > 1 && state.reports.get(1).is_some_and(|(at, _)| old(*at)) {
             state.reports.pop_front();
         }
@@ -121,16 +121,17 @@
         report
     }
 
-    fn pace(&self) -> (Duration, f64, bool) {
+    fn timing(&self) -> (Duration, f64, bool) {
         let state = self.lock();
-        let token = state.control.token_ms.map_or(self.config.token, Duration::from_millis);
-        (token, state.control.slow.unwrap_or(1.0), state.control.frozen == Some(true))
+        let token =
+            state.control.token_ms.map_or(self.config.token_interval, Duration::from_millis);
+        (token, state.control.slow_factor.unwrap_or(1.0), state.control.frozen == Some(true))
     }
 
     async fn sleep(&self, time: Duration) {
-        let (_, slow, _) = self.pace();
+        let (_, slow, _) = self.timing();
         tokio::time::sleep(time.mul_f64(slow)).await;
-        while self.pace().2 {
+        while self.timing().2 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -139,44 +140,44 @@
         let hash = coordination::route::prefix("", prompt);
         let mut state = self.lock();
         let known = state.prefixes.iter().position(|p| *p == hash);
-        if let Some(place) = known {
-            state.prefixes.remove(place);
+        if let Some(position) = known {
+            state.prefixes.remove(position);
         }
         state.prefixes.push_back(hash);
-        if state.prefixes.len() > self.config.cache {
+        if state.prefixes.len() > self.config.prefix_cache_size {
             state.prefixes.pop_front();
         }
-        state.hits += u64::from(known.is_some());
+        state.cache_hits += u64::from(known.is_some());
         if known.is_some() { self.config.prefill / 4 } else { self.config.prefill }
     }
 
     async fn chat<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
-        let request = match http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await {
+        let request = match http::read_body(&mut body, MAX_BODY_BYTES, BODY_TIMEOUT).await {
             Ok(bytes) => serde_json::from_slice::<chat::Request>(&bytes),
             Err(error) => return http::error(&error),
         };
         let Ok(request) = request else {
             return http::error(&Error::new(Kind::Malformed, "not a chat request"));
         };
-        if let Some(refusal) = self.refuse() {
-            return refusal;
+        if let Some(response) = self.rejection() {
+            return response;
         }
         let prompt = request.text();
         if prompt.contains(POISON) {
-            self.note_failed(&head, &prompt);
+            self.record_failed_run(&head, &prompt);
             return http::error(&Error::new(Kind::Internal, "this prompt can't be answered"));
         }
-        let (pieces, receiver) = mpsc::channel(16);
+        let (tx, rx) = mpsc::channel(16);
         let engine = self.clone();
         let stream = request.stream;
-        tokio::spawn(async move { engine.generate(head, request, prompt, pieces).await });
+        tokio::spawn(async move { engine.generate(head, request, prompt, tx).await });
         if stream {
-            return http::stream(200, "text/event-stream", receiver);
+            return http::stream(200, "text/event-stream", rx);
         }
-        collect(receiver).await
+        collect_response(rx).await
     }
 
-    fn refuse(&self) -> Option<Response> {
+    fn rejection(&self) -> Option<Response> {
         let state = self.lock();
         if state.control.failing == Some(true) {
             return Some(http::error(&Error::new(Kind::Internal, "failing")));
@@ -192,9 +193,9 @@
         Some(response)
     }
 
-    fn note_failed(&self, head: &RequestHead, prompt: &str) {
+    fn record_failed_run(&self, head: &RequestHead, prompt: &str) {
         let mut state = self.lock();
-        let run = state.run(head, prompt, 0);
+        let run = state.new_run(head, prompt, 0);
         state.runs.push(run);
     }
 
@@ -203,101 +204,101 @@
         head: RequestHead,
         request: chat::Request,
         prompt: String,
-        pieces: mpsc::Sender<Result<Bytes, String>>,
+        tx: mpsc::Sender<Result<Bytes, String>>,
     ) {
         let priority = if head.header(header::PRIORITY) == "1" { 1 } else { 0 };
         let arrival = Instant::now();
-        let waited = tokio::select! {
-            waited = self.slot(priority) => waited,
-            () = pieces.closed() => return,
+        let acquired = tokio::select! {
+            acquired = self.acquire_slot(priority) => acquired,
+            () = tx.closed() => return,
         };
-        let Some((slot, arrived)) = waited else {
+        let Some((slot, arrival_seq)) = acquired else {
             return;
         };
-        let index = {
+        let run_index = {
             let mut state = self.lock();
-            let mut run = state.run(&head, &prompt, arrived);
+            let mut run = state.new_run(&head, &prompt, arrival_seq);
             run.waited_us = arrival.elapsed().as_micros() as u64;
             state.runs.push(run);
             state.runs.len() - 1
         };
         tokio::select! {
-            () = self.stream(index, &request, &prompt, &pieces) => {}
-            () = pieces.closed() => {}
+            () = self.stream(run_index, &request, &prompt, &tx) => {}
+            () = tx.closed() => {}
         }
         drop(slot);
     }
 
     async fn stream(
         &self,
-        index: usize,
+        run_index: usize,
         request: &chat::Request,
         prompt: &str,
-        pieces: &mpsc::Sender<Result<Bytes, String>>,
+        tx: &mpsc::Sender<Result<Bytes, String>>,
     ) {
         self.sleep(self.prefill(prompt)).await;
         let from = request.resume.as_ref().map_or(0, |resume| resume.tokens);
-        let most = request.max_tokens.unwrap_or_else(|| text::length(prompt));
-        for place in from..most {
-            if place > from {
-                let (token, ..) = self.pace();
+        let max_tokens = request.max_tokens.unwrap_or_else(|| text::token_count(prompt));
+        for position in from..max_tokens {
+            if position > from {
+                let (token, ..) = self.timing();
                 self.sleep(token).await;
             }
-            if place == from + 2 && self.take_cut(prompt) {
-                drop(pieces.send(Err(String::from("cut"))).await);
+            if position == from + 2 && self.take_interruption(prompt) {
+                drop(tx.send(Err(String::from("cut"))).await);
                 return;
             }
-            let event = event(&request.model, Some(text::token(prompt, place)), None);
-            if pieces.send(Ok(event)).await.is_err() {
+            let event = event(&request.model, Some(text::token(prompt, position)), None);
+            if tx.send(Ok(event)).await.is_err() {
                 return;
             }
-            self.lock().runs[index].tokens += 1;
+            self.lock().runs[run_index].tokens += 1;
         }
         let reason = if request.max_tokens.is_some() { "length" } else { "stop" };
         let last = event(&request.model, None, Some(reason));
         let done = Bytes::from(format!("data: {DONE}\n\n"));
-        self.lock().runs[index].whole = true;
-        drop(pieces.send(Ok(last)).await);
-        drop(pieces.send(Ok(done)).await);
+        self.lock().runs[run_index].is_complete = true;
+        drop(tx.send(Ok(last)).await);
+        drop(tx.send(Ok(done)).await);
     }
 
-    fn take_cut(&self, prompt: &str) -> bool {
+    fn take_interruption(&self, prompt: &str) -> bool {
         let mut state = self.lock();
-        let prefix = state.control.cut_prefix.as_deref().unwrap_or_default();
-        let left = state.control.cut.unwrap_or(0);
-        let is_cut = left > 0 && prompt.starts_with(prefix);
-        if is_cut {
-            state.control.cut = Some(left - 1);
+        let prefix = state.control.interrupted_prefix.as_deref().unwrap_or_default();
+        let remaining = state.control.interrupted_streams.unwrap_or(0);
+        let is_interrupted = remaining > 0 && prompt.starts_with(prefix);
+        if is_interrupted {
+            state.control.interrupted_streams = Some(remaining - 1);
         }
-        is_cut
+        is_interrupted
     }
 
     async fn order<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
-        let order = match http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await {
+        let order = match http::read_body(&mut body, MAX_BODY_BYTES, BODY_TIMEOUT).await {
             Ok(bytes) => serde_json::from_slice::<Order>(&bytes),
             Err(error) => return http::error(&error),
         };
         let Ok(order) = order else {
             return http::error(&Error::new(Kind::Malformed, "not an order"));
         };
-        let fence: u64 = head.header(header::FENCING_TOKEN).parse().unwrap_or(0);
+        let fencing_token: u64 = head.header(header::FENCING_TOKEN).parse().unwrap_or(0);
         {
             let mut state = self.lock();
-            if self.config.checks_fence && fence < state.fence {
-                state.refused_orders += 1;
+            if self.config.checks_fencing_token && fencing_token < state.fencing_token {
+                state.rejected_orders += 1;
                 return http::error(&Error::new(Kind::StaleRevision, "old fencing number"))
                     .with_status_409();
             }
-            state.fence = state.fence.max(fence);
+            state.fencing_token = state.fencing_token.max(fencing_token);
             state.busy = true;
         }
         let engine = self.clone();
         tokio::spawn(async move {
-            engine.sleep(engine.config.load).await;
+            engine.sleep(engine.config.order_duration).await;
             let mut state = engine.lock();
             state.version.clone_from(&order.version);
             state.adapters.clone_from(&order.adapters);
-            state.orders.push((fence, order));
+            state.orders.push((fencing_token, order));
             state.busy = false;
         });
         http::json(200, &"taken")
@@ -316,7 +317,7 @@
 }
 
 impl State {
-    fn total(&self) -> u32 {
+    fn total_running(&self) -> u32 {
         self.running[0] + self.running[1]
     }
 
@@ -332,18 +333,18 @@
         }
     }
 
-    fn run(&mut self, head: &RequestHead, prompt: &str, arrived: u64) -> Run {
+    fn new_run(&mut self, head: &RequestHead, prompt: &str, arrival_seq: u64) -> Run {
         self.events += 1;
         Run {
-            arrived,
-            started: self.events,
+            arrival_seq,
+            start_seq: self.events,
             waited_us: 0,
             attempt: head.header(header::ATTEMPT_ID).into(),
             key: head.header(header::IDEMPOTENCY_KEY).into(),
             prompt: prompt.into(),
             priority: u8::from(head.header(header::PRIORITY) == "1"),
             tokens: 0,
-            whole: false,
+            is_complete: false,
         }
     }
 }
@@ -354,15 +355,16 @@
             (&Method::POST, "/v1/chat/completions") => self.chat(head, body).await,
             (&Method::POST, "/order") => self.order(head, body).await,
             (&Method::GET, "/load") => {
-                if self.pace().2 {
+                if self.timing().2 {
                     self.sleep(Duration::ZERO).await;
                 }
                 http::json(200, &self.report())
             }
             (&Method::GET, "/record") => http::json(200, &self.runs()),
             (&Method::POST, "/control") => {
-                let bytes =
-                    http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await.unwrap_or_default();
+                let bytes = http::read_body(&mut body, MAX_BODY_BYTES, BODY_TIMEOUT)
+                    .await
+                    .unwrap_or_default();
                 match serde_json::from_slice(&bytes) {
                     Ok(control) => {
                         self.control(control);
--- a/crates/standin/src/engine/events.rs
+++ b/crates/standin/src/engine/events.rs
@@ -23,9 +23,9 @@
 }
 
 /// A stream's events joined to a whole answer.
-pub async fn collect(mut pieces: mpsc::Receiver<Result<Bytes, String>>) -> Response {
+pub async fn collect_response(mut body: mpsc::Receiver<Result<Bytes, String>>) -> Response {
     let mut parser = transport::sse::DataParser::default();
-    while let Some(Ok(bytes)) = pieces.recv().await {
+    while let Some(Ok(bytes)) = body.recv().await {
         parser.push(&bytes);
     }
     let mut text = String::new();
--- a/crates/standin/src/engine/slot.rs
+++ b/crates/standin/src/engine/slot.rs
@@ -7,25 +7,25 @@
 pub(super) struct Waiter {
     pub(super) priority: u8,
     arrival: u64,
-    wake: oneshot::Sender<Slot>,
+    slot_tx: oneshot::Sender<Slot>,
 }
 
 impl Engine {
     /// Waits for a slot; `None` only when the engine ends. Also when it arrived.
-    pub(super) async fn slot(&self, priority: u8) -> Option<(Slot, u64)> {
-        let (wait, arrival) = {
+    pub(super) async fn acquire_slot(&self, priority: u8) -> Option<(Slot, u64)> {
+        let (slot_rx, arrival) = {
             let mut state = self.lock();
             state.events += 1;
             let arrival = state.events;
-            if state.total() < self.config.slots {
+            if state.total_running() < self.config.slots {
                 state.running[usize::from(priority)] += 1;
                 return Some((Slot { engine: Some(self.clone()), priority }, arrival));
             }
-            let (wake, wait) = oneshot::channel();
-            state.waiters.push(Waiter { priority, arrival, wake });
-            (wait, arrival)
+            let (slot_tx, slot_rx) = oneshot::channel();
+            state.waiters.push(Waiter { priority, arrival, slot_tx });
+            (slot_rx, arrival)
         };
-        wait.await.ok().map(|slot| (slot, arrival))
+        slot_rx.await.ok().map(|slot| (slot, arrival))
     }
 }
 
@@ -45,8 +45,8 @@
         state.running[usize::from(self.priority)] -= 1;
         state.waiters.sort_by_key(|waiter| (waiter.priority, waiter.arrival));
         while !state.waiters.is_empty() {
-            let Waiter { priority, wake, .. } = state.waiters.remove(0);
-            match wake.send(Slot { engine: Some(engine.clone()), priority }) {
+            let Waiter { priority, slot_tx, .. } = state.waiters.remove(0);
+            match slot_tx.send(Slot { engine: Some(engine.clone()), priority }) {
                 Ok(()) => {
                     state.running[usize::from(priority)] += 1;
                     return;
--- a/crates/standin/src/engine/types.rs
+++ b/crates/standin/src/engine/types.rs
@@ -11,15 +11,15 @@
     /// Time until the first token when the prefix isn't cached.
     pub prefill: Duration,
     /// Time between tokens.
-    pub token: Duration,
+    pub token_interval: Duration,
     /// Age of load reports.
-    pub lag: Duration,
+    pub report_delay: Duration,
     /// Prefixes kept.
-    pub cache: usize,
+    pub prefix_cache_size: usize,
     /// Whether old fencing numbers are refused.
-    pub checks_fence: bool,
+    pub checks_fencing_token: bool,
     /// Time that an order takes.
-    pub load: Duration,
+    pub order_duration: Duration,
     /// Model version at the start.
     pub version: String,
 }
@@ -29,11 +29,11 @@
         Config {
             slots: 8,
             prefill: Duration::from_millis(10),
-            token: Duration::from_millis(2),
-            lag: Duration::from_millis(200),
-            cache: 64,
-            checks_fence: true,
-            load: Duration::from_millis(50),
+            token_interval: Duration::from_millis(2),
+            report_delay: Duration::from_millis(200),
+            prefix_cache_size: 64,
+            checks_fencing_token: true,
+            order_duration: Duration::from_millis(50),
             version: String::from("v1"),
         }
     }
@@ -48,16 +48,19 @@
     pub leaving: Option<bool>,
     /// Every answer takes this many times as long.
     #[serde(default)]
-    pub slow: Option<f64>,
+    #[serde(rename = "slow")]
+    pub slow_factor: Option<f64>,
     /// Nothing moves.
     #[serde(default)]
     pub frozen: Option<bool>,
     /// This many streams break off after two tokens.
     #[serde(default)]
-    pub cut: Option<u32>,
+    #[serde(rename = "cut")]
+    pub interrupted_streams: Option<u32>,
     /// Only streams whose prompt starts so break off.
     #[serde(default)]
-    pub cut_prefix: Option<String>,
+    #[serde(rename = "cut_prefix")]
+    pub interrupted_prefix: Option<String>,
     /// Every request fails.
     #[serde(default)]
     pub failing: Option<bool>,
@@ -70,9 +73,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
     /// When it arrived, on a counter of arrivals and starts here.
-    pub arrived: u64,
+    #[serde(rename = "arrived")]
+    pub arrival_seq: u64,
     /// When it got a slot, on the same counter.
-    pub started: u64,
+    #[serde(rename = "started")]
+    pub start_seq: u64,
     /// Time between the two, in microseconds; for measurements.
     pub waited_us: u64,
     /// Attempt id.
@@ -86,5 +91,6 @@
     /// Tokens generated.
     pub tokens: u32,
     /// Whether the answer was given whole.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
 }
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -15,14 +15,14 @@
 use tokio::sync::Notify;
 use transport::http::{self, BodyStream, RequestHead, Response, Service};
 
-const BODY_LIMIT: usize = 8 << 20;
-const BODY_WAIT: Duration = Duration::from_secs(10);
+const MAX_BODY_BYTES: usize = 8 << 20;
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longer than any test waits.
-const NEVER: Duration = Duration::from_secs(3_600);
+const HANG_TIME: Duration = Duration::from_secs(3_600);
 /// Most objects of one page of a list.
-const PAGE: usize = 500;
+const MAX_PAGE_OBJECTS: usize = 500;
 /// Most bytes of one page, and of one half of an object.
-const PAGE_BYTES: usize = 1 << 20;
+const MAX_PAGE_BYTES: usize = 1 << 20;
 
 #[derive(Clone)]
 struct Change {
@@ -38,26 +38,26 @@
 struct State {
     objects: BTreeMap<Key, Value>,
     history: VecDeque<Change>,
-    forgotten: u64,
+    compacted_revision: u64,
     revision: u64,
     faults: Faults,
     counts: Counts,
     /// What reads show, if that isn't the present state.
-    old: Option<BTreeMap<Key, Value>>,
-    saved: BTreeMap<Key, Value>,
+    stale_objects: Option<BTreeMap<Key, Value>>,
+    snapshot: BTreeMap<Key, Value>,
     bucket: Option<TokenBucket>,
     /// Most bytes of one half of an object; 0 for [`PAGE_BYTES`].
-    longest: usize,
+    max_half_bytes: usize,
     /// Most objects of one page; 0 for [`PAGE`].
-    page: usize,
+    page_size: usize,
     /// How often the watches under way were stranded.
-    stranded: u64,
+    watch_epoch: u64,
 }
 
 impl State {
     /// The objects that reads show.
-    fn shown(&self) -> &BTreeMap<Key, Value> {
-        self.old.as_ref().unwrap_or(&self.objects)
+    fn visible_objects(&self) -> &BTreeMap<Key, Value> {
+        self.stale_objects.as_ref().unwrap_or(&self.objects)
     }
 }
 
@@ -84,7 +84,7 @@
     }
 
     /// All objects of a kind.
-    pub fn all(&self, kind: &str) -> Vec<Value> {
+    pub fn objects_of_kind(&self, kind: &str) -> Vec<Value> {
         let state = self.lock();
         let of_kind = state.objects.iter().filter(|((k, _), _)| k == kind);
         of_kind.map(|(_, object)| object.clone()).collect()
@@ -95,7 +95,7 @@
         let mut state = self.lock();
         let key = (kind.to_owned(), name.to_owned());
         let status = state.objects.get(&key).map_or(Value::Null, |object| object["status"].clone());
-        store(&mut state, key, spec, status);
+        write_object(&mut state, key, spec, status);
         drop(state);
         self.changed.notify_waiters();
     }
@@ -104,7 +104,7 @@
     pub fn remove(&self, kind: &str, name: &str) {
         let mut state = self.lock();
         if let Some(object) = state.objects.remove(&(kind.to_owned(), name.to_owned())) {
-            log(&mut state, kind.to_owned(), object, true);
+            record_deletion(&mut state, kind.to_owned(), object, true);
         }
         drop(state);
         self.changed.notify_waiters();
@@ -113,16 +113,16 @@
     fn list(&self, kind: &str, after: Option<&str>) -> Response {
         let mut state = self.lock();
         state.counts.lists += 1;
-        let most = if state.page == 0 { PAGE } else { state.page };
+        let max_objects = if state.page_size == 0 { MAX_PAGE_OBJECTS } else { state.page_size };
         let mut items = Vec::new();
         let mut bytes = 0;
         let mut has_more = false;
-        for ((of, name), object) in state.shown() {
+        for ((of, name), object) in state.visible_objects() {
             if of != kind || after.is_some_and(|after| name.as_str() <= after) {
                 continue;
             }
             bytes += object.to_string().len();
-            if items.len() >= most || (bytes > PAGE_BYTES && !items.is_empty()) {
+            if items.len() >= max_objects || (bytes > MAX_PAGE_BYTES && !items.is_empty()) {
                 has_more = true;
                 break;
             }
@@ -133,33 +133,34 @@
     }
 
     async fn watch(&self, kind: &str, from: u64, wait: Duration) -> Response {
-        let stranded = {
+        let watch_epoch = {
             let mut state = self.lock();
             state.counts.watches += 1;
-            state.stranded
+            state.watch_epoch
         };
         let until = tokio::time::Instant::now() + wait;
         loop {
             let changed = self.changed.notified();
-            if self.lock().stranded != stranded {
-                tokio::time::sleep(NEVER).await;
+            if self.lock().watch_epoch != watch_epoch {
+                tokio::time::sleep(HANG_TIME).await;
             }
             {
                 let state = self.lock();
-                if state.faults.away {
+                if state.faults.unavailable {
                     return http::json(503, &json!({})); // A store that goes cuts its watches.
                 }
-                if from < state.forgotten {
+                if from < state.compacted_revision {
                     return http::json(410, &json!({}));
                 }
-                let is_deaf = state.faults.deaf || state.old.is_some();
-                let fits =
-                    |change: &&Change| !is_deaf && change.revision > from && change.kind == kind;
+                let has_no_events = state.faults.no_watch_events || state.stale_objects.is_some();
+                let fits = |change: &&Change| {
+                    !has_no_events && change.revision > from && change.kind == kind
+                };
                 let show = |c: &Change| json!({ "removed": c.removed, "object": c.object.clone() });
                 let events: Vec<Value> = state.history.iter().filter(fits).map(show).collect();
                 if !events.is_empty() || tokio::time::Instant::now() >= until {
                     // Who hears nothing goes on from where it was.
-                    let as_of = if is_deaf { from } else { state.revision };
+                    let as_of = if has_no_events { from } else { state.revision };
                     return http::json(200, &json!({ "events": events, "as_of": as_of }));
                 }
             }
@@ -174,7 +175,7 @@
         let mut state = self.lock();
         let counts = &mut state.counts;
         *(if is_stale_ok { &mut counts.stale_reads } else { &mut counts.reads }) += 1;
-        match state.shown().get(&(kind.to_owned(), name.to_owned())) {
+        match state.visible_objects().get(&(kind.to_owned(), name.to_owned())) {
             Some(object) => http::json(200, object),
             None => http::json(404, &json!({})),
         }
@@ -192,16 +193,17 @@
         let mut state = self.lock();
         state.counts.writes += 1;
         if state.bucket.as_mut().is_some_and(|bucket| bucket.try_take(Instant::now()).is_err()) {
-            state.counts.limited += 1;
+            state.counts.rate_limited += 1;
             return http::json(429, &json!({}));
         }
-        let longest = if state.longest == 0 { PAGE_BYTES } else { state.longest };
-        let is_long = |half: &str| body[half].to_string().len() > longest;
-        if is_long("spec") || is_long("status") {
+        let max_half_bytes =
+            if state.max_half_bytes == 0 { MAX_PAGE_BYTES } else { state.max_half_bytes };
+        let is_too_long = |half: &str| body[half].to_string().len() > max_half_bytes;
+        if is_too_long("spec") || is_too_long("status") {
             return http::json(413, &json!({}));
         }
-        state.counts.bytes += size;
-        state.counts.largest = state.counts.largest.max(size);
+        state.counts.written_bytes += size;
+        state.counts.largest_write_bytes = state.counts.largest_write_bytes.max(size);
         let kind = segments.first().copied().unwrap_or_default().to_owned();
         let name = match segments.get(1) {
             Some(name) => (*name).to_owned(),
@@ -217,7 +219,7 @@
                     http::json(409, &object)
                 }
                 None => {
-                    let object = store(&mut state, key, body["spec"].clone(), Value::Null);
+                    let object = write_object(&mut state, key, body["spec"].clone(), Value::Null);
                     http::json(201, &object)
                 }
             }
@@ -231,13 +233,15 @@
             }
             if *method == Method::DELETE {
                 state.objects.remove(&key);
-                log(&mut state, key.0, object, true);
+                record_deletion(&mut state, key.0, object, true);
                 http::json(200, &json!({}))
             } else if segments.get(2) == Some(&"status") {
-                let object = store(&mut state, key, object["spec"].clone(), body["status"].clone());
+                let object =
+                    write_object(&mut state, key, object["spec"].clone(), body["status"].clone());
                 http::json(200, &object)
             } else {
-                let object = store(&mut state, key, body["spec"].clone(), object["status"].clone());
+                let object =
+                    write_object(&mut state, key, body["spec"].clone(), object["status"].clone());
                 http::json(200, &object)
             }
         };
@@ -246,7 +250,7 @@
         response
     }
 
-    async fn answer(&self, head: &RequestHead, body: &[u8]) -> Response {
+    async fn handle(&self, head: &RequestHead, body: &[u8]) -> Response {
         let segments = head.segments();
         let Some(("objects", path)) = segments.split_first().map(|(first, path)| (*first, path))
         else {
@@ -267,7 +271,7 @@
     }
 }
 
-fn store(state: &mut State, key: Key, spec: Value, status: Value) -> Value {
+fn write_object(state: &mut State, key: Key, spec: Value, status: Value) -> Value {
     if let Some(known) = state.objects.get(&key)
         && known["spec"] == spec
         && known["status"] == status
@@ -292,51 +296,51 @@
     object
 }
 
-fn log(state: &mut State, kind: String, object: Value, removed: bool) {
+fn record_deletion(state: &mut State, kind: String, object: Value, removed: bool) {
     state.revision += 1;
     let revision = state.revision;
     state.history.push_back(Change { revision, kind, object, removed });
 }
 
 /// What becomes of a write.
-enum Fate {
-    Answered,
-    Lost,
-    Late(Duration),
+enum WriteFault {
+    None,
+    ReplyLost,
+    Delayed(Duration),
 }
 
 impl Service for Objects {
     async fn call<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
-        let Ok(body) = http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await else {
+        let Ok(body) = http::read_body(&mut body, MAX_BODY_BYTES, BODY_TIMEOUT).await else {
             return http::bytes(400, "text/plain", Bytes::new());
         };
         let faults = self.lock().faults.clone();
-        if faults.silent {
-            tokio::time::sleep(NEVER).await;
+        if faults.unresponsive {
+            tokio::time::sleep(HANG_TIME).await;
         }
-        if faults.away {
+        if faults.unavailable {
             return http::json(503, &json!({}));
         }
-        tokio::time::sleep(faults.slow).await;
+        tokio::time::sleep(faults.latency).await;
         let is_read = head.method == Method::GET;
         let kind = head.segments().get(1).copied().unwrap_or_default().to_owned();
-        let fate = if is_read { Fate::Answered } else { self.fate(&kind) };
-        match fate {
-            Fate::Answered => self.answer(&head, &body).await,
-            Fate::Lost => {
-                let _unheard = self.answer(&head, &body).await;
-                tokio::time::sleep(NEVER).await;
+        let write_fault = if is_read { WriteFault::None } else { self.next_write_fault(&kind) };
+        match write_fault {
+            WriteFault::None => self.handle(&head, &body).await,
+            WriteFault::ReplyLost => {
+                let _response = self.handle(&head, &body).await;
+                tokio::time::sleep(HANG_TIME).await;
                 http::json(503, &json!({}))
             }
-            Fate::Late(by) => {
+            WriteFault::Delayed(by) => {
                 // Done even if the caller has hung up by then.
                 let objects = self.clone();
                 let task = async move {
                     tokio::time::sleep(by).await;
-                    let _unheard = objects.answer(&head, &body).await;
+                    let _response = objects.handle(&head, &body).await;
                 };
                 drop(tokio::spawn(task));
-                tokio::time::sleep(NEVER).await;
+                tokio::time::sleep(HANG_TIME).await;
                 http::json(503, &json!({}))
             }
         }
@@ -344,18 +348,18 @@
 }
 
 impl Objects {
-    fn fate(&self, kind: &str) -> Fate {
+    fn next_write_fault(&self, kind: &str) -> WriteFault {
         let mut state = self.lock();
         let faults = &mut state.faults;
-        let may_be_lost = faults.lost_kind.as_ref().is_none_or(|lost| lost == kind);
-        if faults.lost > 0 && may_be_lost {
-            faults.lost -= 1;
-            Fate::Lost
-        } else if faults.late > 0 {
-            faults.late -= 1;
-            Fate::Late(faults.late_by)
+        let kind_matches = faults.lost_replies_kind.as_ref().is_none_or(|lost| lost == kind);
+        if faults.lost_replies > 0 && kind_matches {
+            faults.lost_replies -= 1;
+            WriteFault::ReplyLost
+        } else if faults.delayed_writes > 0 {
+            faults.delayed_writes -= 1;
+            WriteFault::Delayed(faults.write_delay)
         } else {
-            Fate::Answered
+            WriteFault::None
         }
     }
 }
--- a/crates/standin/src/objects/faults.rs
+++ b/crates/standin/src/objects/faults.rs
@@ -10,21 +10,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Every call gets 503 and nothing is done.
-    pub away: bool,
+    pub unavailable: bool,
     /// No call gets an answer and nothing is done.
-    pub silent: bool,
+    pub unresponsive: bool,
     /// Answers of this many writes are lost, the writes are done.
-    pub lost: u32,
+    pub lost_replies: u32,
     /// Only writes to this kind are lost.
-    pub lost_kind: Option<String>,
+    pub lost_replies_kind: Option<String>,
     /// Watches bring nothing.
-    pub deaf: bool,
+    pub no_watch_events: bool,
     /// This many writes are done after `late_by`, their answers are lost.
-    pub late: u32,
+    pub delayed_writes: u32,
     /// See `late`.
-    pub late_by: Duration,
+    pub write_delay: Duration,
     /// Delay of every answer.
-    pub slow: Duration,
+    pub latency: Duration,
 }
 
 /// Calls counted.
@@ -43,11 +43,14 @@
     /// Writes refused by their condition.
     pub conflicts: u64,
     /// Writes refused for the rate.
-    pub limited: u64,
+    #[serde(rename = "limited")]
+    pub rate_limited: u64,
     /// Bytes written.
-    pub bytes: u64,
+    #[serde(rename = "bytes")]
+    pub written_bytes: u64,
     /// Most bytes of one write.
-    pub largest: u64,
+    #[serde(rename = "largest")]
+    pub largest_write_bytes: u64,
 }
 
 impl Objects {
@@ -64,55 +67,55 @@
     }
 
     /// The watches under way are never answered; later ones are.
-    pub fn strand_watches(&self) {
-        self.lock().stranded += 1;
+    pub fn hang_watches(&self) {
+        self.lock().watch_epoch += 1;
         self.changed.notify_waiters();
     }
 
     /// From now on reads show this moment, and watches bring nothing; writes go on.
-    pub fn set_stale(&self, is_stale: bool) {
+    pub fn set_stale_reads(&self, is_stale: bool) {
         let mut state = self.lock();
-        state.old = is_stale.then(|| state.objects.clone());
+        state.stale_objects = is_stale.then(|| state.objects.clone());
     }
 
     /// Keeps a copy of all objects.
-    pub fn save(&self) {
+    pub fn save_snapshot(&self) {
         let mut state = self.lock();
-        state.saved = state.objects.clone();
+        state.snapshot = state.objects.clone();
     }
 
     /// Puts the copy back, as a restored replica would.
-    pub fn restore(&self) {
+    pub fn restore_snapshot(&self) {
         let mut state = self.lock();
-        state.objects = state.saved.clone();
+        state.objects = state.snapshot.clone();
     }
 
     /// Shows one object as it was, as a stale copy of a list would.
-    pub fn put_back(&self, kind: &str, object: Value) {
+    pub fn insert_stale(&self, kind: &str, object: Value) {
         let name = object["meta"]["name"].as_str().unwrap_or_default().to_owned();
         self.lock().objects.insert((kind.to_owned(), name), object);
     }
 
     /// Most bytes of one half of an object; longer writes are refused.
-    pub fn set_longest(&self, bytes: usize) {
-        self.lock().longest = bytes;
+    pub fn set_max_half_bytes(&self, bytes: usize) {
+        self.lock().max_half_bytes = bytes;
     }
 
     /// Most objects of one page of a list.
-    pub fn set_page(&self, objects: usize) {
-        self.lock().page = objects;
+    pub fn set_page_size(&self, objects: usize) {
+        self.lock().page_size = objects;
     }
 
     /// Writes a second; more are refused.
-    pub fn set_rate(&self, writes_per_second: f64) {
+    pub fn set_write_rate(&self, writes_per_second: f64) {
         let bucket = TokenBucket::new(writes_per_second, writes_per_second, Instant::now());
         self.lock().bucket = Some(bucket);
     }
 
     /// Drops the history: watches from before get 410.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut state = self.lock();
-        state.forgotten = state.revision;
+        state.compacted_revision = state.revision;
         state.history.clear();
         drop(state);
         self.changed.notify_waiters();
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -8,8 +8,8 @@
 use transport::http::{self, BodyStream, RequestHead, Response, Service};
 use transport::target::LoadReport;
 
-const BODY_LIMIT: usize = 1 << 20;
-const BODY_WAIT: Duration = Duration::from_secs(10);
+const MAX_BODY_BYTES: usize = 1 << 20;
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One call that reached the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,7 +19,8 @@
     /// Path.
     pub path: String,
     /// Key.
-    pub key: String,
+    #[serde(rename = "key")]
+    pub idempotency_key: String,
     /// Body.
     pub body: String,
 }
@@ -27,17 +28,17 @@
 #[derive(Default)]
 struct State {
     calls: Vec<Call>,
-    lose: u32,
+    lost_replies: u32,
     delay: Duration,
 }
 
 /// A plain service: it answers with what it was sent and how often it was called.
 #[derive(Clone, Default)]
-pub struct Plain {
+pub struct PlainService {
     state: Arc<Mutex<State>>,
 }
 
-impl Plain {
+impl PlainService {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -48,17 +49,17 @@
     }
 
     /// The next `calls` answers are lost after the call took effect.
-    pub fn lose(&self, calls: u32) {
-        self.lock().lose = calls;
+    pub fn lose_replies(&self, calls: u32) {
+        self.lock().lost_replies = calls;
     }
 
     /// Each call takes this long.
-    pub fn delay(&self, delay: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         self.lock().delay = delay;
     }
 }
 
-impl Service for Plain {
+impl Service for PlainService {
     async fn call<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
         if head.method == Method::GET && head.path == "/load" {
             return http::json(200, &LoadReport::default());
@@ -66,17 +67,18 @@
         if head.method == Method::GET && head.path == "/record" {
             return http::json(200, &self.calls());
         }
-        let bytes = http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await.unwrap_or_default();
+        let bytes =
+            http::read_body(&mut body, MAX_BODY_BYTES, BODY_TIMEOUT).await.unwrap_or_default();
         let (count, lost, delay) = {
             let mut state = self.lock();
             state.calls.push(Call {
                 method: head.method.to_string(),
                 path: head.path.clone(),
-                key: head.header(header::IDEMPOTENCY_KEY).into(),
+                idempotency_key: head.header(header::IDEMPOTENCY_KEY).into(),
                 body: String::from_utf8_lossy(&bytes).into_owned(),
             });
-            let lost = state.lose > 0;
-            state.lose = state.lose.saturating_sub(1);
+            let lost = state.lost_replies > 0;
+            state.lost_replies = state.lost_replies.saturating_sub(1);
             (state.calls.len(), lost, state.delay)
         };
         tokio::time::sleep(delay).await;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use transport::http::{self, BodyStream, RequestHead, Response, Service};
 
-const BODY_LIMIT: usize = 64 << 10;
-const BODY_WAIT: Duration = Duration::from_secs(10);
+const MAX_BODY_BYTES: usize = 64 << 10;
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Faults and rates, set by the control call; fields left out stay as they are.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -21,28 +21,36 @@
 pub struct Control {
     /// Every call fails.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub down: Option<bool>,
+    #[serde(rename = "down")]
+    pub unavailable: Option<bool>,
     /// Delay of every call, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub slow_ms: Option<u64>,
+    #[serde(rename = "slow_ms")]
+    pub latency_ms: Option<u64>,
     /// Watches bring nothing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub deaf: Option<bool>,
+    #[serde(rename = "deaf")]
+    pub no_watch_events: Option<bool>,
     /// Reads and lists show the state of this moment, writes go on.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub stale: Option<bool>,
+    #[serde(rename = "stale")]
+    pub stale_reads: Option<bool>,
     /// Answers of this many writes are lost after they took effect.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub lose: Option<u32>,
+    #[serde(rename = "lose")]
+    pub lost_replies: Option<u32>,
     /// Only writes are lost whose keys start so, a whole first segment.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub lose_prefix: Option<String>,
+    #[serde(rename = "lose_prefix")]
+    pub lost_replies_prefix: Option<String>,
     /// Keeps a copy of all objects.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub save: Option<bool>,
+    #[serde(rename = "save")]
+    pub save_snapshot: Option<bool>,
     /// Puts the copy back, as a restored replica would.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub restore: Option<bool>,
+    #[serde(rename = "restore")]
+    pub restore_snapshot: Option<bool>,
     /// Writes a second; more are refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub writes_per_second: Option<f64>,
@@ -63,24 +71,25 @@
     /// Sets faults and rates.
     pub fn control(&self, control: Control) {
         self.objects.change_faults(|faults| {
-            faults.away = control.down.unwrap_or(faults.away);
-            faults.slow = control.slow_ms.map_or(faults.slow, Duration::from_millis);
-            faults.deaf = control.deaf.unwrap_or(faults.deaf);
-            faults.lost = control.lose.unwrap_or(faults.lost);
-            let lost_kind = control.lose_prefix.map(|prefix| key_value::object_of_key(&prefix).0);
-            faults.lost_kind = lost_kind.or(faults.lost_kind.take());
+            faults.unavailable = control.unavailable.unwrap_or(faults.unavailable);
+            faults.latency = control.latency_ms.map_or(faults.latency, Duration::from_millis);
+            faults.no_watch_events = control.no_watch_events.unwrap_or(faults.no_watch_events);
+            faults.lost_replies = control.lost_replies.unwrap_or(faults.lost_replies);
+            let lost_replies_kind =
+                control.lost_replies_prefix.map(|prefix| key_value::object_of_key(&prefix).0);
+            faults.lost_replies_kind = lost_replies_kind.or(faults.lost_replies_kind.take());
         });
         if let Some(rate) = control.writes_per_second {
-            self.objects.set_rate(rate);
+            self.objects.set_write_rate(rate);
         }
-        if let Some(is_stale) = control.stale {
-            self.objects.set_stale(is_stale);
+        if let Some(is_stale) = control.stale_reads {
+            self.objects.set_stale_reads(is_stale);
         }
-        if control.save == Some(true) {
-            self.objects.save();
+        if control.save_snapshot == Some(true) {
+            self.objects.save_snapshot();
         }
-        if control.restore == Some(true) {
-            self.objects.restore();
+        if control.restore_snapshot == Some(true) {
+            self.objects.restore_snapshot();
         }
     }
 
@@ -92,7 +101,7 @@
     /// Keys below `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let (kind, _) = key_value::object_of_key(prefix);
-        let names = self.objects.all(&kind).into_iter();
+        let names = self.objects.objects_of_kind(&kind).into_iter();
         let keys = names.map(|o| {
             key_value::key_of_object(&kind, o["meta"]["name"].as_str().unwrap_or_default())
         });
@@ -106,7 +115,7 @@
     }
 
     /// A target's own entry, as it writes it.
-    pub fn list_target(&self, name: &str, address: SocketAddr, is_leaving: bool) {
+    pub fn put_target(&self, name: &str, address: SocketAddr, is_leaving: bool) {
         let state = if is_leaving { "draining" } else { "ready" };
         let entry: Value = json!({
             "service": "any", "addr": address, "zone": "any", "slots": 1, "state": state,
@@ -115,7 +124,7 @@
     }
 
     async fn control_call<B: BodyStream>(&self, mut body: B) -> Response {
-        let bytes = match http::read_body(&mut body, BODY_LIMIT, BODY_WAIT).await {
+        let bytes = match http::read_body(&mut body, MAX_BODY_BYTES, BODY_TIMEOUT).await {
             Ok(bytes) => bytes,
             Err(error) => return http::error(&error),
         };
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -6,24 +6,24 @@
 const SYLLABLES: [&str; 16] = [
     "ba", "de", "fi", "go", "hu", "ka", "le", "mi", "no", "pu", "ra", "se", "ti", "vo", "wu", "ya",
 ];
-const SHORTEST: u32 = 8;
-const SPREAD: u64 = 8;
+const MIN_TOKENS: u32 = 8;
+const TOKEN_COUNT_RANGE: u64 = 8;
 
 /// Token `place` of the answer to `prompt`.
-pub fn token(prompt: &str, place: u32) -> String {
-    let hash = xxh3_64_with_seed(prompt.as_bytes(), u64::from(place));
+pub fn token(prompt: &str, position: u32) -> String {
+    let hash = xxh3_64_with_seed(prompt.as_bytes(), u64::from(position));
     let first = SYLLABLES[(hash % 16) as usize];
     let second = SYLLABLES[(hash / 16 % 16) as usize];
     format!("{first}{second} ")
 }
 
 /// How many tokens the answer to `prompt` has when nothing limits it.
-pub fn length(prompt: &str) -> u32 {
-    SHORTEST + (xxh3_64_with_seed(prompt.as_bytes(), u64::MAX) % SPREAD) as u32
+pub fn token_count(prompt: &str) -> u32 {
+    MIN_TOKENS + (xxh3_64_with_seed(prompt.as_bytes(), u64::MAX) % TOKEN_COUNT_RANGE) as u32
 }
 
 /// The whole answer to `prompt` with at most `most` tokens.
-pub fn whole(prompt: &str, most: Option<u32>) -> String {
-    let tokens = most.unwrap_or_else(|| length(prompt));
-    (0..tokens).map(|place| token(prompt, place)).collect()
+pub fn full_text(prompt: &str, max_tokens: Option<u32>) -> String {
+    let tokens = max_tokens.unwrap_or_else(|| token_count(prompt));
+    (0..tokens).map(|position| token(prompt, position)).collect()
 }
