--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -197,7 +197,7 @@
     };
     let is_same = recorded.as_ref() == own.as_bytes();
     if !is_same {
-        slog::error!(shared.log, "log.shards doesn't match the log's shard count";
+        slog::error!(shared.log, "log.shards differs from the log's shard count";
             "settings" => own,
             "log" => String::from_utf8_lossy(&recorded).into_owned());
     }
@@ -324,7 +324,7 @@
         }
         let view = shared.view();
         let mut polled: Vec<Arc<Node>> =
-            view.services.values().flat_map(|bound| bound.nodes.iter().cloned()).collect();
+            view.services.values().flat_map(|service| service.nodes.iter().cloned()).collect();
         polled.extend(shared.owned_targets().iter().cloned());
         polled.sort_by_key(|node| node.id);
         polled.dedup_by_key(|node| node.id);
