--- a/crates/daemon/src/batch/chunk.rs
+++ b/crates/daemon/src/batch/chunk.rs
@@ -161,17 +161,17 @@
     }
 
     /// Number of items that may start now or after the next report.
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         if self.releasing { 0 } else { self.waiting.len() + self.unrecorded_starts.len() }
     }
 
     /// Number of items that run.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
     /// Number of outcomes that aren't recorded yet.
-    pub fn unrecorded(&self) -> usize {
+    pub fn unrecorded_count(&self) -> usize {
         let reported =
             self.report.as_ref().and_then(|r| r.part.as_ref()).map_or(0, |(_, p)| p.outcomes.len());
         self.unwritten.len() + reported
@@ -212,7 +212,7 @@
         self.unwritten.insert(index, Outcome::Failed { kind, reason });
     }
 
-    fn is_done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.finished.len() == self.total
     }
 
@@ -223,7 +223,7 @@
         let is_idle = self.waiting.is_empty() && self.running.is_empty();
         let has_starts_to_record = is_idle && !self.unrecorded_starts.is_empty();
         let is_interval_over = now.saturating_duration_since(self.reported) >= interval;
-        self.is_done() || is_released || has_starts_to_record || is_interval_over
+        self.is_finished() || is_released || has_starts_to_record || is_interval_over
     }
 
     /// Returns the unacknowledged report, or makes a new one.
@@ -236,11 +236,11 @@
             if self.releasing { 0 } else { MAX_RECORDED_STARTS.min(self.unrecorded_starts.len()) };
         self.recording_starts =
             self.unrecorded_starts.iter().take(starts).map(|w| w.index).collect();
-        let tries: BTreeMap<u32, u32> = self.tries();
+        let tries: BTreeMap<u32, u32> = self.attempts();
         let done = outcomes.len() as u32;
         let is_failed = |o: &&Outcome| matches!(o, Outcome::Failed { .. });
         let failed = outcomes.values().filter(is_failed).count() as u32;
-        let disposition = match (self.is_done(), self.releasing && self.running.is_empty()) {
+        let disposition = match (self.is_finished(), self.releasing && self.running.is_empty()) {
             (true, _) => Disposition::Done,
             (false, true) => Disposition::Release,
             (false, false) => Disposition::Continue,
@@ -256,7 +256,7 @@
 
     /// Attempts of unfinished items; a running one counts its current attempt, in case it
     /// crashes this instance.
-    fn tries(&self) -> BTreeMap<u32, u32> {
+    fn attempts(&self) -> BTreeMap<u32, u32> {
         let pending = self.waiting.iter().map(|w| (w.index, w.attempts));
         let running = self.running.values().map(|w| (w.index, w.attempts + 1));
         pending.chain(running).filter(|(_, tries)| *tries > 0).collect()
--- a/crates/daemon/src/batch/item.rs
+++ b/crates/daemon/src/batch/item.rs
@@ -45,20 +45,20 @@
     };
     let mut stream = match started {
         Ok(stream) => stream,
-        Err(error) => return failed(&error),
+        Err(error) => return outcome_of_error(&error),
     };
     loop {
-        let piece = tokio::select! {
-            piece = stream.next() => piece,
+        let stream_item = tokio::select! {
+            stream_item = stream.next() => stream_item,
             () = run.preempt.cancelled() => return preempted_or_failed(&pending, partial),
         };
-        match piece {
+        match stream_item {
             Ok(StreamItem::Token(text)) => {
                 partial.text.push_str(&text);
                 partial.tokens += 1;
             }
             Ok(StreamItem::End(_)) => return RunOutcome::Completed(partial.text),
-            Err(error) => return failed(&error),
+            Err(error) => return outcome_of_error(&error),
         }
     }
 }
@@ -84,7 +84,7 @@
     RunOutcome::Failed(String::from("preempted while it ran"))
 }
 
-fn failed(error: &AttemptError) -> RunOutcome {
+fn outcome_of_error(error: &AttemptError) -> RunOutcome {
     match error.failure {
         Failure::NotSent | Failure::Refused => RunOutcome::Rejected,
         Failure::Unknown => RunOutcome::Failed(error.message.clone()),
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -109,15 +109,15 @@
         }
         let owned = self.shared.owned_targets();
         self.preempt_on_disowned_targets(&view, &owned, now);
-        let mut free = HashMap::new();
+        let mut free_slots = HashMap::new();
         for node in owned.iter() {
             if let Some(starts) = self.balance(&view, node, now) {
-                *free.entry(node.target.service.clone()).or_insert(0) += starts;
+                *free_slots.entry(node.target.service.clone()).or_insert(0) += starts;
             }
         }
-        self.release_unserviceable(&free, now);
+        self.release_unserviceable(&free_slots, now);
         self.send_reports(now);
-        self.claim_chunk(&free, now);
+        self.claim_chunk(&free_slots, now);
         self.shared.batch.set_assigned_chunks(self.chunks.len() + usize::from(self.claiming));
     }
 
@@ -159,12 +159,12 @@
 
     /// Releases chunks of services for which this instance has owned no usable target for a
     /// while. The chunk of a live holder never expires, so it would otherwise wait forever.
-    fn release_unserviceable(&mut self, free: &HashMap<String, usize>, now: Instant) {
+    fn release_unserviceable(&mut self, free_slots: &HashMap<String, usize>, now: Instant) {
         if self.shared.settings.is_guard_disabled("strand") {
             return;
         }
         for chunk in self.chunks.values_mut() {
-            if free.contains_key(&chunk.assignment.service) {
+            if free_slots.contains_key(&chunk.assignment.service) {
                 chunk.last_serviceable = now;
             } else if now.saturating_duration_since(chunk.last_serviceable) >= UNSERVICEABLE_TIMEOUT
             {
@@ -220,14 +220,14 @@
         running.take(max_streams as usize).for_each(|s| s.preempt.cancel());
     }
 
-    fn start(&mut self, node: &Arc<Node>, most: usize) -> usize {
-        for started in 0..most {
+    fn start(&mut self, node: &Arc<Node>, max_starts: usize) -> usize {
+        for started in 0..max_starts {
             let may_once =
                 self.count_non_preemptible(&node.target.name) < node.target.slots.div_ceil(2);
             let Some((key, pending)) = self.next_item(&node.target.service, may_once) else {
-                return most - started;
+                return max_starts - started;
             };
-            self.spawn(node, key, pending);
+            self.spawn_run(node, key, pending);
         }
         0
     }
@@ -241,7 +241,7 @@
     /// Takes the next item of the chunk of a service that is due first; at-most-once items
     /// only if `may_once`.
     fn next_item(&mut self, service: &str, may_once: bool) -> Option<(ChunkKey, PendingItem)> {
-        let unrecorded: usize = self.chunks.values().map(Chunk::unrecorded).sum();
+        let unrecorded: usize = self.chunks.values().map(Chunk::unrecorded_count).sum();
         if unrecorded >= MAX_UNRECORDED {
             return None;
         }
@@ -253,7 +253,7 @@
         chunk.take_next(may_once).map(|pending| (*key, pending))
     }
 
-    fn spawn(&mut self, node: &Arc<Node>, chunk: ChunkKey, pending: PendingItem) {
+    fn spawn_run(&mut self, node: &Arc<Node>, chunk: ChunkKey, pending: PendingItem) {
         self.next_id += 1;
         let stream = self.next_id;
         let preempt = CancellationToken::new();
--- a/crates/daemon/src/batch/run/claim.rs
+++ b/crates/daemon/src/batch/run/claim.rs
@@ -17,14 +17,14 @@
 
 impl Worker {
     /// Claims a chunk from one shard when a service is short of items.
-    pub(super) fn claim_chunk(&mut self, free: &HashMap<String, usize>, now: Instant) {
+    pub(super) fn claim_chunk(&mut self, free_slots: &HashMap<String, usize>, now: Instant) {
         let may_claim = self.chunks.len() < MAX_CHUNKS && accepts_work(&self.shared);
         let batch = self.shared.batch.clone();
         if self.claiming || !may_claim {
             return;
         }
         let services: Vec<String> =
-            free.keys().filter(|s| self.is_short_of_items(s, free)).cloned().collect();
+            free_slots.keys().filter(|s| self.is_short_of_items(s, free_slots)).cloned().collect();
         if services.is_empty() {
             return;
         }
@@ -47,11 +47,11 @@
 
     /// Whether fewer items of a service wait than run: the next chunk is claimed while the
     /// last one still fills the targets.
-    fn is_short_of_items(&self, service: &String, free: &HashMap<String, usize>) -> bool {
+    fn is_short_of_items(&self, service: &String, free_slots: &HashMap<String, usize>) -> bool {
         let of_service = self.chunks.values().filter(|c| c.assignment.service == *service);
         let (ready, running) =
-            of_service.fold((0, 0), |(r, n), c| (r + c.ready(), n + c.running()));
-        let capacity = free.get(service).copied().unwrap_or(0);
+            of_service.fold((0, 0), |(r, n), c| (r + c.ready_count(), n + c.running_count()));
+        let capacity = free_slots.get(service).copied().unwrap_or(0);
         (capacity > 0 || running > 0) && ready < running.max(1)
     }
 
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -138,7 +138,7 @@
         lock(&self.state).report.as_ref().map(|report| report.version.clone())
     }
 
-    fn candidate(&self, here: &str, now: Instant) -> Candidate {
+    fn candidate(&self, data_centre: &str, now: Instant) -> Candidate {
         let state = lock(&self.state);
         let online = state.load.online(now);
         let own = state.load.own();
@@ -151,8 +151,8 @@
         // One and a half times the slots keep the engine's queue short, and a request ready
         // for the next free slot.
         let queue = (slots + slots.div_ceil(2)).saturating_sub(online);
-        let local = self.target.data_centre == here;
-        Candidate { id: self.id, local, online, slots, free: capacity.min(queue) }
+        let is_local = self.target.data_centre == data_centre;
+        Candidate { id: self.id, local: is_local, online, slots, free: capacity.min(queue) }
     }
 }
 
@@ -212,10 +212,10 @@
 impl View {
     /// The plain service with the longest prefix of `path`.
     pub fn plain_service(&self, path: &str) -> Option<&ServiceTargets> {
-        let is_plain = |b: &&ServiceTargets| b.service.protocol == Protocol::Plain;
-        let fits = |b: &&ServiceTargets| path.starts_with(&b.service.prefix);
+        let is_plain = |s: &&ServiceTargets| s.service.protocol == Protocol::Plain;
+        let fits = |s: &&ServiceTargets| path.starts_with(&s.service.prefix);
         let found = self.services.values().filter(is_plain).filter(fits);
-        found.max_by_key(|b| b.service.prefix.len())
+        found.max_by_key(|s| s.service.prefix.len())
     }
 }
 
@@ -333,9 +333,12 @@
 }
 
 /// Whether a target of the service meets the requirements, or none is known yet.
-pub fn is_servable(bound: &ServiceTargets, requirements: &Requirements) -> bool {
-    bound.nodes.is_empty()
-        || bound.nodes.iter().any(|node| requirements.is_met_by(node, &bound.service))
+pub fn is_servable(service_targets: &ServiceTargets, requirements: &Requirements) -> bool {
+    service_targets.nodes.is_empty()
+        || service_targets
+            .nodes
+            .iter()
+            .any(|node| requirements.is_met_by(node, &service_targets.service))
 }
 
 /// Counts a request as running on a target until dropped.
@@ -374,16 +377,18 @@
 /// Picks a free target for an online request and counts the request there; `None` when none
 /// is free.
 pub fn pick(
-    bound: &ServiceTargets,
+    service_targets: &ServiceTargets,
     requirements: &Requirements,
     excluded: &[TargetId],
-    here: &str,
+    data_centre: &str,
     now: Instant,
 ) -> Option<TargetGuard> {
-    let suitable = |node: &&Arc<Node>| requirements.is_met_by(node, &bound.service);
+    let suitable = |node: &&Arc<Node>| requirements.is_met_by(node, &service_targets.service);
     let not_excluded = |node: &&Arc<Node>| !excluded.contains(&node.target.name);
-    let nodes: Vec<&Arc<Node>> = bound.nodes.iter().filter(suitable).filter(not_excluded).collect();
-    let candidates: Vec<Candidate> = nodes.iter().map(|node| node.candidate(here, now)).collect();
+    let nodes: Vec<&Arc<Node>> =
+        service_targets.nodes.iter().filter(suitable).filter(not_excluded).collect();
+    let candidates: Vec<Candidate> =
+        nodes.iter().map(|node| node.candidate(data_centre, now)).collect();
     let draws = [rand::random(), rand::random()];
     let selected = route::pick(requirements.prefix, &candidates, Policy::default(), draws)?;
     let node = nodes[selected].clone();
@@ -394,6 +399,6 @@
         state.peer_load.record(online, now);
     }
     node.on_load_changed();
-    bound.counts.running.fetch_add(1, Ordering::Relaxed);
-    Some(TargetGuard { node, counts: bound.counts.clone(), started: now })
+    service_targets.counts.running.fetch_add(1, Ordering::Relaxed);
+    Some(TargetGuard { node, counts: service_targets.counts.clone(), started: now })
 }
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -272,10 +272,10 @@
 
 /// Number of other targets of the service that serve now.
 fn count_serving_others(view: &View, node: &Node) -> usize {
-    let Some(bound) = view.services.get(&node.target.service) else {
+    let Some(service_targets) = view.services.get(&node.target.service) else {
         return 0;
     };
-    let others = bound.nodes.iter().filter(|other| other.id != node.id);
+    let others = service_targets.nodes.iter().filter(|other| other.id != node.id);
     let serves =
         |report: &transport::target::LoadReport| !report.busy && !report.version.is_empty();
     others.filter(|other| lock(&other.state).report.as_ref().is_some_and(serves)).count()
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -55,11 +55,11 @@
     }
 
     async fn command(&self, shard: u32, body: Vec<u8>) -> Vec<u8> {
-        let answer = match serde_json::from_slice(&body) {
+        let result = match serde_json::from_slice(&body) {
             Ok(command) => self.shared.shards.submit_local(shard, command).await,
             Err(error) => Err(protocol::Error::new(protocol::Kind::Malformed, error.to_string())),
         };
-        serde_json::to_vec(&answer).unwrap_or_default()
+        serde_json::to_vec(&result).unwrap_or_default()
     }
 
     async fn entries(&self, after: u64) -> Entries {
@@ -140,11 +140,11 @@
             self.shared.updates_ready.notify_one();
         }
         if is_ahead {
-            spawn_local(self.clone().fetch(address));
+            spawn_local(self.clone().fetch_entries(address));
         }
     }
 
-    async fn fetch(self, from: SocketAddr) {
+    async fn fetch_entries(self, from: SocketAddr) {
         loop {
             let after = lock(&self.shared.config_log).generation();
             let Ok(found) = self.pool.entries(from, after).await else {
@@ -182,10 +182,10 @@
             return;
         };
         self.on_heartbeat(member, &[]);
-        self.exchange(address).await;
+        self.exchange_members(address).await;
     }
 
-    async fn exchange(&self, address: SocketAddr) {
+    async fn exchange_members(&self, address: SocketAddr) {
         let Ok(members) = self.pool.members(address).await else {
             return;
         };
@@ -270,7 +270,7 @@
 
     /// Joins members found in the settings and in the platform's list.
     async fn discover(self, stop: CancellationToken) {
-        let mut exchanged = Instant::now();
+        let mut last_exchange = Instant::now();
         let mut is_registered = false;
         loop {
             if !is_registered {
@@ -289,11 +289,11 @@
             }
             let joins = candidates.into_iter().map(|address| self.clone().join(address));
             futures_util::future::join_all(joins).await;
-            if exchanged.elapsed() >= EXCHANGE_INTERVAL
+            if last_exchange.elapsed() >= EXCHANGE_INTERVAL
                 && let Some(address) = self.exchange_partner(&fingers)
             {
-                exchanged = Instant::now();
-                self.exchange(address).await;
+                last_exchange = Instant::now();
+                self.exchange_members(address).await;
             }
             let wait = if fingers.is_empty() { ISOLATED_SEED_INTERVAL } else { SEED_INTERVAL };
             tokio::select! {
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -143,13 +143,13 @@
             return;
         }
         let now = clock::millis();
-        let (waiting, deferred) = self.decide(now);
+        let (appends, deferred) = self.decide(now);
         self.queue = deferred;
-        if waiting.is_empty() {
+        if appends.is_empty() {
             return;
         }
         self.wait_commit_interval().await;
-        self.append(waiting).await;
+        self.append(appends).await;
     }
 
     /// Reads the shard or catches up with its tail, after resolving an open append.
@@ -215,10 +215,10 @@
     }
 
     fn decide(&mut self, now: Millis) -> (Vec<PendingAppend>, VecDeque<Submission>) {
-        let mut waiting = Vec::new();
+        let mut appends = Vec::new();
         let mut deferred = VecDeque::new();
         let Some(loaded) = &mut self.loaded else {
-            return (waiting, deferred);
+            return (appends, deferred);
         };
         let mut batch = Batch::default();
         let mut bytes = 0;
@@ -228,7 +228,7 @@
             if submission.reply.is_closed() {
                 continue;
             }
-            let ungrouped = self.shared.settings.is_guard_disabled("group") && !waiting.is_empty();
+            let ungrouped = self.shared.settings.is_guard_disabled("group") && !appends.is_empty();
             if bytes > object_key::MAX_VALUE_BYTES / 2 || ungrouped {
                 deferred.push_back(submission);
                 continue;
@@ -244,38 +244,38 @@
                 Decision::Defer => deferred.push_back(submission),
                 Decision::Commit(records, reply) => {
                     bytes += records.iter().map(encoded_len).sum::<usize>();
-                    waiting.push(PendingAppend { submission, records, reply });
+                    appends.push(PendingAppend { submission, records, reply });
                 }
             }
         }
-        (waiting, deferred)
+        (appends, deferred)
     }
 
-    async fn append(&mut self, waiting: Vec<PendingAppend>) {
+    async fn append(&mut self, appends: Vec<PendingAppend>) {
         let Some(loaded) = &self.loaded else {
             return;
         };
         self.append_count += 1;
         let token = format!("{:016x}-{}-{}", self.shared.id, self.id, self.append_count);
-        let records = waiting.iter().flat_map(|w| w.records.iter().cloned()).collect();
+        let records = appends.iter().flat_map(|w| w.records.iter().cloned()).collect();
         let entry = Entry { token: token.clone(), at: clock::millis(), records };
         let append = Append::new(loaded.shard.next_position(), token);
         self.last_commit = Instant::now();
         match self.drive(&append, &entry).await {
             AppendOutcome::Committed => {
                 self.apply(entry);
-                reply_all(waiting, |w| Ok(w.reply.clone()));
+                reply_all(appends, |w| Ok(w.reply.clone()));
             }
             AppendOutcome::Conflict => {
                 // Another instance appended: read its entries and decide again.
                 self.last_verified = None;
-                let retried = waiting.into_iter().map(|w| w.submission);
+                let retried = appends.into_iter().map(|w| w.submission);
                 self.queue.extend(retried);
             }
             AppendOutcome::Rejected(text) => {
                 self.failures += 1;
                 let error = platform_unavailable(&text, self.backoff());
-                reply_all(waiting, |_| Err(error.clone()));
+                reply_all(appends, |_| Err(error.clone()));
             }
             AppendOutcome::Unknown => {
                 self.failures += 1;
@@ -284,7 +284,7 @@
                     .with_retry_after(wait);
                 self.open_append =
                     Some(OpenAppend { append, entry, retry_at: Instant::now() + wait });
-                reply_all(waiting, |_| Err(error.clone()));
+                reply_all(appends, |_| Err(error.clone()));
             }
         }
     }
@@ -356,8 +356,8 @@
     Error::new(Kind::PlatformUnavailable, text).with_retry_after(wait)
 }
 
-fn reply_all(waiting: Vec<PendingAppend>, result: impl Fn(&PendingAppend) -> CommandResult) {
-    for pending in waiting {
+fn reply_all(appends: Vec<PendingAppend>, result: impl Fn(&PendingAppend) -> CommandResult) {
+    for pending in appends {
         let reply = result(&pending);
         drop(pending.submission.reply.send(reply));
     }
--- a/crates/daemon/src/shards/commit/housekeeping.rs
+++ b/crates/daemon/src/shards/commit/housekeeping.rs
@@ -94,7 +94,7 @@
     async fn write_snapshot(&self, loaded: &Loaded) -> Result<(Head, u64), StoreError> {
         let shard = &loaded.shard;
         let name = format!("{:012}-{:016x}", shard.next_position(), self.shared.id);
-        let mut segments = retained_segments(&loaded.head.segments, self.oldest());
+        let mut segments = retained_segments(&loaded.head.segments, self.retention_start());
         let finished = shard.keys().finished_since(loaded.head.next_position);
         if !finished.is_empty() {
             let newest = finished.iter().map(|(_, f)| f.issued).max().unwrap_or(0);
@@ -124,14 +124,14 @@
     }
 
     /// Issue time before which nothing is retained.
-    fn oldest(&self) -> Millis {
+    fn retention_start(&self) -> Millis {
         clock::millis().saturating_sub(self.policy.retention.as_millis() as Millis)
     }
 
     /// Deletes what is past retention: entries that a snapshot covers, and the objects of
     /// expired jobs.
     async fn delete_expired(&mut self) {
-        let oldest = self.oldest();
+        let retention_start = self.retention_start();
         if self.last_deletion.elapsed() < DELETION_INTERVAL {
             return;
         }
@@ -146,7 +146,7 @@
             &self.store,
             self.id,
             loaded.head.deleted_before..loaded.head.next_position,
-            oldest,
+            retention_start,
         )
         .await;
     }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -219,9 +219,9 @@
     /// data centre, or of any when that has none.
     pub fn target_owner(&self, node: &Node) -> Option<Member> {
         let members = lock(&self.members);
-        let here = |m: &&Member| m.data_centre == node.target.data_centre;
+        let is_local = |m: &&Member| m.data_centre == node.target.data_centre;
         let key = node.id.to_le_bytes();
-        let selected = hash::owner(&key, members.workers().filter(here).map(|m| m.id))
+        let selected = hash::owner(&key, members.workers().filter(is_local).map(|m| m.id))
             .or_else(|| hash::owner(&key, members.workers().map(|m| m.id)))?;
         members.workers().find(|m| m.id == selected).cloned()
     }
@@ -244,15 +244,15 @@
     /// Whether this instance watches the platform for its data centre.
     pub fn is_watcher(&self) -> bool {
         let members = lock(&self.members);
-        let here = |m: &&Member| m.data_centre == self.settings.data_centre;
-        let mut ranked: Vec<u64> = members.workers().filter(here).map(|m| m.id).collect();
+        let is_local = |m: &&Member| m.data_centre == self.settings.data_centre;
+        let mut ranked: Vec<u64> = members.workers().filter(is_local).map(|m| m.id).collect();
         ranked.sort_by_key(|id| std::cmp::Reverse(hash::weight(b"watch", *id)));
         ranked.iter().take(WATCHERS_PER_DATA_CENTRE).any(|id| *id == self.id)
     }
 }
 
 /// What [`Shared`] is built from.
-pub struct Parts {
+pub struct SharedParts {
     /// Settings of this instance.
     pub settings: Settings,
     /// Root logger.
@@ -271,9 +271,9 @@
     pub telemetry: Telemetry,
 }
 
-impl Parts {
+impl SharedParts {
     /// Builds the shared state.
-    pub fn join(self) -> Shared {
+    pub fn build(self) -> Shared {
         let policy = coordination::membership::Policy {
             heartbeat_interval: self.settings.heartbeat_interval,
             suspect_timeout: self.settings.suspect_timeout,
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -7,7 +7,7 @@
 use crate::front::HttpHandler;
 use crate::peers;
 use crate::shards;
-use crate::shared::{Parts, Shared};
+use crate::shared::{Shared, SharedParts};
 use crate::store;
 use crate::telemetry::Telemetry;
 use coordination::capacity;
@@ -75,7 +75,7 @@
     let batch = batch::Handle::default();
     let telemetry = Telemetry::new(settings.metrics_address)?;
     let shared =
-        Arc::new(Parts { settings, log, me, store, shards, peers, batch, telemetry }.join());
+        Arc::new(SharedParts { settings, log, me, store, shards, peers, batch, telemetry }.build());
     let tokens = Tokens::default();
     let mut workers = Workers { tokens: tokens.clone(), threads: Vec::new() };
     let (log, stop) = (shared.log.clone(), tokens.workers.clone());
