--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -91,7 +91,7 @@
 fn a_claim_whose_answer_is_lost_runs_nothing_twice(#[case] lose: u32) {
     let cluster = Cluster::start(Plan::default());
     let lose_prefix = Some(String::from("log/"));
-    cluster.platform_fault(Control {
+    cluster.set_platform_faults(Control {
         lost_replies: Some(lose),
         lost_replies_prefix: lose_prefix,
         ..Control::default()
@@ -165,7 +165,7 @@
     wait_until("work began", || cluster.runs().len() > 40);
     cluster.daemons[1].kill();
     wait_until("work goes on", || cluster.runs().len() > 90);
-    let fresh = cluster.new_daemon();
+    let fresh = cluster.start_daemon();
     fresh.wait_ready();
     cluster.daemons[1] = fresh;
     cluster.daemons[2].freeze();
--- a/crates/daemon/tests/cancel_stops.rs
+++ b/crates/daemon/tests/cancel_stops.rs
@@ -81,13 +81,13 @@
 #[test]
 fn a_cancel_while_the_platform_is_away_stops_at_once_and_is_recorded_later() {
     let (cluster, job) = start(4000);
-    cluster.platform_down(true);
+    cluster.set_platform_down(true);
     let response = cancel(&cluster, 1, &job);
     assert_eq!(response.json()["error"]["type"], "not_recorded", "{response:?}");
     assert!(!response.header("retry-after").is_empty());
     wait_until("running streams stop", || cluster.engines.iter().all(|e| e.running()[1] == 0));
     let stopped_at = cluster.runs().len();
-    cluster.platform_down(false);
+    cluster.set_platform_down(false);
     cluster.wait_job(2, &job, "cancelled");
     assert_eq!(cluster.runs().len(), stopped_at, "an item started after the cancel");
     check_readers_agree(&cluster, &job, 4000);
--- a/crates/daemon/tests/config_in_force.rs
+++ b/crates/daemon/tests/config_in_force.rs
@@ -20,7 +20,7 @@
 }
 
 fn fault(cluster: &Cluster, control: Control) {
-    cluster.platform_fault(control);
+    cluster.set_platform_faults(control);
 }
 
 #[rstest]
@@ -74,7 +74,7 @@
         assert!(cluster.daemons.iter().all(|daemon| rate(daemon) == 7.0), "it reverted");
         healed
     });
-    let fresh = cluster.new_daemon();
+    let fresh = cluster.start_daemon();
     fresh.wait_ready();
     assert_eq!((fresh.generation(), rate(&fresh)), (2, json!(7.0)));
     cluster.daemons.push(fresh);
@@ -95,7 +95,7 @@
     assert_eq!(cluster.apply(0, 1, &limit(7)).status, 200);
     cluster.wait_generation(2);
     fault(&cluster, control);
-    let fresh = cluster.new_daemon();
+    let fresh = cluster.start_daemon();
     wait_until("it is ready", || {
         let ready = fresh.get("/ready").status == 200;
         assert!(!ready || fresh.generation() == 2, "it serves an older configuration");
@@ -108,13 +108,13 @@
 #[test]
 fn a_start_with_neither_platform_nor_peers_is_not_ready() {
     let mut cluster = Cluster::start(Plan::default());
-    cluster.platform_down(true);
+    cluster.set_platform_down(true);
     cluster.daemons.clear();
-    let fresh = cluster.new_daemon();
+    let fresh = cluster.start_daemon();
     let response = chat(fresh.front_address, "anyone?", &[], json!({}));
     assert_eq!(response.json()["error"]["type"], "not_ready");
     assert_eq!(fresh.get("/ready").status, 503);
-    cluster.platform_down(false);
+    cluster.set_platform_down(false);
     fresh.wait_ready();
     assert_eq!(fresh.generation(), 1);
 }
@@ -123,7 +123,7 @@
 #[test]
 fn an_instance_with_another_number_of_shards_serves_nothing() {
     let mut cluster = Cluster::start(Plan::default());
-    let other = cluster.new_daemon_in("patan-hall", "log.shards = 5");
+    let other = cluster.start_daemon_in("patan-hall", "log.shards = 5");
     let log = cluster.dir.join("daemon-4.log");
     wait_until("it says why", || {
         let text = std::fs::read_to_string(&log).unwrap_or_default();
@@ -164,7 +164,7 @@
 #[test]
 fn a_change_while_the_platform_is_away_is_refused() {
     let cluster = Cluster::start(Plan::default());
-    cluster.platform_down(true);
+    cluster.set_platform_down(true);
     let response = cluster.apply(0, 1, &limit(7));
     assert_eq!(response.status, 503, "{response:?}");
     assert!(!response.header("retry-after").is_empty());
--- a/crates/daemon/tests/contract.rs
+++ b/crates/daemon/tests/contract.rs
@@ -154,7 +154,7 @@
 fn errors_of_an_outage_fit_the_contract() {
     let cluster = Cluster::start(Plan::default());
     let front = cluster.daemons[0].front_address;
-    cluster.platform_down(true);
+    cluster.set_platform_down(true);
     let once = [("idempotency-key", "o"), ("gatespool-repeatable", "false")];
     check_error(&chat(front, "offer", &once, json!({})), Kind::PlatformUnavailable);
     check_error(&cluster.submit(0, "night", &items("describe", 5)), Kind::PlatformUnavailable);
--- a/crates/daemon/tests/exactly_once.rs
+++ b/crates/daemon/tests/exactly_once.rs
@@ -46,7 +46,7 @@
     for round in 0..3 {
         let before = cluster.runs().len();
         wait_until("work goes on", || cluster.runs().len() > before + 60);
-        let mut fresh = cluster.new_daemon();
+        let mut fresh = cluster.start_daemon();
         fresh.wait_ready();
         std::mem::swap(&mut cluster.daemons[round], &mut fresh);
         fresh.kill();
@@ -92,7 +92,7 @@
     let job = job_of(&cluster.submit(0, "night", &items("describe", 300)));
     for _ in 0..5 {
         let lose_prefix = Some(String::from("log/"));
-        cluster.platform_fault(Control {
+        cluster.set_platform_faults(Control {
             lost_replies: Some(3),
             lost_replies_prefix: lose_prefix,
             ..Control::default()
@@ -109,11 +109,11 @@
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let job = job_of(&cluster.submit(0, "night", &items("describe", 500)));
     wait_until("work began", || cluster.runs().len() > 60);
-    cluster.platform_down(true);
+    cluster.set_platform_down(true);
     let before = cluster.runs().len();
     wait_until("work in hand goes on", || cluster.runs().len() > before + 10);
     cluster.daemons[0].kill();
-    cluster.platform_down(false);
+    cluster.set_platform_down(false);
     check_results(&cluster, 1, &job, "describe", 500);
 }
 
@@ -206,7 +206,7 @@
     wait_until("a snapshot is written", || !cluster.platform.keys("log/0000/head").is_empty());
     // Every former owner goes; the fresh instance knows the shard only by what
     // the platform keeps.
-    let fresh = cluster.new_daemon();
+    let fresh = cluster.start_daemon();
     fresh.wait_ready();
     cluster.daemons.clear();
     cluster.daemons.push(fresh);
@@ -231,7 +231,8 @@
         chat(cluster.daemons[daemon].front_address, &key, &[("idempotency-key", &key)], json!({}))
     };
     let rate = |cluster: &Cluster, rate: f64| {
-        cluster.platform_fault(Control { writes_per_second: Some(rate), ..Control::default() });
+        cluster
+            .set_platform_faults(Control { writes_per_second: Some(rate), ..Control::default() });
     };
     rate(&cluster, 4.0);
     for n in 0..24 {
@@ -244,7 +245,7 @@
             ask(&cluster, 1, n).header("gatespool-replayed") == "true"
         });
     }
-    let fresh = cluster.new_daemon();
+    let fresh = cluster.start_daemon();
     fresh.wait_ready();
     cluster.daemons.clear();
     cluster.daemons.push(fresh);
@@ -282,7 +283,7 @@
         let first = cluster.platform.value("log/0000/e/000000000000");
         gone("chunk/") && gone("result/") && gone("index/") && first.is_none()
     });
-    let fresh = cluster.new_daemon();
+    let fresh = cluster.start_daemon();
     fresh.wait_ready();
     cluster.daemons.clear();
     cluster.daemons.push(fresh);
@@ -327,7 +328,7 @@
     wait_until("work began", || cluster.runs().len() > 8);
     // With one target, each newcomer has an even chance to take charge of it.
     for _ in 0..4 {
-        let fresh = cluster.new_daemon();
+        let fresh = cluster.start_daemon();
         fresh.wait_ready();
         cluster.daemons.push(fresh);
     }
--- a/crates/daemon/tests/gateway_batch.rs
+++ b/crates/daemon/tests/gateway_batch.rs
@@ -94,9 +94,9 @@
     let items: Vec<&str> = items.iter().map(String::as_str).collect();
     assert_eq!(fleet.submit(0, "ended", &items).status, 202);
     wait_until("an item runs", || !fleet.runs("/batch/").is_empty());
-    assert_eq!(fleet.end(2, "ended").status, 200);
+    assert_eq!(fleet.end_job(2, "ended").status, 200);
     let runs = fleet.runs("/batch/").len();
-    assert_eq!(fleet.end(1, "ended").status, 200, "a repeated end succeeds");
+    assert_eq!(fleet.end_job(1, "ended").status, 200, "a repeated end succeeds");
     std::thread::sleep(Duration::from_millis(1_500));
     assert_eq!(fleet.runs("/batch/").len(), runs, "an item started after the end");
 }
@@ -217,6 +217,6 @@
     fleet.gateways[0].set_unreachable(&address);
     fleet.gateways[2].set_unreachable(&address);
     std::thread::sleep(Duration::from_millis(200)); // The partition file is read every 50 ms.
-    assert_eq!(fleet.end(0, "first").status, 200);
+    assert_eq!(fleet.end_job(0, "first").status, 200);
     wait_until("the route has capacity again", || fleet.submit(1, "second", &["b"]).status == 202);
 }
--- a/crates/daemon/tests/gateway_crash.rs
+++ b/crates/daemon/tests/gateway_crash.rs
@@ -131,7 +131,7 @@
 fn quarantine_survives_a_restart_of_all_instances() {
     let mut fleet = fleet("/ask/deadly");
     assert_eq!(crash_until_quarantined(&fleet, "/ask/deadly"), 3);
-    wait_until("it is written down", || {
+    wait_until("the quarantine is written", || {
         !fleet.objects.objects_of_kind("gatespool-quarantine").is_empty()
     });
     fleet.gateways.iter_mut().for_each(|gateway| gateway.kill());
@@ -189,7 +189,7 @@
     wait_until("the item has crashed three targets", || fleet.runs("/batch/deadly").len() >= 3);
     wait_until("the item is withheld", || fleet.log(0).iter().any(|l| l["msg"] == "item withheld"));
     fleet.gateways[0].kill();
-    let withheld = |n: usize| fleet.log(n).iter().any(|line| line["msg"] == "item withheld");
-    wait_until("another instance withholds the item", || withheld(1) || withheld(2));
+    let is_withheld = |n: usize| fleet.log(n).iter().any(|line| line["msg"] == "item withheld");
+    wait_until("another instance withholds the item", || is_withheld(1) || is_withheld(2));
     assert_eq!(fleet.runs("/batch/deadly").len(), 3);
 }
--- a/crates/daemon/tests/gateway_holders.rs
+++ b/crates/daemon/tests/gateway_holders.rs
@@ -102,7 +102,7 @@
         fleet.log(2).last_message("members").is_some_and(has_lost_both)
     });
     fleet.gateways.iter().for_each(|gateway| gateway.set_unreachable(&[]));
-    assert_eq!(fleet.end(2, "cut").status, 200);
+    assert_eq!(fleet.end_job(2, "cut").status, 200);
     wait_until("the holder is notified", || {
         fleet.log(0).last_message("job ended elsewhere").is_some()
     });
--- a/crates/daemon/tests/gateway_leaving.rs
+++ b/crates/daemon/tests/gateway_leaving.rs
@@ -62,7 +62,7 @@
 }
 
 /// Makes the pending watches restart, so that most of their waiting time remains.
-fn renew_watches(fleet: &Fleet) {
+fn restart_watches(fleet: &Fleet) {
     let before = fleet.objects.counts().watches;
     fleet.touch_runner_entry(1);
     wait_until("watches restart", || fleet.objects.counts().watches > before);
@@ -75,7 +75,7 @@
 #[test]
 fn unanswered_watch_delays_no_update() {
     let fleet = Fleet::start(Plan::default());
-    renew_watches(&fleet);
+    restart_watches(&fleet);
     fleet.objects.hang_watches();
     let notice = Instant::now();
     fleet.set_runner_state(0, "draining");
@@ -89,7 +89,7 @@
 fn another_instance_watches_when_the_platform_is_unresponsive_to_the_watcher() {
     let plan = Plan { gateways: vec!["east", "east", "east"], ..Plan::default() };
     let (fleet, proxies) = Fleet::start_with_platform_proxies(plan);
-    renew_watches(&fleet);
+    restart_watches(&fleet);
     let watchers: Vec<usize> = (0..3).filter(|n| is_watching_targets(&fleet, *n)).collect();
     assert_eq!(watchers.len(), 1, "number of watchers in the data centre");
     watchers.iter().for_each(|n| proxies[*n].set_mode(Mode::Stall));
@@ -121,14 +121,16 @@
     std::thread::sleep(Duration::from_millis(200));
     let notice = Instant::now();
     fleet.set_runner_state(0, "draining");
-    let knows = |n: usize| {
+    let knows_leaving = |n: usize| {
         let lines = fleet.log(n);
         lines.iter().any(|l| l["msg"] == "target" && l["target"] == "r0" && l["leaving"] == true)
     };
-    wait_until("the west knows that the target is leaving", || knows(1) && knows(2));
+    wait_until("the west knows that the target is leaving", || {
+        knows_leaving(1) && knows_leaving(2)
+    });
     fleet.gateways[1..].iter().for_each(|gateway| gateway.set_unreachable(&[]));
     std::thread::sleep((notice + MAX_NOTICE_TIME).saturating_duration_since(Instant::now()));
-    assert!(!knows(0), "the allocator's owner must not know that the target is leaving");
+    assert!(!knows_leaving(0), "the allocator's owner must not know that the target is leaving");
     let items: Vec<String> = (0..24).map(|n| format!("item-{n}")).collect();
     let items: Vec<&str> = items.iter().map(String::as_str).collect();
     assert_eq!(fleet.submit(1, "job", &items).status, 202);
@@ -148,7 +150,7 @@
     let all: Vec<usize> = (0..plan.gateways.len()).collect();
     let (fleet, proxies) = Fleet::start_with_platform_proxies(plan);
     for round in 0..ROUNDS {
-        renew_watches(&fleet);
+        restart_watches(&fleet);
         let mut gateways = all.clone();
         gateways.shuffle(&mut rng);
         let (faulty, healthy) = gateways.split_at(rng.random_range(1..all.len()));
--- a/crates/daemon/tests/honest_refusal.rs
+++ b/crates/daemon/tests/honest_refusal.rs
@@ -78,13 +78,13 @@
 #[test]
 fn while_the_platform_is_away_the_refused_were_not_run() {
     let cluster = Cluster::start(Plan::default());
-    cluster.platform_down(true);
+    cluster.set_platform_down(true);
     let refused = storm(&cluster, "away", 30, true);
     assert_eq!(refused.len(), 30, "what may run once is refused without its claim");
     check_none_ran(&cluster, &refused);
     let job = cluster.submit(0, "night", &items("describe", 20));
     assert_eq!(job.json()["error"]["ran"], "not_run", "{job:?}");
-    cluster.platform_down(false);
+    cluster.set_platform_down(false);
     // Refused as not run: the same offers may be made now, and are made once.
     for n in 0..30 {
         util::wait_until("the offer is made", || {
--- a/crates/daemon/tests/leaving_target.rs
+++ b/crates/daemon/tests/leaving_target.rs
@@ -55,7 +55,7 @@
 #[case::slow(Control { latency_ms: Some(100), ..Control::default() })]
 fn by_the_platforms_list(#[case] fault: Control) {
     let cluster = Cluster::start(Plan::default());
-    cluster.platform_fault(fault);
+    cluster.set_platform_faults(fault);
     list_as_leaving(&cluster);
     wait_left(&cluster);
     check_no_new_work(&cluster, true);
@@ -66,7 +66,7 @@
 #[case::platform_down(true)]
 fn by_its_own_refusal(#[case] down: bool) {
     let cluster = Cluster::start(Plan::default());
-    cluster.platform_down(down);
+    cluster.set_platform_down(down);
     cluster.engines[0].control(EngineControl { leaving: Some(true), ..EngineControl::default() });
     wait_left(&cluster);
     check_no_new_work(&cluster, !down);
@@ -77,7 +77,7 @@
 #[case::platform_down(true)]
 fn by_an_operators_order(#[case] down: bool) {
     let cluster = Cluster::start(Plan::default());
-    cluster.platform_down(down);
+    cluster.set_platform_down(down);
     let front = cluster.daemons[2].front_address;
     assert_eq!(call("POST", front, "/v1/targets/t0/leave", &[], "").status, 200);
     wait_left(&cluster);
@@ -92,7 +92,7 @@
 #[test]
 fn by_a_change_of_the_configuration() {
     let cluster = Cluster::start(Plan::default());
-    let mut change = cluster.change();
+    let mut change = cluster.initial_change();
     let target = change["put"]
         .as_array_mut()
         .and_then(|put| put.iter_mut().find(|object| object["name"] == "t0"));
--- a/crates/daemon/tests/meets_without_seeds.rs
+++ b/crates/daemon/tests/meets_without_seeds.rs
@@ -9,7 +9,7 @@
 #[test]
 fn an_instance_without_seeds_finds_the_others() {
     let mut cluster = Cluster::start(Plan::default());
-    let lone = cluster.new_daemon_in("patan-hall", "peers.seeds = ");
+    let lone = cluster.start_daemon_in("patan-hall", "peers.seeds = ");
     wait_until("it meets the others", || lone.alive_members() == 4);
     cluster.daemons.push(lone);
     cluster.wait_members();
--- a/crates/daemon/tests/planned_stop.rs
+++ b/crates/daemon/tests/planned_stop.rs
@@ -67,7 +67,7 @@
     for round in 0..3 {
         let before = cluster.runs().len();
         wait_until("work goes on", || cluster.runs().len() > before + 50);
-        let fresh = cluster.new_daemon();
+        let fresh = cluster.start_daemon();
         fresh.wait_ready();
         cluster.daemons[round].terminate();
         assert!(cluster.daemons[round].wait_exit().success());
--- a/crates/daemon/tests/util/batch.rs
+++ b/crates/daemon/tests/util/batch.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// A runner that takes 1.6 s per response.
-pub fn slow(id: &str) -> Config {
+pub fn slow_runner(id: &str) -> Config {
     Config {
         id: id.to_owned(),
         event_interval: Duration::from_millis(40),
@@ -17,7 +17,10 @@
 
 /// Slow runners, one in each data centre.
 pub fn slow_plan() -> Plan {
-    Plan { runners: vec![("east", slow("r0")), ("west", slow("r1"))], ..Plan::default() }
+    Plan {
+        runners: vec![("east", slow_runner("r0")), ("west", slow_runner("r1"))],
+        ..Plan::default()
+    }
 }
 
 /// Asserts that each of `items` has exactly one result, complete with `events` events.
--- a/crates/daemon/tests/util/cluster.rs
+++ b/crates/daemon/tests/util/cluster.rs
@@ -120,12 +120,12 @@
             servers,
         };
         for _ in 0..cluster.plan.daemons {
-            let daemon = cluster.new_daemon();
+            let daemon = cluster.start_daemon();
             cluster.daemons.push(daemon);
         }
         cluster.daemons.iter().for_each(Daemon::wait_ready);
         cluster.wait_members();
-        let change = cluster.change();
+        let change = cluster.initial_change();
         let response = cluster.apply(0, 0, &change);
         assert_eq!(response.status, 200, "configuration rejected: {response:?}");
         cluster.wait_generation(1);
@@ -134,14 +134,14 @@
 
     /// Starts one more daemon, in the next data centre.
     #[track_caller]
-    pub fn new_daemon(&mut self) -> Daemon {
+    pub fn start_daemon(&mut self) -> Daemon {
         let data_centre = DATA_CENTRES[self.started_daemons % self.plan.data_centres];
-        self.new_daemon_in(data_centre, "")
+        self.start_daemon_in(data_centre, "")
     }
 
     /// Starts one more daemon in `data_centre`, with additional settings.
     #[track_caller]
-    pub fn new_daemon_in(&mut self, data_centre: &str, more: &str) -> Daemon {
+    pub fn start_daemon_in(&mut self, data_centre: &str, extra_settings: &str) -> Daemon {
         let seeds: Vec<String> = self.daemons.iter().map(|d| d.peer_address.to_string()).collect();
         let mut lines: Vec<String> = SETTINGS.iter().map(ToString::to_string).collect();
         lines.push(format!("instance.data_centre = {data_centre}"));
@@ -153,14 +153,14 @@
             lines.push(format!("faults.unguarded = {}", self.plan.disabled_guards));
         }
         lines.extend(self.plan.settings.iter().cloned());
-        lines.extend(more.lines().map(str::to_owned));
+        lines.extend(extra_settings.lines().map(str::to_owned));
         self.started_daemons += 1;
         let name = format!("daemon-{}", self.started_daemons);
         Daemon::start(&self.dir, &name, &ini(&lines))
     }
 
     /// Configuration change that adds the services and targets of this cluster.
-    pub fn change(&self) -> Value {
+    pub fn initial_change(&self) -> Value {
         let target = |number: usize, at: &SocketAddr| {
             json!({
                 "object": "target", "name": format!("t{number}"), "address": at.to_string(),
@@ -212,13 +212,13 @@
     }
 
     /// Injects faults into the platform.
-    pub fn platform_fault(&self, control: Control) {
+    pub fn set_platform_faults(&self, control: Control) {
         self.platform.control(control);
     }
 
     /// Takes the platform down or brings it back.
-    pub fn platform_down(&self, down: bool) {
-        self.platform.control(Control { unavailable: Some(down), ..Control::default() });
+    pub fn set_platform_down(&self, is_down: bool) {
+        self.platform.control(Control { unavailable: Some(is_down), ..Control::default() });
     }
 
     /// Runs of all engines.
--- a/crates/daemon/tests/util/gateway.rs
+++ b/crates/daemon/tests/util/gateway.rs
@@ -210,7 +210,7 @@
         }
         let others = self.gateways.len() - 1;
         for n in 0..self.gateways.len() {
-            wait_until("members know each other", || self.alive_peers(n) >= others);
+            wait_until("all gateways know each other", || self.alive_peers(n) >= others);
         }
     }
 
@@ -270,7 +270,7 @@
     }
 
     /// Requests the end of a job.
-    pub fn end(&self, n: usize, job: &str) -> Response {
+    pub fn end_job(&self, n: usize, job: &str) -> Response {
         let path = format!("/lots/{job}");
         client::call("DELETE", self.gateways[n].front_address, &path, &[("host", HOST)], Vec::new())
     }
@@ -278,7 +278,7 @@
     /// Waits until all results of a job are listed and returns them.
     #[track_caller]
     pub fn wait_results(&self, n: usize, job: &str) -> Vec<Value> {
-        wait_for("all results", || {
+        wait_for("all results are listed", || {
             let response = self.results(n, job, 0);
             if response.status != 200 {
                 return None;
