--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -151,8 +151,8 @@
         // One and a half times the slots keep the engine's queue short, and a request ready
         // for the next free slot.
         let queue = (slots + slots.div_ceil(2)).saturating_sub(online);
-        let is_local = self.target.data_centre == data_centre;
-        Candidate { id: self.id, local: is_local, online, slots, free: capacity.min(queue) }
+        let local = self.target.data_centre == data_centre;
+        Candidate { id: self.id, local, online, slots, free: capacity.min(queue) }
     }
 }
 
