--- a/crates/daemon/src/gateway/anti_entropy.rs
+++ b/crates/daemon/src/gateway/anti_entropy.rs
@@ -38,7 +38,7 @@
 }
 
 /// Delay before the next comparison. Without a configuration and targets an instance serves
-/// nothing, so it asks more often.
+/// nothing, so it compares more often.
 fn next_delay(node: &Node) -> Duration {
     let is_new = clock::since(node.started) < STARTUP_PERIOD;
     if node.is_initialized() || !is_new { SYNC_INTERVAL } else { STARTUP_SYNC_INTERVAL }
--- a/crates/daemon/src/gateway/job_table.rs
+++ b/crates/daemon/src/gateway/job_table.rs
@@ -265,7 +265,7 @@
     }
 }
 
-/// Statuses that another instance asks for.
+/// Statuses that another instance requests.
 pub fn statuses_for(node: &Node, filter: &JobFilter) -> Vec<JobStatus> {
     let mut statuses = all_statuses(node);
     if let JobFilter::Open(ids) = filter {
@@ -286,8 +286,8 @@
 
 /// Equal on two instances that know the same open jobs with the same holders.
 pub fn digest(node: &Node) -> u64 {
-    let one = |status: &JobStatus| hash::weight(status.job.as_bytes(), status.holder.instance);
-    open_statuses(node).iter().map(one).fold(0, u64::wrapping_add)
+    let weight = |status: &JobStatus| hash::weight(status.job.as_bytes(), status.holder.instance);
+    open_statuses(node).iter().map(weight).fold(0, u64::wrapping_add)
 }
 
 fn open_statuses(node: &Node) -> Vec<JobStatus> {
--- a/crates/daemon/src/gateway/jobs.rs
+++ b/crates/daemon/src/gateway/jobs.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 use transport::server::Body;
 
-/// Longest time for which a read waits for new results, whatever the caller asks.
+/// Longest time for which a read waits for new results, whatever the caller requests.
 const MAX_RESULTS_WAIT: Duration = Duration::from_secs(5);
 /// Time for a holder to reply, on top of the time for which it waits for results.
 const HOLDER_REPLY_TIMEOUT: Duration = Duration::from_millis(400);
@@ -256,7 +256,7 @@
     /// On the platform; its holder can't be reached.
     Stored(Box<Job>, Box<Progress>),
     NotFound,
-    /// Neither the holder nor the platform could be asked.
+    /// Neither the holder nor the platform could be reached.
     Unknown,
 }
 
--- a/crates/daemon/src/gateway/message.rs
+++ b/crates/daemon/src/gateway/message.rs
@@ -202,7 +202,7 @@
     Body(JobId, ItemId),
     /// Ends a job.
     End(JobId),
-    /// Asks the receiver to become the holder of a job, with the progress of its last holder.
+    /// Requests that the receiver become the holder of a job, with the progress of its last holder.
     #[serde(rename = "Adopt")]
     TakeOver(JobId, Handoff),
     /// Requests a trial of a quarantined request from its owner.
--- a/crates/daemon/src/gateway/platform_health.rs
+++ b/crates/daemon/src/gateway/platform_health.rs
@@ -1,7 +1,7 @@
 //! Probes of the platform, and which other instances reach it.
 //!
 //! Updates of targets and of the configuration depend on watches, and a watch that will
-//! never be answered looks like one without changes: the platform may be unreachable from
+//! never get a response looks like one without changes: the platform may be unreachable from
 //! this instance only, the connection may be dead, or the request was lost in an outage
 //! that is over. An instance that watches therefore sends a probe when it hasn't received a
 //! response for a while. If the probe fails, it gives up its watches and reports that, and
--- a/crates/daemon/src/gateway/submit.rs
+++ b/crates/daemon/src/gateway/submit.rs
@@ -233,8 +233,8 @@
     }
 }
 
-/// Makes sure that the holder of a job stored earlier knows of it. Retried until it does,
-/// since the submitter is told that the job is stored and nobody else may know of it.
+/// Notifies the holder of a job stored earlier. Retried until the holder has the job, since
+/// the response to the submitter says that the job is stored and no other instance may know it.
 async fn notify_holder(node: Rc<Node>, id: JobId) {
     while let Err(error) = try_notify_holder(&node, &id).await {
         slog::info!(node.log, "holder not notified of its job"; "job" => &id, "fault" => error,
--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -177,7 +177,7 @@
 }
 
 /// Takes a job over at another instance's request, retrying until the platform is
-/// available: the other instance considers the job held and won't ask again.
+/// available: the other instance considers the job held and won't repeat the request.
 pub async fn take_over_with_retry(node: &Rc<Node>, id: &str, handoff: Handoff) {
     let is_first = {
         let mut pending_takeovers = node.jobs.pending_takeovers.borrow_mut();
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -39,9 +39,9 @@
 const CHANGE_BATCH_WINDOW: Duration = Duration::from_millis(200);
 /// Interval between checks whether this instance should watch.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time after the start for meeting other members before anybody watches. Without it, all
+/// Time after the start for meeting other members before any of them watches. Without it, all
 /// instances of a starting fleet would consider themselves watchers. An instance that has
-/// met nobody by then must ask the platform itself.
+/// met no other member by then must query the platform itself.
 const JOIN_DELAY: Duration = Duration::from_millis(150);
 /// The same for global topics, which nothing waits for.
 const GLOBAL_JOIN_DELAY: Duration = Duration::from_secs(2);
