--- a/crates/daemon/src/batch/chunk.rs
+++ b/crates/daemon/src/batch/chunk.rs
@@ -6,7 +6,7 @@
 use state::part::{ChunkItems as Items, ChunkProgress, Plan, ResultPart, ResultPartRef};
 use state::record::Disposition;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// Maximum number of at-most-once items recorded as started with one report.
 const MAX_RECORDED_STARTS: usize = 16;
@@ -77,7 +77,7 @@
     /// The report that isn't acknowledged yet.
     pub report: Option<Report>,
     /// When the last report was acknowledged; at first, when the chunk was claimed.
-    pub reported: Instant,
+    pub last_reported: Instant,
     /// When this instance last owned a usable target for it.
     pub last_serviceable: Instant,
     /// Whether a task is sending a report.
@@ -107,7 +107,7 @@
             finished: progress.outcomes.keys().copied().collect(),
             parts: 0,
             report: None,
-            reported: now,
+            last_reported: now,
             last_serviceable: now,
             sending: false,
             releasing: false,
@@ -141,21 +141,21 @@
         }
     }
 
-    /// Whether an item may start now; an at-most-once item only if `may_once`.
-    pub fn has_item(&self, may_once: bool) -> bool {
-        !self.releasing && self.next_position(may_once).is_some()
+    /// Whether an item may start now; an at-most-once item only if `allow_at_most_once`.
+    pub fn has_item(&self, allow_at_most_once: bool) -> bool {
+        !self.releasing && self.next_position(allow_at_most_once).is_some()
     }
 
-    fn next_position(&self, may_once: bool) -> Option<usize> {
-        self.waiting.iter().position(|pending| may_once || pending.item.repeatable)
+    fn next_position(&self, allow_at_most_once: bool) -> Option<usize> {
+        self.waiting.iter().position(|pending| allow_at_most_once || pending.item.repeatable)
     }
 
-    /// Takes the next item to run; an at-most-once item only if `may_once`.
-    pub fn take_next(&mut self, may_once: bool) -> Option<PendingItem> {
+    /// Takes the next item to run; an at-most-once item only if `allow_at_most_once`.
+    pub fn take_next(&mut self, allow_at_most_once: bool) -> Option<PendingItem> {
         if self.releasing {
             return None;
         }
-        let pending = self.waiting.remove(self.next_position(may_once)?)?;
+        let pending = self.waiting.remove(self.next_position(allow_at_most_once)?)?;
         self.running.insert(pending.index, pending.clone());
         Some(pending)
     }
@@ -218,12 +218,12 @@
 
     /// Whether a report is due: the interval has passed, every item is finished, starts
     /// must be recorded, or the chunk can be released.
-    pub fn is_due(&self, interval: std::time::Duration, now: Instant) -> bool {
-        let is_released = self.releasing && self.running.is_empty();
+    pub fn is_due(&self, interval: Duration, now: Instant) -> bool {
+        let may_release = self.releasing && self.running.is_empty();
         let is_idle = self.waiting.is_empty() && self.running.is_empty();
         let has_starts_to_record = is_idle && !self.unrecorded_starts.is_empty();
-        let is_interval_over = now.saturating_duration_since(self.reported) >= interval;
-        self.is_finished() || is_released || has_starts_to_record || is_interval_over
+        let is_interval_over = now.saturating_duration_since(self.last_reported) >= interval;
+        self.is_finished() || may_release || has_starts_to_record || is_interval_over
     }
 
     /// Returns the unacknowledged report, or makes a new one.
@@ -235,7 +235,7 @@
         let starts =
             if self.releasing { 0 } else { MAX_RECORDED_STARTS.min(self.unrecorded_starts.len()) };
         self.recording_starts =
-            self.unrecorded_starts.iter().take(starts).map(|w| w.index).collect();
+            self.unrecorded_starts.iter().take(starts).map(|p| p.index).collect();
         let tries: BTreeMap<u32, u32> = self.attempts();
         let done = outcomes.len() as u32;
         let is_failed = |o: &&Outcome| matches!(o, Outcome::Failed { .. });
@@ -257,15 +257,15 @@
     /// Attempts of unfinished items; a running one counts its current attempt, in case it
     /// crashes this instance.
     fn attempts(&self) -> BTreeMap<u32, u32> {
-        let pending = self.waiting.iter().map(|w| (w.index, w.attempts));
-        let running = self.running.values().map(|w| (w.index, w.attempts + 1));
+        let pending = self.waiting.iter().map(|p| (p.index, p.attempts));
+        let running = self.running.values().map(|p| (p.index, p.attempts + 1));
         pending.chain(running).filter(|(_, tries)| *tries > 0).collect()
     }
 
     /// Handles the acknowledgement of the report: items recorded as started may start.
     /// Returns whether this instance no longer holds the chunk.
     pub fn on_recorded(&mut self, now: Instant) -> bool {
-        self.reported = now;
+        self.last_reported = now;
         let Some(report) = self.report.take() else {
             return false;
         };
--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -25,7 +25,7 @@
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
 const EVENT_CAPACITY: usize = 4096;
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Maximum number of unrecorded outcomes at which new items start.
+/// Number of unrecorded outcomes from which on no new item starts.
 const MAX_UNRECORDED: usize = 2048;
 /// How long a chunk may be without a usable target before it is released.
 const UNSERVICEABLE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -222,9 +222,10 @@
 
     fn start(&mut self, node: &Arc<Node>, max_starts: usize) -> usize {
         for started in 0..max_starts {
-            let may_once =
+            let allow_at_most_once =
                 self.count_non_preemptible(&node.target.name) < node.target.slots.div_ceil(2);
-            let Some((key, pending)) = self.next_item(&node.target.service, may_once) else {
+            let Some((key, pending)) = self.next_item(&node.target.service, allow_at_most_once)
+            else {
                 return max_starts - started;
             };
             self.spawn_run(node, key, pending);
@@ -239,18 +240,22 @@
     }
 
     /// Takes the next item of the chunk of a service that is due first; at-most-once items
-    /// only if `may_once`.
-    fn next_item(&mut self, service: &str, may_once: bool) -> Option<(ChunkKey, PendingItem)> {
+    /// only if `allow_at_most_once`.
+    fn next_item(
+        &mut self,
+        service: &str,
+        allow_at_most_once: bool,
+    ) -> Option<(ChunkKey, PendingItem)> {
         let unrecorded: usize = self.chunks.values().map(Chunk::unrecorded_count).sum();
         if unrecorded >= MAX_UNRECORDED {
             return None;
         }
         let due =
             |chunk: &Chunk| if chunk.assignment.due == 0 { u64::MAX } else { chunk.assignment.due };
-        let fits = |c: &Chunk| c.assignment.service == service && c.has_item(may_once);
+        let fits = |c: &Chunk| c.assignment.service == service && c.has_item(allow_at_most_once);
         let suitable = self.chunks.iter_mut().filter(|(_, chunk)| fits(chunk));
         let (key, chunk) = suitable.min_by_key(|(key, chunk)| (due(chunk), **key))?;
-        chunk.take_next(may_once).map(|pending| (*key, pending))
+        chunk.take_next(allow_at_most_once).map(|pending| (*key, pending))
     }
 
     fn spawn_run(&mut self, node: &Arc<Node>, chunk: ChunkKey, pending: PendingItem) {
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -158,7 +158,7 @@
         }
     }
 
-    async fn ping(self, to: Member) {
+    async fn send_heartbeat(self, to: Member) {
         let (me, cursor, updates) = {
             let members = lock(&self.shared.members);
             let (cursor, updates) = members.updates_for(to.id);
@@ -203,7 +203,8 @@
                 () = stop.cancelled() => return,
             }
             let due = lock(&self.shared.members).tick(Instant::now());
-            due.into_iter().for_each(|member| drop(spawn_local(self.clone().ping(member))));
+            due.into_iter()
+                .for_each(|member| drop(spawn_local(self.clone().send_heartbeat(member))));
         }
     }
 
@@ -217,8 +218,9 @@
             }
             tokio::time::sleep(BATCH_WINDOW).await;
             let out_of_date = lock(&self.shared.members).out_of_date();
-            let pings = out_of_date.into_iter().map(|member| self.clone().ping(member));
-            spawn_local(futures_util::future::join_all(pings));
+            let heartbeats =
+                out_of_date.into_iter().map(|member| self.clone().send_heartbeat(member));
+            spawn_local(futures_util::future::join_all(heartbeats));
         }
     }
 
--- a/crates/daemon/src/shards/commit.rs
+++ b/crates/daemon/src/shards/commit.rs
@@ -257,19 +257,19 @@
         };
         self.append_count += 1;
         let token = format!("{:016x}-{}-{}", self.shared.id, self.id, self.append_count);
-        let records = appends.iter().flat_map(|w| w.records.iter().cloned()).collect();
+        let records = appends.iter().flat_map(|append| append.records.iter().cloned()).collect();
         let entry = Entry { token: token.clone(), at: clock::millis(), records };
         let append = Append::new(loaded.shard.next_position(), token);
         self.last_commit = Instant::now();
         match self.drive(&append, &entry).await {
             AppendOutcome::Committed => {
                 self.apply(entry);
-                reply_all(appends, |w| Ok(w.reply.clone()));
+                reply_all(appends, |append| Ok(append.reply.clone()));
             }
             AppendOutcome::Conflict => {
                 // Another instance appended: read its entries and decide again.
                 self.last_verified = None;
-                let retried = appends.into_iter().map(|w| w.submission);
+                let retried = appends.into_iter().map(|append| append.submission);
                 self.queue.extend(retried);
             }
             AppendOutcome::Rejected(text) => {
