--- a/crates/daemon/src/batch/chunk.rs
+++ b/crates/daemon/src/batch/chunk.rs
@@ -6,7 +6,7 @@
 use state::part::{ChunkItems as Items, ChunkProgress, Plan, ResultPart, ResultPartRef};
 use state::record::Disposition;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 /// Maximum number of at-most-once items recorded as started with one report.
 const MAX_RECORDED_STARTS: usize = 16;
@@ -218,7 +218,7 @@
 
     /// Whether a report is due: the interval has passed, every item is finished, starts
     /// must be recorded, or the chunk can be released.
-    pub fn is_due(&self, interval: Duration, now: Instant) -> bool {
+    pub fn is_due(&self, interval: std::time::Duration, now: Instant) -> bool {
         let may_release = self.releasing && self.running.is_empty();
         let is_idle = self.waiting.is_empty() && self.running.is_empty();
         let has_starts_to_record = is_idle && !self.unrecorded_starts.is_empty();
