--- a/crates/daemon/src/batch/run.rs
+++ b/crates/daemon/src/batch/run.rs
@@ -6,7 +6,7 @@
 use super::chunk::{Chunk, PendingItem, RunOutcome};
 use super::item::{self, Run};
 use super::report::{self, ReportOutcome};
-use crate::fleet::{Node, View, lock};
+use crate::fleet::{FleetTarget, View, lock};
 use crate::shared::Shared;
 use coordination::admission::{self, Capacity, Decision};
 use coordination::ejection::Availability;
@@ -110,9 +110,9 @@
         let owned = self.shared.owned_targets();
         self.preempt_on_disowned_targets(&view, &owned, now);
         let mut free_slots = HashMap::new();
-        for node in owned.iter() {
-            if let Some(starts) = self.balance(&view, node, now) {
-                *free_slots.entry(node.target.service.clone()).or_insert(0) += starts;
+        for target in owned.iter() {
+            if let Some(starts) = self.balance(&view, target, now) {
+                *free_slots.entry(target.config.service.clone()).or_insert(0) += starts;
             }
         }
         self.release_unserviceable(&free_slots, now);
@@ -141,18 +141,18 @@
     /// online requests there, but not these streams. Only what the target's report shows as
     /// too much is stopped: stopping all streams would make items run again at each planned
     /// replacement.
-    fn preempt_on_disowned_targets(&self, view: &View, owned: &[Arc<Node>], now: Instant) {
-        let is_owned = |name: &TargetId| owned.iter().any(|node| node.target.name == *name);
+    fn preempt_on_disowned_targets(&self, view: &View, owned: &[Arc<FleetTarget>], now: Instant) {
+        let is_owned = |name: &TargetId| owned.iter().any(|target| target.config.name == *name);
         let disowned: BTreeSet<&TargetId> =
             self.streams.values().map(|s| &s.target).filter(|name| !is_owned(name)).collect();
-        for node in disowned.into_iter().filter_map(|name| view.nodes.get(name)) {
+        for target in disowned.into_iter().filter_map(|name| view.targets.get(name)) {
             let (online, batch) = {
-                let state = lock(&node.state);
+                let state = lock(&target.state);
                 (state.load.online(now), state.load.batch(now))
             };
-            let over = (online + batch).saturating_sub(node.target.slots);
+            let over = (online + batch).saturating_sub(target.config.slots);
             if online > 0 && over > 0 {
-                self.preempt(&node.target.name, over);
+                self.preempt(&target.config.name, over);
             }
         }
     }
@@ -175,17 +175,17 @@
 
     /// Starts or stops streams on one target; returns how many more could start, or `None`
     /// when the target is unusable.
-    fn balance(&mut self, view: &View, node: &Arc<Node>, now: Instant) -> Option<usize> {
-        let name = &node.target.name;
+    fn balance(&mut self, view: &View, target: &Arc<FleetTarget>, now: Instant) -> Option<usize> {
+        let name = &target.config.name;
         let is_staying = |s: &&Stream| s.target == *name && !s.preempt.is_cancelled();
         let count = self.streams.values().filter(is_staying).count() as u32;
         let is_usable = !view.leaving.contains(name)
-            && runs_version_in_force(view, node)
-            && lock(&node.state).health.availability(now) == Availability::Full;
+            && runs_version_in_force(view, target)
+            && lock(&target.state).health.availability(now) == Availability::Full;
         if !is_usable || !view.ready {
             return None;
         }
-        let capacity = self.capacity(node, count, now);
+        let capacity = self.capacity(target, count, now);
         let starts = match admission::decide(capacity) {
             Decision::Hold => 0,
             Decision::Stop(_) if self.shared.settings.is_guard_disabled("yield") => 0,
@@ -193,13 +193,13 @@
                 self.preempt(name, count);
                 0
             }
-            Decision::Start(most) => self.start(node, most as usize),
+            Decision::Start(most) => self.start(target, most as usize),
         };
         Some(starts)
     }
 
-    fn capacity(&self, node: &Node, batch: u32, now: Instant) -> Capacity {
-        let mut state = lock(&node.state);
+    fn capacity(&self, target: &FleetTarget, batch: u32, now: Instant) -> Capacity {
+        let mut state = lock(&target.state);
         // Own requests and the peers' reports are current; the target's report lags, and
         // counts streams of earlier owners.
         let known = state.load.own() + state.peer_load.sum(now);
@@ -209,9 +209,9 @@
         let reserve = state.peer_load.reserve(self.shared.settings.reserved_slots, now);
         let without_yield = self.shared.settings.is_guard_disabled("yield");
         if without_yield {
-            return Capacity { slots: node.target.slots, reserve, online: 0, peak: 0, batch };
+            return Capacity { slots: target.config.slots, reserve, online: 0, peak: 0, batch };
         }
-        Capacity { slots: node.target.slots, reserve, online, peak, batch }
+        Capacity { slots: target.config.slots, reserve, online, peak, batch }
     }
 
     fn preempt(&self, target: &str, max_streams: u32) {
@@ -220,15 +220,15 @@
         running.take(max_streams as usize).for_each(|s| s.preempt.cancel());
     }
 
-    fn start(&mut self, node: &Arc<Node>, max_starts: usize) -> usize {
+    fn start(&mut self, target: &Arc<FleetTarget>, max_starts: usize) -> usize {
         for started in 0..max_starts {
             let allow_at_most_once =
-                self.count_non_preemptible(&node.target.name) < node.target.slots.div_ceil(2);
-            let Some((key, pending)) = self.next_item(&node.target.service, allow_at_most_once)
+                self.count_non_preemptible(&target.config.name) < target.config.slots.div_ceil(2);
+            let Some((key, pending)) = self.next_item(&target.config.service, allow_at_most_once)
             else {
                 return max_starts - started;
             };
-            self.spawn_run(node, key, pending);
+            self.spawn_run(target, key, pending);
         }
         0
     }
@@ -258,7 +258,7 @@
         chunk.take_next(allow_at_most_once).map(|pending| (*key, pending))
     }
 
-    fn spawn_run(&mut self, node: &Arc<Node>, chunk: ChunkKey, pending: PendingItem) {
+    fn spawn_run(&mut self, target: &Arc<FleetTarget>, chunk: ChunkKey, pending: PendingItem) {
         self.next_id += 1;
         let stream = self.next_id;
         let preempt = CancellationToken::new();
@@ -268,7 +268,7 @@
         let assignment = &held.assignment;
         let run = Run {
             client: self.client.clone(),
-            target: node.target.address,
+            target: target.config.address,
             service: assignment.service.clone(),
             key: format!("{}/{}/{}", assignment.job, assignment.chunk, pending.index),
             attempt: rand::random(),
@@ -277,7 +277,7 @@
         };
         let index = pending.index;
         let repeatable = pending.item.repeatable;
-        let target = node.target.name.clone();
+        let target = target.config.name.clone();
         self.streams.insert(stream, Stream { chunk, target, repeatable, preempt });
         let events = self.events.clone();
         tokio::spawn(async move {
@@ -298,8 +298,9 @@
 
     fn on_ended(&mut self, chunk: ChunkKey, index: u32, stream: u64, outcome: RunOutcome) {
         let target = self.streams.remove(&stream).map(|s| s.target);
-        if let Some(node) = target.and_then(|name| self.shared.view().nodes.get(&name).cloned()) {
-            let mut state = lock(&node.state);
+        if let Some(target) = target.and_then(|name| self.shared.view().targets.get(&name).cloned())
+        {
+            let mut state = lock(&target.state);
             match &outcome {
                 RunOutcome::Completed(_) => state.health.on_success(),
                 RunOutcome::Rejected => state.health.on_failure(Instant::now()),
@@ -367,10 +368,10 @@
 
 /// Whether a target runs the version in force. During a rollout the previous version still
 /// serves online requests; batch items wait.
-fn runs_version_in_force(view: &View, node: &Node) -> bool {
-    let Some(service) = view.document.services.get(&node.target.service) else {
+fn runs_version_in_force(view: &View, target: &FleetTarget) -> bool {
+    let Some(service) = view.document.services.get(&target.config.service) else {
         return false;
     };
     let is_chat = service.protocol == Protocol::Chat;
-    is_chat && node.version().is_some_and(|version| version == service.version)
+    is_chat && target.version().is_some_and(|version| version == service.version)
 }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -2,7 +2,7 @@
 
 use crate::append::{self, AppendOutcome};
 use crate::clock;
-use crate::fleet::{Node, lock};
+use crate::fleet::{FleetTarget, lock};
 use crate::peers;
 use crate::shared::Shared;
 use coordination::append_log::{Append, EntryOrder};
@@ -323,31 +323,31 @@
             () = stop.cancelled() => return,
         }
         let view = shared.view();
-        let mut polled: Vec<Arc<Node>> =
-            view.services.values().flat_map(|service| service.nodes.iter().cloned()).collect();
+        let mut polled: Vec<Arc<FleetTarget>> =
+            view.services.values().flat_map(|service| service.targets.iter().cloned()).collect();
         polled.extend(shared.owned_targets().iter().cloned());
-        polled.sort_by_key(|node| node.id);
-        polled.dedup_by_key(|node| node.id);
-        let polls = polled.iter().map(|node| poll_target(&shared, &client, node));
+        polled.sort_by_key(|target| target.id);
+        polled.dedup_by_key(|target| target.id);
+        let polls = polled.iter().map(|target| poll_target(&shared, &client, target));
         futures_util::future::join_all(polls).await;
     }
 }
 
-async fn poll_target(shared: &Shared, client: &Client, node: &Node) {
+async fn poll_target(shared: &Shared, client: &Client, target: &FleetTarget) {
     let sent = Instant::now();
-    match client.load_report(node.target.address, REPORT_TIMEOUT).await {
-        Ok(report) => on_report(shared, node, report, sent),
+    match client.load_report(target.config.address, REPORT_TIMEOUT).await {
+        Ok(report) => on_report(shared, target, report, sent),
         Err(error) if error.failure == Failure::NotSent => {
-            lock(&node.state).health.on_failure(Instant::now());
+            lock(&target.state).health.on_failure(Instant::now());
         }
-        Err(error) if error.is_timeout => node.on_unresponsive(Instant::now()),
+        Err(error) if error.is_timeout => target.on_unresponsive(Instant::now()),
         // It responded, though not with a report: a plain service needn't have one.
         Err(_) => {}
     }
 }
 
-fn on_report(shared: &Shared, node: &Node, report: LoadReport, at: Instant) {
-    let name = &node.target.name;
+fn on_report(shared: &Shared, target: &FleetTarget, report: LoadReport, at: Instant) {
+    let name = &target.config.name;
     let now = clock::millis();
     let notice = lock(&shared.leaving_targets).notice(name, Source::Target);
     let is_reported_leaving = notice.is_some_and(|notice| notice.leaving);
@@ -357,7 +357,7 @@
         let notice = Notice { leaving: report.leaving, stamp: now };
         shared.report_leaving(name, Source::Target, notice);
     }
-    node.on_report(report, at);
+    target.on_report(report, at);
 }
 
 /// Runs the worker until `stop`.
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -28,17 +28,17 @@
 /// Targets whose online load changed since it was last sent to their owners.
 #[derive(Debug, Default)]
 pub struct ChangedLoads {
-    nodes: Mutex<Vec<Arc<Node>>>,
+    targets: Mutex<Vec<Arc<FleetTarget>>>,
     /// Signals that the list is no longer empty.
     pub signal: Notify,
 }
 
 impl ChangedLoads {
     /// Takes all listed targets; a later change lists its target again.
-    pub fn take(&self) -> Vec<Arc<Node>> {
-        let nodes = std::mem::take(&mut *lock(&self.nodes));
-        nodes.iter().for_each(|node| node.is_load_changed.store(false, Ordering::Relaxed));
-        nodes
+    pub fn take(&self) -> Vec<Arc<FleetTarget>> {
+        let targets = std::mem::take(&mut *lock(&self.targets));
+        targets.iter().for_each(|target| target.is_load_changed.store(false, Ordering::Relaxed));
+        targets
     }
 }
 
@@ -59,9 +59,9 @@
 
 /// A target with its runtime state.
 #[derive(Debug)]
-pub struct Node {
+pub struct FleetTarget {
     /// Configuration that this state was built for.
-    pub target: Target,
+    pub config: Target,
     /// Hash of its name, for ranking.
     pub id: u64,
     /// Its runtime state.
@@ -77,18 +77,18 @@
     changed_loads: Arc<ChangedLoads>,
 }
 
-impl Node {
-    fn new(target: Target, changed_loads: Arc<ChangedLoads>) -> Node {
+impl FleetTarget {
+    fn new(config: Target, changed_loads: Arc<ChangedLoads>) -> FleetTarget {
         let state = State {
             load: Estimate::default(),
-            concurrency: ConcurrencyLimit::new(target.slots),
+            concurrency: ConcurrencyLimit::new(config.slots),
             health: Health::default(),
             peer_load: PeerLoad::default(),
             report: None,
         };
-        let id = hash::bytes(target.name.as_bytes());
-        Node {
-            target,
+        let id = hash::bytes(config.name.as_bytes());
+        FleetTarget {
+            config,
             id,
             state: Mutex::new(state),
             unresponsive: watch::Sender::new(false),
@@ -126,9 +126,9 @@
     }
 
     /// Lists the target, so that its owner is sent the new load.
-    fn on_load_changed(self: &Arc<Node>) {
+    fn on_load_changed(self: &Arc<FleetTarget>) {
         if !self.is_load_changed.swap(true, Ordering::Relaxed) {
-            lock(&self.changed_loads.nodes).push(self.clone());
+            lock(&self.changed_loads.targets).push(self.clone());
             self.changed_loads.signal.notify_one();
         }
     }
@@ -142,7 +142,7 @@
         let state = lock(&self.state);
         let online = state.load.online(now);
         let own = state.load.own();
-        let slots = self.target.slots;
+        let slots = self.config.slots;
         let capacity = match state.health.availability(now) {
             Availability::Ejected => 0,
             Availability::Probation => 1u32.saturating_sub(own),
@@ -151,7 +151,7 @@
         // One and a half times the slots keep the engine's queue short, and a request ready
         // for the next free slot.
         let queue = (slots + slots.div_ceil(2)).saturating_sub(online);
-        let local = self.target.data_centre == data_centre;
+        let local = self.config.data_centre == data_centre;
         Candidate { id: self.id, local, online, slots, free: capacity.min(queue) }
     }
 }
@@ -189,7 +189,7 @@
     /// Configuration of the service.
     pub service: Service,
     /// Its targets, without those that are leaving.
-    pub nodes: Vec<Arc<Node>>,
+    pub targets: Vec<Arc<FleetTarget>>,
     /// Its counts, shared by all snapshots.
     pub counts: Arc<Counts>,
 }
@@ -202,7 +202,7 @@
     /// Services with their usable targets.
     pub services: BTreeMap<ServiceId, ServiceTargets>,
     /// All targets, including those that are leaving.
-    pub nodes: BTreeMap<TargetId, Arc<Node>>,
+    pub targets: BTreeMap<TargetId, Arc<FleetTarget>>,
     /// Targets that get no new requests.
     pub leaving: HashSet<TargetId>,
     /// Whether the configuration in force is loaded, so that this instance may serve.
@@ -222,7 +222,7 @@
 /// State of targets and services that outlives a snapshot.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    nodes: Mutex<HashMap<TargetId, Arc<Node>>>,
+    targets: Mutex<HashMap<TargetId, Arc<FleetTarget>>>,
     counts: Mutex<HashMap<ServiceId, Arc<Counts>>>,
     /// Targets whose load must be sent to their owners.
     pub changed_loads: Arc<ChangedLoads>,
@@ -250,55 +250,63 @@
         context: &ViewContext,
         ready: bool,
     ) -> View {
-        let nodes = self.nodes(&document);
+        let targets = self.targets(&document);
         let max_per_service =
             (context.max_targets / document.services.len().max(1)).max(MIN_TARGETS_PER_SERVICE);
         let mut services = BTreeMap::new();
         for service in document.services.values() {
-            let of_service = nodes.values().filter(|node| node.target.service == service.name);
-            let usable = of_service.filter(|node| !leaving.contains(&node.target.name));
-            let nodes = subset(usable.cloned().collect(), context, max_per_service);
+            let of_service =
+                targets.values().filter(|target| target.config.service == service.name);
+            let usable = of_service.filter(|target| !leaving.contains(&target.config.name));
+            let targets = subset(usable.cloned().collect(), context, max_per_service);
             let counts = lock(&self.counts).entry(service.name.clone()).or_default().clone();
             services.insert(
                 service.name.clone(),
-                ServiceTargets { service: service.clone(), nodes, counts },
+                ServiceTargets { service: service.clone(), targets, counts },
             );
         }
-        View { document: Arc::new(document), services, nodes, leaving, ready }
+        View { document: Arc::new(document), services, targets, leaving, ready }
     }
 
-    fn nodes(&self, document: &Document) -> BTreeMap<TargetId, Arc<Node>> {
-        let mut known = lock(&self.nodes);
-        known.retain(|name, node| {
-            let target = document.targets.get(name);
-            target.is_some_and(|t| t.address == node.target.address && t.slots == node.target.slots)
+    fn targets(&self, document: &Document) -> BTreeMap<TargetId, Arc<FleetTarget>> {
+        let mut known = lock(&self.targets);
+        known.retain(|name, target| {
+            let config = document.targets.get(name);
+            config.is_some_and(|t| {
+                t.address == target.config.address && t.slots == target.config.slots
+            })
         });
-        for target in document.targets.values() {
-            let node = known.get(&target.name);
-            let is_same = node.is_some_and(|node| node.target == *target);
+        for config in document.targets.values() {
+            let target = known.get(&config.name);
+            let is_same = target.is_some_and(|target| target.config == *config);
             if !is_same {
-                let added = Node::new(target.clone(), self.changed_loads.clone());
-                if let Some(node) = node {
-                    lock(&added.state).report.clone_from(&lock(&node.state).report);
+                let added = FleetTarget::new(config.clone(), self.changed_loads.clone());
+                if let Some(target) = target {
+                    lock(&added.state).report.clone_from(&lock(&target.state).report);
                 }
-                known.insert(target.name.clone(), Arc::new(added));
+                known.insert(config.name.clone(), Arc::new(added));
             }
         }
-        known.iter().map(|(name, node)| (name.clone(), node.clone())).collect()
+        known.iter().map(|(name, target)| (name.clone(), target.clone())).collect()
     }
 }
 
-fn subset(nodes: Vec<Arc<Node>>, context: &ViewContext, max_targets: usize) -> Vec<Arc<Node>> {
-    if nodes.len() <= max_targets {
-        return nodes;
+fn subset(
+    targets: Vec<Arc<FleetTarget>>,
+    context: &ViewContext,
+    max_targets: usize,
+) -> Vec<Arc<FleetTarget>> {
+    if targets.len() <= max_targets {
+        return targets;
     }
-    let is_local = |node: &&Arc<Node>| node.target.data_centre == context.data_centre;
-    let local: Vec<u64> = nodes.iter().filter(is_local).map(|node| node.id).collect();
-    let remote: Vec<u64> = nodes.iter().filter(|n| !is_local(n)).map(|node| node.id).collect();
+    let is_local = |target: &&Arc<FleetTarget>| target.config.data_centre == context.data_centre;
+    let local: Vec<u64> = targets.iter().filter(is_local).map(|target| target.id).collect();
+    let remote: Vec<u64> =
+        targets.iter().filter(|n| !is_local(n)).map(|target| target.id).collect();
     let mut selected = route::subset(context.me, &local, max_targets.saturating_sub(2));
     let remaining = max_targets - selected.len();
     selected.extend(route::subset(context.me, &remote, remaining));
-    nodes.into_iter().filter(|node| selected.contains(&node.id)).collect()
+    targets.into_iter().filter(|target| selected.contains(&target.id)).collect()
 }
 
 /// What a request requires of a target.
@@ -313,11 +321,11 @@
 }
 
 impl Requirements {
-    fn is_met_by(&self, node: &Node, service: &Service) -> bool {
+    fn is_met_by(&self, target: &FleetTarget, service: &Service) -> bool {
         if service.protocol == Protocol::Plain {
             return true;
         }
-        let loaded = node.version();
+        let loaded = target.version();
         let version = self.version.as_deref();
         // Before its first report, a target is assumed to run the version in force and no
         // other.
@@ -327,25 +335,25 @@
             (None, Some(wanted)) => *wanted == service.version,
             (None, None) => true,
         };
-        let has_adapter = |name: &String| node.target.adapters.contains(name);
+        let has_adapter = |name: &String| target.config.adapters.contains(name);
         has_version && self.adapter.as_ref().is_none_or(has_adapter)
     }
 }
 
 /// Whether a target of the service meets the requirements, or none is known yet.
 pub fn is_servable(service_targets: &ServiceTargets, requirements: &Requirements) -> bool {
-    service_targets.nodes.is_empty()
+    service_targets.targets.is_empty()
         || service_targets
-            .nodes
+            .targets
             .iter()
-            .any(|node| requirements.is_met_by(node, &service_targets.service))
+            .any(|target| requirements.is_met_by(target, &service_targets.service))
 }
 
 /// Counts a request as running on a target until dropped.
 #[derive(Debug)]
 pub struct TargetGuard {
     /// Target of the request.
-    pub node: Arc<Node>,
+    pub target: Arc<FleetTarget>,
     counts: Arc<Counts>,
     started: Instant,
 }
@@ -353,14 +361,14 @@
 impl TargetGuard {
     /// Records a success of the target.
     pub fn on_success(&self) {
-        let mut state = lock(&self.node.state);
+        let mut state = lock(&self.target.state);
         state.concurrency.on_success();
         state.health.on_success();
     }
 
     /// Records a failure of the target.
     pub fn on_failure(&self, now: Instant) {
-        let mut state = lock(&self.node.state);
+        let mut state = lock(&self.target.state);
         state.concurrency.on_failure();
         state.health.on_failure(now);
     }
@@ -368,8 +376,8 @@
 
 impl Drop for TargetGuard {
     fn drop(&mut self) {
-        lock(&self.node.state).load.on_end();
-        self.node.on_load_changed();
+        lock(&self.target.state).load.on_end();
+        self.target.on_load_changed();
         self.counts.on_request_end(self.started.elapsed());
     }
 }
@@ -383,22 +391,23 @@
     data_centre: &str,
     now: Instant,
 ) -> Option<TargetGuard> {
-    let suitable = |node: &&Arc<Node>| requirements.is_met_by(node, &service_targets.service);
-    let not_excluded = |node: &&Arc<Node>| !excluded.contains(&node.target.name);
-    let nodes: Vec<&Arc<Node>> =
-        service_targets.nodes.iter().filter(suitable).filter(not_excluded).collect();
+    let suitable =
+        |target: &&Arc<FleetTarget>| requirements.is_met_by(target, &service_targets.service);
+    let not_excluded = |target: &&Arc<FleetTarget>| !excluded.contains(&target.config.name);
+    let targets: Vec<&Arc<FleetTarget>> =
+        service_targets.targets.iter().filter(suitable).filter(not_excluded).collect();
     let candidates: Vec<Candidate> =
-        nodes.iter().map(|node| node.candidate(data_centre, now)).collect();
+        targets.iter().map(|target| target.candidate(data_centre, now)).collect();
     let draws = [rand::random(), rand::random()];
     let selected = route::pick(requirements.prefix, &candidates, Policy::default(), draws)?;
-    let node = nodes[selected].clone();
+    let target = targets[selected].clone();
     {
-        let mut state = lock(&node.state);
+        let mut state = lock(&target.state);
         state.load.on_start();
         let online = state.load.online(now);
         state.peer_load.record(online, now);
     }
-    node.on_load_changed();
+    target.on_load_changed();
     service_targets.counts.running.fetch_add(1, Ordering::Relaxed);
-    Some(TargetGuard { node, counts: service_targets.counts.clone(), started: now })
+    Some(TargetGuard { target, counts: service_targets.counts.clone(), started: now })
 }
--- a/crates/daemon/src/front/admin.rs
+++ b/crates/daemon/src/front/admin.rs
@@ -91,21 +91,21 @@
     let view = handler.shared.view();
     let now = Instant::now();
     let targets: Vec<TargetView<'_>> = view
-        .nodes
+        .targets
         .values()
-        .map(|node| {
-            let version = node.version();
-            let state = lock(&node.state);
+        .map(|target| {
+            let version = target.version();
+            let state = lock(&target.state);
             TargetView {
-                name: &node.target.name,
-                service: &node.target.service,
-                data_centre: &node.target.data_centre,
-                address: node.target.address.to_string(),
-                slots: node.target.slots,
+                name: &target.config.name,
+                service: &target.config.service,
+                data_centre: &target.config.data_centre,
+                address: target.config.address.to_string(),
+                slots: target.config.slots,
                 online: state.load.online(now),
                 batch: state.load.batch(now),
                 usage: format!("{:?}", state.health.availability(now)).to_lowercase(),
-                leaving: view.leaving.contains(&node.target.name),
+                leaving: view.leaving.contains(&target.config.name),
                 version,
             }
         })
@@ -171,7 +171,7 @@
 /// `NotFound` when there is no such target.
 pub fn leave(handler: &HttpHandler, name: &str, leaving: bool) -> Result<Response, Error> {
     check_admin(handler)?;
-    if !handler.shared.view().nodes.contains_key(name) {
+    if !handler.shared.view().targets.contains_key(name) {
         return Err(Error::new(Kind::NotFound, format!("no target `{name}`")));
     }
     let notice = Notice { leaving, stamp: clock::millis() };
--- a/crates/daemon/src/front/completion_stream.rs
+++ b/crates/daemon/src/front/completion_stream.rs
@@ -142,8 +142,8 @@
         if self.attempts == 1 {
             lock(&self.shared.budget).on_request();
         }
-        self.target.clone_from(&guard.node.target.name);
-        let address = guard.node.target.address;
+        self.target.clone_from(&guard.target.config.name);
+        let address = guard.target.config.address;
         let chat = self.client.chat(address, &self.request, &meta);
         match until_unresponsive(&guard, self.options.repeatable, chat).await {
             Ok(stream) => {
@@ -174,7 +174,7 @@
                 self.tried.clear();
                 continue;
             }
-            if targets.nodes.is_empty() {
+            if targets.targets.is_empty() {
                 let text = format!("service `{}` has no targets", self.service);
                 return Err(Error::new(Kind::NoTarget, text));
             }
@@ -222,10 +222,10 @@
         let now = Instant::now();
         if let Some(guard) = guard {
             guard.on_failure(now);
-            self.tried.push(guard.node.target.name.clone());
+            self.tried.push(guard.target.config.name.clone());
             if error.leaving {
                 let notice = Notice { leaving: true, stamp: clock::millis() };
-                self.shared.report_leaving(&guard.node.target.name, Source::Target, notice);
+                self.shared.report_leaving(&guard.target.config.name, Source::Target, notice);
             }
         }
         let may_have_run = error.failure == Failure::Unknown;
@@ -274,7 +274,7 @@
     }
     tokio::select! {
         response = response => response,
-        () = guard.node.wait_unresponsive() => {
+        () = guard.target.wait_unresponsive() => {
             Err(AttemptError::new(Failure::Unknown, "the target is unresponsive"))
         }
     }
--- a/crates/daemon/src/front/plain.rs
+++ b/crates/daemon/src/front/plain.rs
@@ -131,7 +131,7 @@
             timeout: options.remaining(now),
         };
         let error =
-            match handler.client.plain(guard.node.target.address, plain.clone(), &meta).await {
+            match handler.client.plain(guard.target.config.address, plain.clone(), &meta).await {
                 // The server accepted the call before it failed: it may have run.
                 Ok((status, ..)) if status.is_server_error() => {
                     AttemptError::new(Failure::Unknown, format!("target returned status {status}"))
@@ -147,7 +147,7 @@
                 Err(error) => error,
             };
         guard.on_failure(Instant::now());
-        tried.push(guard.node.target.name.clone());
+        tried.push(guard.target.config.name.clone());
         sent |= error.failure == Failure::Unknown;
         let guard_disabled = handler.shared.settings.is_guard_disabled("retry");
         let may_retry = retry::may_retry(options.repeatable || guard_disabled, error.failure);
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -4,7 +4,7 @@
 //! fleet makes no platform calls for it.
 
 use crate::clock;
-use crate::fleet::{Node, View, lock};
+use crate::fleet::{FleetTarget, View, lock};
 use crate::shared::Shared;
 use bytes::Bytes;
 use coordination::lease::{self, Action, Held, Observation, Record};
@@ -58,30 +58,30 @@
             continue;
         }
         let owned = shared.owned_targets();
-        for node in owned.iter() {
-            let new_controller = || Controller::new(&shared, node);
+        for target in owned.iter() {
+            let new_controller = || Controller::new(&shared, target);
             let controller =
-                controllers.entry(node.target.name.clone()).or_insert_with(new_controller);
-            controller.step(&shared, &client, &view, node).await;
+                controllers.entry(target.config.name.clone()).or_insert_with(new_controller);
+            controller.step(&shared, &client, &view, target).await;
         }
-        let is_owned = |name: &String| owned.iter().any(|node| node.target.name == *name);
+        let is_owned = |name: &String| owned.iter().any(|target| target.config.name == *name);
         let disowned: Vec<String> =
             controllers.keys().filter(|name| !is_owned(name)).cloned().collect();
         for name in disowned {
-            if let (Some(mut controller), Some(node)) =
-                (controllers.remove(&name), view.nodes.get(&name))
+            if let (Some(mut controller), Some(target)) =
+                (controllers.remove(&name), view.targets.get(&name))
             {
-                controller.release_all(&shared, node).await;
+                controller.release_all(&shared, target).await;
             }
         }
     }
 }
 
 impl Controller {
-    fn new(shared: &Shared, node: &Node) -> Controller {
+    fn new(shared: &Shared, target: &FleetTarget) -> Controller {
         // The holder of a slot is unique to instance and target: one instance may own two
         // targets of a service, and each needs a slot of its own.
-        let slot_holder = shared.id ^ node.id;
+        let slot_holder = shared.id ^ target.id;
         Controller {
             lease: LeaseState::new(shared.id),
             slots: BTreeMap::new(),
@@ -91,46 +91,46 @@
         }
     }
 
-    async fn step(&mut self, shared: &Shared, client: &Client, view: &View, node: &Node) {
-        let Some((actual, desired)) = actual_and_desired(view, node) else {
+    async fn step(&mut self, shared: &Shared, client: &Client, view: &View, target: &FleetTarget) {
+        let Some((actual, desired)) = actual_and_desired(view, target) else {
             return;
         };
-        let others = count_serving_others(view, node);
+        let others = count_serving_others(view, target);
         match rollout::step(&actual, &desired, self.draining, others) {
-            Step::UpToDate => self.release_all(shared, node).await,
+            Step::UpToDate => self.release_all(shared, target).await,
             Step::Wait => {}
             Step::KeepServing => {
                 slog::debug!(shared.log, "order deferred: no other target would serve";
-                "target" => &node.target.name)
+                "target" => &target.config.name)
             }
             Step::Drain => {
-                if self.acquire(shared, view, node).await {
-                    self.set_draining(shared, node, true);
+                if self.acquire(shared, view, target).await {
+                    self.set_draining(shared, target, true);
                 }
             }
             Step::Order(order) => {
-                if self.acquire(shared, view, node).await {
-                    self.order(shared, client, node, order).await;
+                if self.acquire(shared, view, target).await {
+                    self.order(shared, client, target, order).await;
                 }
             }
         }
     }
 
     /// Acquires the target's lease and one of the service's load slots.
-    async fn acquire(&mut self, shared: &Shared, view: &View, node: &Node) -> bool {
+    async fn acquire(&mut self, shared: &Shared, view: &View, target: &FleetTarget) -> bool {
         if shared.settings.is_guard_disabled("lease") {
             return true;
         }
-        let key = object_key::target_lease(&node.target.name);
+        let key = object_key::target_lease(&target.config.name);
         if !self.lease.acquire(shared, &key).await {
             return false;
         }
         if let Some(number) = self.slot {
-            return self.acquire_slot(shared, node, number).await;
+            return self.acquire_slot(shared, target, number).await;
         }
         let slots = view.document.weights.as_ref().map_or(1, |weights| weights.loads_at_once);
         for number in 0..slots {
-            if self.acquire_slot(shared, node, number).await {
+            if self.acquire_slot(shared, target, number).await {
                 self.slot = Some(number);
                 return true;
             }
@@ -138,14 +138,14 @@
         false
     }
 
-    async fn acquire_slot(&mut self, shared: &Shared, node: &Node, number: u32) -> bool {
-        let key = object_key::load_slot(&node.target.service, number);
+    async fn acquire_slot(&mut self, shared: &Shared, target: &FleetTarget, number: u32) -> bool {
+        let key = object_key::load_slot(&target.config.service, number);
         let holder = self.slot_holder;
         let slot = self.slots.entry(number).or_insert_with(|| LeaseState::new(holder));
         slot.acquire(shared, &key).await
     }
 
-    async fn order(&self, shared: &Shared, client: &Client, node: &Node, order: Desired) {
+    async fn order(&self, shared: &Shared, client: &Client, target: &FleetTarget, order: Desired) {
         let without_lease = shared.settings.is_guard_disabled("lease");
         let lifetime = shared.settings.order_lifetime;
         let held = self.lease.held;
@@ -156,35 +156,35 @@
         let fence = held.map_or(0, |held| held.record.epoch);
         let Desired { version, adapters } = order;
         let order = Order { version, adapters };
-        let sent = client.order(node.target.address, &order, fence, lifetime).await;
+        let sent = client.order(target.config.address, &order, fence, lifetime).await;
         match sent {
-            Ok(()) => slog::info!(shared.log, "order sent"; "target" => &node.target.name,
+            Ok(()) => slog::info!(shared.log, "order sent"; "target" => &target.config.name,
                 "version" => &order.version, "fence" => fence),
-            Err(error) => slog::warn!(shared.log, "order failed"; "target" => &node.target.name,
+            Err(error) => slog::warn!(shared.log, "order failed"; "target" => &target.config.name,
                 "fence" => fence, "reason" => error.message),
         }
     }
 
-    fn set_draining(&mut self, shared: &Shared, node: &Node, draining: bool) {
+    fn set_draining(&mut self, shared: &Shared, target: &FleetTarget, draining: bool) {
         self.draining = draining;
         let notice = Notice { leaving: draining, stamp: clock::millis() };
-        shared.report_leaving(&node.target.name, Source::Controller, notice);
+        shared.report_leaving(&target.config.name, Source::Controller, notice);
     }
 
     /// Releases lease and slot: the target is as configured, or no longer owned.
-    async fn release_all(&mut self, shared: &Shared, node: &Node) {
+    async fn release_all(&mut self, shared: &Shared, target: &FleetTarget) {
         // A controller that died may have left its notice of leaving.
-        let notice = lock(&shared.leaving_targets).notice(&node.target.name, Source::Controller);
+        let notice = lock(&shared.leaving_targets).notice(&target.config.name, Source::Controller);
         if self.draining || notice.is_some_and(|notice| notice.leaving) {
-            self.set_draining(shared, node, false);
+            self.set_draining(shared, target, false);
         }
         if let Some(number) = self.slot.take()
             && let Some(mut slot) = self.slots.remove(&number)
         {
-            slot.release(shared, &object_key::load_slot(&node.target.service, number)).await;
+            slot.release(shared, &object_key::load_slot(&target.config.service, number)).await;
         }
         if self.lease.held.is_some() {
-            self.lease.release(shared, &object_key::target_lease(&node.target.name)).await;
+            self.lease.release(shared, &object_key::target_lease(&target.config.name)).await;
         }
     }
 }
@@ -255,13 +255,13 @@
     }
 }
 
-fn actual_and_desired(view: &View, node: &Node) -> Option<(Actual, Desired)> {
-    let service = view.document.services.get(&node.target.service)?;
+fn actual_and_desired(view: &View, target: &FleetTarget) -> Option<(Actual, Desired)> {
+    let service = view.document.services.get(&target.config.service)?;
     if service.protocol != Protocol::Chat {
         return None;
     }
-    let report = lock(&node.state).report.clone()?;
-    let mut adapters = node.target.adapters.clone();
+    let report = lock(&target.state).report.clone()?;
+    let mut adapters = target.config.adapters.clone();
     adapters.sort();
     let mut loaded = report.adapters;
     loaded.sort();
@@ -271,11 +271,11 @@
 }
 
 /// Number of other targets of the service that serve now.
-fn count_serving_others(view: &View, node: &Node) -> usize {
-    let Some(service_targets) = view.services.get(&node.target.service) else {
+fn count_serving_others(view: &View, target: &FleetTarget) -> usize {
+    let Some(service_targets) = view.services.get(&target.config.service) else {
         return 0;
     };
-    let others = service_targets.nodes.iter().filter(|other| other.id != node.id);
+    let others = service_targets.targets.iter().filter(|other| other.id != target.id);
     let serves =
         |report: &transport::target::LoadReport| !report.busy && !report.version.is_empty();
     others.filter(|other| lock(&other.state).report.as_ref().is_some_and(serves)).count()
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -4,7 +4,7 @@
 
 pub use calls::{Call, Handle, new_handle};
 
-use crate::fleet::{Node, lock};
+use crate::fleet::{FleetTarget, lock};
 use crate::shared::Shared;
 use coordination::admission;
 use coordination::append_log::EntryOrder;
@@ -68,8 +68,8 @@
 
     async fn pressure(&self, from: u64, target: String, online: u32) {
         let view = self.shared.view();
-        if let Some(node) = view.nodes.get(&target) {
-            lock(&node.state).peer_load.on_peer_report(from, online, Instant::now());
+        if let Some(target) = view.targets.get(&target) {
+            lock(&target.state).peer_load.on_peer_report(from, online, Instant::now());
             self.shared.batch.wake();
         }
     }
@@ -240,26 +240,26 @@
             if changed {
                 // Sent at once; only later changes are batched. A request at a target full
                 // of batch work waits for this report.
-                changed_loads.take().iter().for_each(|node| self.send_load(node, false));
+                changed_loads.take().iter().for_each(|target| self.send_load(target, false));
                 tokio::time::sleep(BATCH_WINDOW).await;
                 continue;
             }
             let view = self.shared.view();
-            let busy = view.nodes.values().filter(|node| lock(&node.state).load.own() > 0);
-            busy.for_each(|node| self.send_load(node, true));
+            let busy = view.targets.values().filter(|target| lock(&target.state).load.own() > 0);
+            busy.for_each(|target| self.send_load(target, true));
         }
     }
 
     /// Sends the load of one target to its owner; an unchanged one only on `refresh`.
-    fn send_load(&self, node: &Node, refresh: bool) {
-        let online = admission::advertised(lock(&node.state).load.own());
-        let is_new = node.reported_online.swap(online, Ordering::Relaxed) != online;
-        match self.shared.target_owner(node) {
+    fn send_load(&self, target: &FleetTarget, refresh: bool) {
+        let online = admission::advertised(lock(&target.state).load.own());
+        let is_new = target.reported_online.swap(online, Ordering::Relaxed) != online;
+        match self.shared.target_owner(target) {
             Some(owner) if owner.id == self.shared.id => self.shared.batch.wake(),
             _ if !is_new && !refresh => {}
             Some(owner) => {
                 let peers = self.clone();
-                let target = node.target.name.clone();
+                let target = target.config.name.clone();
                 spawn_local(async move {
                     let me = peers.shared.id;
                     // A lost report is followed by the next one.
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,7 +1,7 @@
 //! State that the worker threads of one daemon share.
 
 use crate::batch;
-use crate::fleet::{Fleet, Node, View, ViewContext, lock};
+use crate::fleet::{Fleet, FleetTarget, View, ViewContext, lock};
 use crate::peers;
 use crate::retry_queue::RetryQueue;
 use crate::shards;
@@ -39,7 +39,7 @@
 struct OwnedTargets {
     view: Arc<View>,
     version: u64,
-    nodes: Arc<Vec<Arc<Node>>>,
+    targets: Arc<Vec<Arc<FleetTarget>>>,
 }
 
 /// State that more than one worker uses.
@@ -217,10 +217,10 @@
 
     /// The member that admits batch work and sends orders to `node`: one of the target's
     /// data centre, or of any when that has none.
-    pub fn target_owner(&self, node: &Node) -> Option<Member> {
+    pub fn target_owner(&self, target: &FleetTarget) -> Option<Member> {
         let members = lock(&self.members);
-        let is_local = |m: &&Member| m.data_centre == node.target.data_centre;
-        let key = node.id.to_le_bytes();
+        let is_local = |m: &&Member| m.data_centre == target.config.data_centre;
+        let key = target.id.to_le_bytes();
         let selected = hash::owner(&key, members.workers().filter(is_local).map(|m| m.id))
             .or_else(|| hash::owner(&key, members.workers().map(|m| m.id)))?;
         members.workers().find(|m| m.id == selected).cloned()
@@ -228,17 +228,18 @@
 
     /// The targets that this instance owns. The ranking of targets and members is cached
     /// until one of them changes.
-    pub fn owned_targets(&self) -> Arc<Vec<Arc<Node>>> {
+    pub fn owned_targets(&self) -> Arc<Vec<Arc<FleetTarget>>> {
         let view = self.view();
         let version = lock(&self.members).version();
         let mut owned = lock(&self.owned_targets);
         if !Arc::ptr_eq(&owned.view, &view) || owned.version != version {
-            let is_mine =
-                |node: &&Arc<Node>| self.target_owner(node).is_some_and(|d| d.id == self.id);
-            let nodes = view.nodes.values().filter(is_mine).cloned().collect();
-            *owned = OwnedTargets { view, version, nodes: Arc::new(nodes) };
+            let is_mine = |target: &&Arc<FleetTarget>| {
+                self.target_owner(target).is_some_and(|d| d.id == self.id)
+            };
+            let targets = view.targets.values().filter(is_mine).cloned().collect();
+            *owned = OwnedTargets { view, version, targets: Arc::new(targets) };
         }
-        owned.nodes.clone()
+        owned.targets.clone()
     }
 
     /// Whether this instance watches the platform for its data centre.
