--- a/crates/daemon/tests/cancel_stops.rs
+++ b/crates/daemon/tests/cancel_stops.rs
@@ -1,4 +1,4 @@
-//! A cancelled job stops, and all readers agree on each outcome.
+//! A cancelled job stops, and all instances report the same outcomes.
 
 mod util;
 
@@ -9,14 +9,14 @@
 use util::cluster::{Cluster, Plan, items};
 use util::{wait_for, wait_until};
 
-fn start(items_in_all: usize) -> (Cluster, String) {
+fn start(item_count: usize) -> (Cluster, String) {
     let engine = Config { token_interval: Duration::from_millis(20), ..Config::default() };
-    // Large chunks: a holder that went on would go on for long.
+    // With large chunks, a holder that ignored the cancel would run for long.
     let settings = vec![String::from("batch.chunk_items = 1000")];
     let cluster = Cluster::start(Plan { engine, settings, ..Plan::default() });
-    let accepted = cluster.submit(0, "lot", &items("summary", items_in_all));
-    let job = accepted.json()["job"].as_str().expect("its id").to_owned();
-    wait_until("work began", || cluster.runs().len() > 60);
+    let accepted = cluster.submit(0, "lot", &items("summary", item_count));
+    let job = accepted.json()["job"].as_str().expect("job id").to_owned();
+    wait_until("items are running", || cluster.runs().len() > 60);
     (cluster, job)
 }
 
@@ -24,28 +24,28 @@
     call("POST", cluster.daemons[daemon].front_address, &format!("/v1/jobs/{job}/cancel"), &[], "")
 }
 
-/// Items of the cancelled job that were given a slot.
+/// Number of items of the cancelled job that got a slot.
 fn started(cluster: &Cluster) -> usize {
     cluster.runs().iter().filter(|run| run.prompt.starts_with("summary")).count()
 }
 
-/// Nothing of the job runs, and nothing starts while another job runs through.
-/// `at_cancel` is how many items were started when the cancel was acknowledged.
+/// Checks that no item of the job runs, and that none starts while another job runs to its end.
+/// `at_cancel` is the number of items started when the cancel was acknowledged.
 #[track_caller]
 fn check_stopped(cluster: &Cluster, at_cancel: usize) {
     wait_until("running streams stop", || cluster.engines.iter().all(|e| e.running()[1] == 0));
     let before = started(cluster);
     let slots = cluster.plan.engines * cluster.plan.engine.slots as usize;
-    let on_their_way = before - at_cancel;
-    assert!(on_their_way <= slots, "{on_their_way} items started after the cancel");
+    let started_later = before - at_cancel;
+    assert!(started_later <= slots, "{started_later} items started after the cancel");
     let other = cluster.submit(1, "other", &items("another lot", 40));
-    let other = other.json()["job"].as_str().expect("its id").to_owned();
+    let other = other.json()["job"].as_str().expect("job id").to_owned();
     cluster.wait_job(1, &other, "finished");
     assert_eq!(started(cluster), before, "an item started after the cancel");
 }
 
 #[track_caller]
-fn check_readers_agree(cluster: &Cluster, job: &str, count: usize) {
+fn check_same_results(cluster: &Cluster, job: &str, count: usize) {
     let first: Vec<Value> = cluster.results(0, job);
     assert_eq!(first.len(), count, "every item has an outcome");
     assert!(first.iter().any(|line| line["outcome"] == "cancelled"));
@@ -55,17 +55,17 @@
 }
 
 #[test]
-fn a_cancelled_job_stops_everywhere() {
+fn cancelled_job_stops_on_all_instances() {
     let (cluster, job) = start(4000);
     let response = cancel(&cluster, 1, &job);
     let at_cancel = started(&cluster);
     assert_eq!(response.json()["phase"], "cancelled", "{response:?}");
     check_stopped(&cluster, at_cancel);
-    check_readers_agree(&cluster, &job, 4000);
+    check_same_results(&cluster, &job, 4000);
 }
 
 #[test]
-fn a_holder_that_was_frozen_during_the_cancel_stops_when_it_wakes() {
+fn holder_paused_during_cancel_stops_when_it_resumes() {
     let (cluster, job) = start(4000);
     cluster.daemons[2].freeze();
     wait_until("the cancel is recorded", || {
@@ -75,11 +75,11 @@
     let at_cancel = started(&cluster);
     cluster.daemons[2].thaw();
     check_stopped(&cluster, at_cancel);
-    check_readers_agree(&cluster, &job, 4000);
+    check_same_results(&cluster, &job, 4000);
 }
 
 #[test]
-fn a_cancel_while_the_platform_is_away_stops_at_once_and_is_recorded_later() {
+fn cancel_during_platform_outage_takes_effect_and_is_recorded_later() {
     let (cluster, job) = start(4000);
     cluster.set_platform_down(true);
     let response = cancel(&cluster, 1, &job);
@@ -90,16 +90,16 @@
     cluster.set_platform_down(false);
     cluster.wait_job(2, &job, "cancelled");
     assert_eq!(cluster.runs().len(), stopped_at, "an item started after the cancel");
-    check_readers_agree(&cluster, &job, 4000);
+    check_same_results(&cluster, &job, 4000);
 }
 
 #[test]
-fn a_cancel_that_races_the_end_has_one_outcome() {
+fn cancel_racing_with_completion_has_one_outcome() {
     for round in 0..4 {
         let cluster = Cluster::start(Plan::default());
         let accepted = cluster.submit(0, "lot", &items("summary", 96));
-        let job = accepted.json()["job"].as_str().expect("its id").to_owned();
-        wait_until("work is nearly done", || cluster.runs().len() > 60 + round * 10);
+        let job = accepted.json()["job"].as_str().expect("job id").to_owned();
+        wait_until("most items have run", || cluster.runs().len() > 60 + round * 10);
         let phases: Vec<Value> = std::thread::scope(|scope| {
             let calls: Vec<_> = (0..3)
                 .map(|daemon| {
@@ -107,13 +107,16 @@
                     scope.spawn(move || cancel(cluster, daemon, job).json()["phase"].clone())
                 })
                 .collect();
-            calls.into_iter().map(|call| call.join().expect("an answer")).collect()
+            calls.into_iter().map(|call| call.join().expect("caller thread panicked")).collect()
         });
         let phase = wait_for("a final phase", || {
             let status = cluster.status(2, &job);
             (status["phase"] != "running").then(|| status["phase"].clone())
         });
-        assert!(phases.iter().all(|told| *told == phase), "told {phases:?}, is {phase}");
+        assert!(
+            phases.iter().all(|reported| *reported == phase),
+            "reported {phases:?}, is {phase}"
+        );
         let first = cluster.results(0, &job);
         assert_eq!(first.len(), 96);
         assert_eq!(cluster.results(1, &job), first);
--- a/crates/daemon/tests/contract.rs
+++ b/crates/daemon/tests/contract.rs
@@ -1,5 +1,4 @@
-//! Real answers and errors against the published contract, and a stock client's
-//! view of it.
+//! Responses and errors match the published API contract and what a stock client expects.
 
 mod util;
 
@@ -24,7 +23,7 @@
     let schema = json!({
         "$ref": format!("#/components/schemas/{name}"), "components": contract["components"],
     });
-    jsonschema::validator_for(&schema).expect("a schema")
+    jsonschema::validator_for(&schema).expect("valid schema")
 }
 
 #[track_caller]
@@ -35,17 +34,17 @@
     assert!(errors.is_empty(), "{errors:?} in {response:?}");
 }
 
-/// An error answer: the schema, the status of its row, and when to come back.
+/// Checks schema and status of an error response, and that `Retry-After` is present if it applies.
 #[track_caller]
 fn check_error(response: &Response, kind: Kind) {
     check(response, kind.properties().status, "Error");
     assert_eq!(response.error_kind(), Some(kind));
-    let says_when = !response.header("retry-after").is_empty();
-    assert_eq!(says_when, kind.properties().retry != Retry::Never, "{response:?}");
+    let has_retry_after = !response.header("retry-after").is_empty();
+    assert_eq!(has_retry_after, kind.properties().retry != Retry::Never, "{response:?}");
 }
 
 #[test]
-fn every_kind_of_the_table_is_in_the_contract() {
+fn contract_lists_every_error_kind() {
     let contract = contract();
     let listed = contract["components"]["schemas"]["Error"]["properties"]["error"]["properties"]
         ["type"]["enum"]
@@ -54,12 +53,12 @@
         .iter()
         .map(|kind| kind.as_str().expect("a name").to_owned())
         .collect::<HashSet<_>>();
-    let known: HashSet<String> = Kind::ALL.iter().map(|kind| kind.name()).collect();
-    assert_eq!(listed, known);
+    let defined: HashSet<String> = Kind::ALL.iter().map(|kind| kind.name()).collect();
+    assert_eq!(listed, defined);
 }
 
 #[test]
-fn answers_fit_the_contract() {
+fn responses_match_the_contract() {
     let cluster = Cluster::start(Plan::default());
     let front = cluster.daemons[0].front_address;
     assert_eq!(get(front, "/v1/openapi.json").json(), contract());
@@ -74,7 +73,7 @@
     }
     let accepted = cluster.submit(0, "night", &items("describe", 20));
     check(&accepted, 201, "JobStatus");
-    let job = accepted.json()["job"].as_str().expect("its id").to_owned();
+    let job = accepted.json()["job"].as_str().expect("job id").to_owned();
     cluster.wait_job(0, &job, "finished");
     for (path, schema) in [
         ("/v1/models".to_owned(), "Models"),
@@ -95,7 +94,7 @@
 }
 
 #[test]
-fn errors_of_callers_fit_the_contract() {
+fn caller_errors_match_the_contract() {
     let cluster = Cluster::start(Plan::default());
     let front = cluster.daemons[0].front_address;
     let path = "/v1/chat/completions";
@@ -117,14 +116,14 @@
     assert_eq!(chat(front, "one", &key, json!({})).status, 200);
     check_error(&chat(front, "two", &key, json!({})), Kind::KeyConflict);
     check_error(&cluster.apply(0, 9, &json!({ "put": [] })), Kind::StaleRevision);
-    let nameless = json!({ "put": [{ "object": "limit", "caller": "x", "rate": 0, "burst": 1 }] });
-    check_error(&cluster.apply(0, 1, &nameless), Kind::InvalidConfig);
-    // The daemon is as well as before.
+    let zero_rate = json!({ "put": [{ "object": "limit", "caller": "x", "rate": 0, "burst": 1 }] });
+    check_error(&cluster.apply(0, 1, &zero_rate), Kind::InvalidConfig);
+    // The daemon still serves requests.
     assert_eq!(chat(front, "after", &[], json!({})).status, 200);
 }
 
 #[test]
-fn errors_of_targets_and_limits_fit_the_contract() {
+fn target_and_limit_errors_match_the_contract() {
     let cluster = Cluster::start(Plan::default());
     let front = cluster.daemons[0].front_address;
     let limit = json!({ "put": [
@@ -133,10 +132,10 @@
     assert_eq!(cluster.apply(0, 1, &limit).status, 200);
     let greedy = [("gatespool-caller", "greedy")];
     assert_eq!(chat(front, "one", &greedy, json!({})).status, 200);
-    let refused = chat(front, "two", &greedy, json!({}));
-    check_error(&refused, Kind::CallerLimit);
-    let wait: u64 = refused.header("retry-after").parse().expect("seconds");
-    assert!(wait > 10, "the time until the next token, not a constant: {wait}");
+    let rejected = chat(front, "two", &greedy, json!({}));
+    check_error(&rejected, Kind::CallerLimit);
+    let wait: u64 = rejected.header("retry-after").parse().expect("seconds");
+    assert!(wait > 10, "not the time until the next token: {wait}");
     let control = |control: EngineControl| {
         cluster.engines.iter().for_each(|engine| engine.control(control.clone()));
     };
@@ -151,51 +150,50 @@
 }
 
 #[test]
-fn errors_of_an_outage_fit_the_contract() {
+fn platform_outage_errors_match_the_contract() {
     let cluster = Cluster::start(Plan::default());
     let front = cluster.daemons[0].front_address;
     cluster.set_platform_down(true);
-    let once = [("idempotency-key", "o"), ("gatespool-repeatable", "false")];
-    check_error(&chat(front, "offer", &once, json!({})), Kind::PlatformUnavailable);
+    let at_most_once = [("idempotency-key", "o"), ("gatespool-repeatable", "false")];
+    check_error(&chat(front, "offer", &at_most_once, json!({})), Kind::PlatformUnavailable);
     check_error(&cluster.submit(0, "night", &items("describe", 5)), Kind::PlatformUnavailable);
     check_error(&cluster.apply(0, 1, &json!({ "put": [] })), Kind::PlatformUnavailable);
 }
 
-/// A caller that sends its body slowly is told so, and holds up nobody.
 #[test]
-fn a_slow_caller_is_refused() {
+fn slow_request_body_is_rejected_with_408() {
     let settings = vec![String::from("front.body_timeout_ms = 300")];
     let cluster = Cluster::start(Plan { settings, ..Plan::default() });
-    let mut stream = TcpStream::connect(cluster.daemons[0].front_address).expect("a connection");
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
+    let mut stream = TcpStream::connect(cluster.daemons[0].front_address).expect("connect");
+    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set read timeout");
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 1000\r\n\r\n{";
-    stream.write_all(head.as_bytes()).expect("sent");
-    let mut answer = [0; 1024];
-    let read = stream.read(&mut answer).expect("an answer");
-    let answer = String::from_utf8_lossy(&answer[..read]).into_owned();
-    assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-    assert!(answer.contains("slow_caller"), "{answer}");
+    stream.write_all(head.as_bytes()).expect("write");
+    let mut buf = [0; 1024];
+    let read = stream.read(&mut buf).expect("read response");
+    let response = String::from_utf8_lossy(&buf[..read]).into_owned();
+    assert!(response.starts_with("HTTP/1.1 408"), "{response}");
+    assert!(response.contains("slow_caller"), "{response}");
 }
 
-/// Wrong versions of the protocol and junk end the connection, nothing else.
+/// Unsupported protocol versions and invalid bytes.
 #[test]
-fn junk_ends_its_own_connection_only() {
+fn invalid_input_affects_only_its_own_connection() {
     let cluster = Cluster::start(Plan::default());
     let front = cluster.daemons[0].front_address;
-    for junk in [&b"\x16\x03\x01\x02\x00"[..], b"GET / HTTP/9.9\r\n\r\n", b"\r\n\r\n\0\0\0"] {
-        let mut stream = TcpStream::connect(front).expect("a connection");
-        stream.write_all(junk).expect("sent");
+    for invalid in [&b"\x16\x03\x01\x02\x00"[..], b"GET / HTTP/9.9\r\n\r\n", b"\r\n\r\n\0\0\0"] {
+        let mut stream = TcpStream::connect(front).expect("connect");
+        stream.write_all(invalid).expect("write");
     }
-    let mut stream = TcpStream::connect(cluster.daemons[0].peer_address).expect("a connection");
-    stream.write_all(&[0xff; 4096]).expect("sent");
+    let mut stream = TcpStream::connect(cluster.daemons[0].peer_address).expect("connect");
+    stream.write_all(&[0xff; 4096]).expect("write");
     drop(stream);
     assert_eq!(chat(front, "after", &[], json!({})).status, 200);
     cluster.wait_members();
 }
 
-/// What a stock client of chat completions relies on.
+/// Fields and headers that a stock chat completions client relies on.
 #[test]
-fn a_stock_client_reads_the_same_text_either_way_from_any_instance() {
+fn stock_client_reads_the_same_text_streamed_or_not_from_any_instance() {
     let cluster = Cluster::start(Plan::default());
     let body = json!({
         "model": "pustak-llm", "temperature": 0.2, "top_p": 1, "user": "someone",
@@ -207,9 +205,9 @@
     let mut texts = HashSet::new();
     for daemon in &cluster.daemons {
         let auth = [("authorization", "Bearer some-token")];
-        let whole = post(daemon.front_address, "/v1/chat/completions", &auth, &body);
-        assert_eq!(whole.header("content-type"), "application/json");
-        texts.insert(whole.text());
+        let completion = post(daemon.front_address, "/v1/chat/completions", &auth, &body);
+        assert_eq!(completion.header("content-type"), "application/json");
+        texts.insert(completion.text());
         let mut streamed = body.clone();
         streamed["stream"] = json!(true);
         let bytes = Bytes::from(streamed.to_string());
--- a/crates/daemon/tests/meets_without_seeds.rs
+++ b/crates/daemon/tests/meets_without_seeds.rs
@@ -1,5 +1,4 @@
-//! Instances whose settings name no seed find each other by the addresses that
-//! they leave on the platform.
+//! Instances without configured seeds discover peers by the addresses stored on the platform.
 
 mod util;
 
@@ -7,10 +6,10 @@
 use util::wait_until;
 
 #[test]
-fn an_instance_without_seeds_finds_the_others() {
+fn instance_without_seeds_discovers_its_peers() {
     let mut cluster = Cluster::start(Plan::default());
-    let lone = cluster.start_daemon_in("patan-hall", "peers.seeds = ");
-    wait_until("it meets the others", || lone.alive_members() == 4);
-    cluster.daemons.push(lone);
+    let unseeded = cluster.start_daemon_in("patan-hall", "peers.seeds = ");
+    wait_until("the instance without seeds sees its peers", || unseeded.alive_members() == 4);
+    cluster.daemons.push(unseeded);
     cluster.wait_members();
 }
--- a/crates/daemon/tests/orders_fenced.rs
+++ b/crates/daemon/tests/orders_fenced.rs
@@ -1,5 +1,5 @@
-//! Orders to targets: one controller at a time, the last ordered state stays, and
-//! no service is left without a target.
+//! Orders to targets: one controller at a time, the newest ordered state stays, and a rollout
+//! leaves every service with a target.
 
 mod util;
 
@@ -13,15 +13,15 @@
 use util::cluster::{Cluster, Plan};
 use util::wait_until;
 
-fn version(name: &str) -> Value {
+fn version_change(name: &str) -> Value {
     json!({ "put": [{
         "object": "service", "name": "pustak-llm", "protocol": "chat", "version": name,
     }] })
 }
 
-fn start(engines: usize, checks_fence: bool) -> Cluster {
+fn start(engines: usize, checks_fencing_token: bool) -> Cluster {
     let engine = Config {
-        checks_fencing_token: checks_fence,
+        checks_fencing_token,
         order_duration: Duration::from_millis(200),
         ..Config::default()
     };
@@ -35,8 +35,8 @@
 #[rstest]
 #[case::checked(true)]
 #[case::unchecked(false)]
-fn a_rollout_leaves_no_service_without_a_target(#[case] checks_fence: bool) {
-    let cluster = start(4, checks_fence);
+fn rollout_never_leaves_a_service_without_a_target(#[case] checks_fencing_token: bool) {
+    let cluster = start(4, checks_fencing_token);
     let done = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let callers: Vec<_> = (0..3)
@@ -55,71 +55,73 @@
                 })
             })
             .collect();
-        assert_eq!(cluster.apply(0, 1, &version("v2")).status, 200);
+        assert_eq!(cluster.apply(0, 1, &version_change("v2")).status, 200);
         wait_until("every target runs v2", || all_run(&cluster, "v2"));
         done.store(true, Ordering::Relaxed);
-        let served: usize = callers.into_iter().map(|c| c.join().expect("served")).sum();
+        let served: usize =
+            callers.into_iter().map(|c| c.join().expect("caller thread panicked")).sum();
         assert!(served > 0);
     });
     let orders: Vec<usize> = cluster.engines.iter().map(|e| e.orders().len()).collect();
-    assert_eq!(orders, [1, 1, 1, 1], "each target is ordered once");
+    assert_eq!(orders, [1, 1, 1, 1], "each target gets one order");
 }
 
-/// Every daemon believes itself alone and in charge of every target.
+/// Without peers, every daemon becomes the controller of every target.
 #[test]
-fn controllers_that_do_not_see_each_other_order_once() {
+fn partitioned_controllers_send_one_order_per_target() {
     let cluster = start(6, false);
     let peers: Vec<SocketAddr> = cluster.daemons.iter().map(|daemon| daemon.peer_address).collect();
     cluster.daemons.iter().for_each(|daemon| daemon.set_unreachable(&peers));
-    wait_until("each is alone", || {
+    wait_until("each instance sees no peer", || {
         cluster.daemons.iter().all(|daemon| daemon.alive_members() == 1)
     });
-    assert_eq!(cluster.apply(0, 1, &version("v2")).status, 200);
+    assert_eq!(cluster.apply(0, 1, &version_change("v2")).status, 200);
     wait_until("every target runs v2", || all_run(&cluster, "v2"));
     let orders: Vec<usize> = cluster.engines.iter().map(|e| e.orders().len()).collect();
-    assert_eq!(orders, [1; 6], "each target is ordered once");
+    assert_eq!(orders, [1; 6], "each target gets one order");
 }
 
-/// Fencing numbers of the orders that one target carried out never fall.
+/// Checks that a target carried out orders by ascending fencing token.
 #[track_caller]
-fn check_fences(engine: &Engine) {
-    let fences: Vec<u64> = engine.orders().iter().map(|(fence, _)| *fence).collect();
-    assert!(fences.is_sorted(), "{fences:?}");
+fn check_fencing_tokens(engine: &Engine) {
+    let tokens: Vec<u64> = engine.orders().iter().map(|(token, _)| *token).collect();
+    assert!(tokens.is_sorted(), "{tokens:?}");
 }
 
-/// A controller is paused in the middle of a rollout, the operators change their
-/// minds, and it wakes: what was ordered last stays.
+/// A controller paused during a rollout resumes after a later change: the later version stays.
 #[rstest]
 #[case::checked(true)]
 #[case::unchecked(false)]
-fn a_controller_that_wakes_undoes_nothing(#[case] checks_fence: bool) {
-    let cluster = start(5, checks_fence);
-    assert_eq!(cluster.apply(0, 1, &version("v2")).status, 200);
-    wait_until("the rollout began", || {
+fn resumed_controller_does_not_revert_a_later_change(#[case] checks_fencing_token: bool) {
+    let cluster = start(5, checks_fencing_token);
+    assert_eq!(cluster.apply(0, 1, &version_change("v2")).status, 200);
+    wait_until("the rollout has started", || {
         cluster.engines.iter().any(|engine| engine.version() == "v2")
     });
     cluster.daemons[1].freeze();
     wait_until("the change is accepted", || {
-        let response = cluster.apply(0, 2, &version("v1"));
+        let response = cluster.apply(0, 2, &version_change("v1"));
         response.status == 200 || cluster.daemons[0].generation() >= 3
     });
     wait_until("every target runs v1 again", || all_run(&cluster, "v1"));
-    let last: Vec<_> = cluster.engines.iter().map(|e| e.orders().len()).collect();
+    let orders_before: Vec<_> = cluster.engines.iter().map(|e| e.orders().len()).collect();
     cluster.daemons[1].thaw();
-    wait_until("it knows better", || cluster.daemons[1].generation() == 3);
+    wait_until("the resumed controller has the later change", || {
+        cluster.daemons[1].generation() == 3
+    });
     cluster.wait_members();
     assert!(all_run(&cluster, "v1"));
-    for (engine, before) in cluster.engines.iter().zip(last) {
+    for (engine, before) in cluster.engines.iter().zip(orders_before) {
         let after = engine.orders();
         assert!(after[before..].iter().all(|(_, order)| order.version == "v1"), "{after:?}");
-        check_fences(engine);
+        check_fencing_tokens(engine);
     }
 }
 
 #[test]
-fn the_only_target_of_a_service_goes_on_serving() {
+fn only_target_of_a_service_keeps_serving() {
     let cluster = start(1, true);
-    assert_eq!(cluster.apply(0, 1, &version("v2")).status, 200);
+    assert_eq!(cluster.apply(0, 1, &version_change("v2")).status, 200);
     cluster.wait_generation(2);
     for n in 0..20 {
         let response =
@@ -130,10 +132,10 @@
 }
 
 #[test]
-fn a_killed_controller_is_succeeded() {
+fn killed_controller_is_replaced() {
     let mut cluster = start(4, false);
-    assert_eq!(cluster.apply(0, 1, &version("v2")).status, 200);
-    wait_until("the rollout began", || {
+    assert_eq!(cluster.apply(0, 1, &version_change("v2")).status, 200);
+    wait_until("the rollout has started", || {
         cluster.engines.iter().any(|engine| engine.version() == "v2")
     });
     cluster.daemons[2].kill();
--- a/crates/daemon/tests/planned_stop.rs
+++ b/crates/daemon/tests/planned_stop.rs
@@ -1,5 +1,4 @@
-//! A planned stop cuts off no request, and hands batch work on with nothing
-//! repeated.
+//! A graceful shutdown interrupts no request, and hands off batch work without repeating it.
 
 mod util;
 
@@ -13,7 +12,7 @@
 use util::wait_until;
 
 #[test]
-fn running_requests_end_whole() {
+fn running_requests_complete_during_shutdown() {
     let engine = Config { token_interval: Duration::from_millis(60), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let front = cluster.daemons[0].front_address;
@@ -29,12 +28,12 @@
             })
         })
         .collect();
-    wait_until("all run", || cluster.runs().len() >= 12);
+    wait_until("all requests run", || cluster.runs().len() >= 12);
     cluster.daemons[0].terminate();
     let not_ready = || cluster.daemons[0].get("/ready").status != 200;
     wait_until("readiness is withdrawn", not_ready);
     for call in calls {
-        let (n, prompt, response) = call.join().expect("an answer");
+        let (n, prompt, response) = call.join().expect("caller thread panicked");
         let expected = text::full_text(&prompt, None);
         if n % 2 == 0 {
             assert_eq!(response.streamed_text(), (expected, true), "{response:?}");
@@ -45,9 +44,9 @@
     assert!(cluster.daemons[0].wait_exit().success());
 }
 
-/// The balancer may send one more request before it notices.
+/// The load balancer may send requests until it notices that the instance is not ready.
 #[test]
-fn a_request_that_comes_during_the_grace_time_is_served() {
+fn request_during_the_grace_period_is_served() {
     let settings = vec![String::from("stop.grace_ms = 3000")];
     let mut cluster = Cluster::start(Plan { settings, ..Plan::default() });
     cluster.daemons[0].terminate();
@@ -58,20 +57,20 @@
 }
 
 #[test]
-fn batch_work_is_handed_on_with_nothing_repeated() {
+fn batch_work_is_handed_off_without_repeats() {
     let engine = Config { token_interval: Duration::from_millis(10), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let accepted = cluster.submit(0, "night", &items("describe", 600));
-    let job = accepted.json()["job"].as_str().expect("its id").to_owned();
-    // Each instance in turn, as in a rolling replacement.
+    let job = accepted.json()["job"].as_str().expect("job id").to_owned();
+    // A rolling replacement.
     for round in 0..3 {
         let before = cluster.runs().len();
-        wait_until("work goes on", || cluster.runs().len() > before + 50);
-        let fresh = cluster.start_daemon();
-        fresh.wait_ready();
+        wait_until("more items have run", || cluster.runs().len() > before + 50);
+        let new_daemon = cluster.start_daemon();
+        new_daemon.wait_ready();
         cluster.daemons[round].terminate();
         assert!(cluster.daemons[round].wait_exit().success());
-        cluster.daemons[round] = fresh;
+        cluster.daemons[round] = new_daemon;
     }
     let status = cluster.wait_job(0, &job, "finished");
     assert_eq!(status["done"], 600);
@@ -83,17 +82,17 @@
 }
 
 #[test]
-fn a_stop_is_bounded_though_a_stream_hangs() {
+fn shutdown_is_bounded_when_a_stream_hangs() {
     let settings =
         vec![String::from("stop.bound_ms = 1500"), String::from("targets.idle_ms = 60000")];
     let mut cluster = Cluster::start(Plan { settings, engines: 1, ..Plan::default() });
     let front = cluster.daemons[0].front_address;
     let frozen = standin::engine::Control { frozen: Some(true), ..Default::default() };
     cluster.engines[0].control(frozen);
-    let asked = std::thread::spawn(move || chat(front, "hangs", &[], json!({ "stream": true })));
-    wait_until("it runs", || cluster.engines[0].running()[0] == 1);
+    let caller = std::thread::spawn(move || chat(front, "hangs", &[], json!({ "stream": true })));
+    wait_until("the stream runs", || cluster.engines[0].running()[0] == 1);
     cluster.daemons[0].terminate();
     assert!(cluster.daemons[0].wait_exit().success());
-    let response = asked.join().expect("an answer");
+    let response = caller.join().expect("caller thread panicked");
     assert!(!response.streamed_text().1);
 }
--- a/crates/daemon/tests/view_never_goes_back.rs
+++ b/crates/daemon/tests/view_never_goes_back.rs
@@ -1,6 +1,5 @@
-//! Regression: of two refreshes that overlapped, the one that had read the older
-//! configuration could write its snapshot last. Requests then met a service that
-//! "didn't exist" on an instance that had already told its generation.
+//! Regression test: of two concurrent refreshes, the one with the older configuration could store
+//! its snapshot last, so that an instance served a configuration older than it had reported.
 
 use daemon::Daemon;
 use protocol::config::{Change, ConfigEntry, Limit, Object};
@@ -9,25 +8,24 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Changes offered; with the race in place, a few dozen were enough to see it.
 const GENERATIONS: u64 = 2_000;
-/// Threads that make snapshots meanwhile, as heartbeats and the control duty do.
-const REFRESHERS: usize = 3;
+/// Concurrent refreshes, as heartbeats and the control worker cause them.
+const REFRESH_THREADS: usize = 3;
 
 fn start() -> Daemon {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = standin::serve::start(any, standin::platform::Platform::default());
-    let platform = platform.expect("the platform");
+    let platform = platform.expect("start platform");
     let settings = Settings {
         platform_address: platform.address,
         front_address: any,
         peer_address: any,
         ..Settings::default()
     };
-    let daemon = daemon::start(settings, daemon::logging::discard()).expect("a daemon");
-    let end = Instant::now() + Duration::from_secs(30);
+    let daemon = daemon::start(settings, daemon::logging::discard()).expect("start daemon");
+    let deadline = Instant::now() + Duration::from_secs(30);
     while !daemon.shared().view().ready {
-        assert!(Instant::now() < end, "the daemon isn't ready");
+        assert!(Instant::now() < deadline, "timed out waiting for the daemon to be ready");
         std::thread::sleep(Duration::from_millis(10));
     }
     daemon
@@ -41,14 +39,14 @@
 }
 
 #[test]
-fn a_refresh_never_puts_an_older_configuration_back() {
+fn concurrent_refreshes_never_store_an_older_configuration() {
     let daemon = start();
     let shared = daemon.shared();
-    let is_over = AtomicBool::new(false);
+    let is_done = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        for _ in 0..REFRESHERS {
+        for _ in 0..REFRESH_THREADS {
             scope.spawn(|| {
-                while !is_over.load(Ordering::Relaxed) {
+                while !is_done.load(Ordering::Relaxed) {
                     shared.refresh();
                 }
             });
@@ -57,11 +55,11 @@
             shared.apply_config_entry(entry(generation));
             let seen = shared.view().document.generation;
             if seen < generation {
-                is_over.store(true, Ordering::Relaxed);
-                panic!("generation {generation} is in force, the snapshot shows {seen}");
+                is_done.store(true, Ordering::Relaxed);
+                panic!("generation {generation} was applied, the snapshot has {seen}");
             }
         }
-        is_over.store(true, Ordering::Relaxed);
+        is_done.store(true, Ordering::Relaxed);
     });
     daemon.kill();
 }
--- a/crates/daemon/tests/whole_answers.rs
+++ b/crates/daemon/tests/whole_answers.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request.
+//! Each caller gets the complete response to its own request.
 
 mod util;
 
@@ -10,17 +10,17 @@
 use util::cluster::{Cluster, Plan};
 use util::wait_until;
 
-fn cut_all(cluster: &Cluster, streams: u32) {
+fn interrupt_all(cluster: &Cluster, streams: u32) {
     for engine in &cluster.engines {
         engine.control(Control { interrupted_streams: Some(streams), ..Control::default() });
     }
 }
 
 #[test]
-fn a_cut_stream_goes_on_at_the_right_token() {
+fn interrupted_stream_resumes_at_the_next_token() {
     let cluster = Cluster::start(Plan::default());
     for (round, stream) in [true, false].into_iter().enumerate() {
-        cut_all(&cluster, 1);
+        interrupt_all(&cluster, 1);
         for n in 0..6 {
             let prompt = format!("question {round} {n}");
             let front = cluster.daemons[n % 3].front_address;
@@ -33,52 +33,53 @@
             }
         }
     }
-    let cut = cluster.runs().iter().filter(|run| !run.is_complete).count();
-    assert!(cut > 0, "no stream was cut");
+    let interrupted = cluster.runs().iter().filter(|run| !run.is_complete).count();
+    assert!(interrupted > 0, "no stream was interrupted");
 }
 
-/// A part is never passed for the whole: no closing event, or an error.
+/// Checks that a truncated stream has no final event, and an error or an aborted body.
 #[track_caller]
-fn check_not_whole(response: &Response) {
+fn check_incomplete(response: &Response) {
     let (_, done) = response.streamed_text();
-    assert!(!done, "a part was closed as whole: {response:?}");
+    assert!(!done, "a truncated stream has a final event: {response:?}");
     let body = String::from_utf8_lossy(&response.body);
     assert!(
         !response.is_complete || body.contains("\"error\""),
-        "no word of the fault: {response:?}"
+        "a truncated stream has no error: {response:?}"
     );
 }
 
 #[test]
-fn a_stream_that_can_not_go_on_fails_openly() {
+fn stream_that_cannot_resume_reports_an_error() {
     let cluster = Cluster::start(Plan::default());
-    cut_all(&cluster, 1000);
+    interrupt_all(&cluster, 1000);
     for daemon in &cluster.daemons {
         let streamed = chat(daemon.front_address, "cut everywhere", &[], json!({ "stream": true }));
-        check_not_whole(&streamed);
+        check_incomplete(&streamed);
         let plain = chat(daemon.front_address, "cut everywhere", &[], json!({}));
         assert_ne!(plain.status, 200, "{plain:?}");
-        let once = [("gatespool-repeatable", "false"), ("idempotency-key", "w")];
-        let streamed = chat(daemon.front_address, "a wicket", &once, json!({ "stream": true }));
-        check_not_whole(&streamed);
+        let at_most_once = [("gatespool-repeatable", "false"), ("idempotency-key", "w")];
+        let streamed =
+            chat(daemon.front_address, "a wicket", &at_most_once, json!({ "stream": true }));
+        check_incomplete(&streamed);
     }
 }
 
 #[test]
-fn a_kill_mid_stream_is_not_taken_for_the_end() {
+fn stream_of_a_killed_instance_has_no_final_event() {
     let engine = Config { token_interval: Duration::from_millis(50), ..Config::default() };
     let mut cluster = Cluster::start(Plan { engine, ..Plan::default() });
     let front = cluster.daemons[0].front_address;
-    let asked =
+    let caller =
         std::thread::spawn(move || chat(front, "interrupted", &[], json!({ "stream": true })));
     wait_until("the stream runs", || cluster.runs().iter().any(|run| run.tokens > 1));
     cluster.daemons[0].kill();
-    let response = asked.join().expect("an answer");
-    assert!(!response.streamed_text().1, "a part was closed as whole: {response:?}");
+    let response = caller.join().expect("caller thread panicked");
+    assert!(!response.streamed_text().1, "a truncated stream has a final event: {response:?}");
 }
 
 #[test]
-fn answers_are_not_mixed_when_engines_are_late_and_cut() {
+fn responses_are_not_mixed_up_when_engines_are_slow_or_interrupted() {
     let cluster = Cluster::start(Plan::default());
     cluster.engines[0].control(Control { slow_factor: Some(8.0), ..Control::default() });
     cluster.engines[1].control(Control { interrupted_streams: Some(20), ..Control::default() });
@@ -95,17 +96,16 @@
                 if response.status == 200 && done {
                     assert_eq!(got, text::full_text(&prompt, None));
                 } else {
-                    check_not_whole(&response);
+                    check_incomplete(&response);
                 }
             });
         }
     });
 }
 
-/// A target that answers nothing any more is found out by its load reports, long
-/// before its streams count as cut.
+/// Missing load reports must reveal an unresponsive target long before its streams time out.
 #[test]
-fn requests_move_on_from_a_target_that_freezes() {
+fn requests_move_away_from_an_unresponsive_target() {
     let engine = Config { token_interval: Duration::from_millis(40), ..Config::default() };
     let settings = vec![String::from("targets.idle_ms = 60000")];
     let cluster = Cluster::start(Plan { engine, settings, ..Plan::default() });
@@ -121,10 +121,10 @@
                 })
             })
             .collect();
-        wait_until("all run", || cluster.runs().len() == 12);
+        wait_until("all requests run", || cluster.runs().len() == 12);
         cluster.engines[0].control(Control { frozen: Some(true), ..Control::default() });
         for call in calls {
-            let (prompt, got) = call.join().expect("an answer");
+            let (prompt, got) = call.join().expect("caller thread panicked");
             assert_eq!(got, (text::full_text(&prompt, None), true));
         }
     });
@@ -133,13 +133,13 @@
 }
 
 #[test]
-fn a_resend_reads_what_the_first_caller_saw_end() {
+fn resend_is_replayed_as_soon_as_the_first_stream_has_ended() {
     let cluster = Cluster::start(Plan::default());
     let headers = [("idempotency-key", "seen")];
     let first = chat(cluster.daemons[0].front_address, "seen", &headers, json!({ "stream": true }));
     let (text, done) = first.streamed_text();
     assert!(done);
-    // The closing event followed the durable outcome: no wait is needed here.
+    // The final event follows the durable outcome, so the resend needn't wait.
     let again = chat(cluster.daemons[1].front_address, "seen", &headers, json!({ "stream": true }));
     assert_eq!(again.streamed_text(), (text, true));
     assert_eq!(again.header("gatespool-replayed"), "true");
--- a/crates/daemon/tests/whole_path.rs
+++ b/crates/daemon/tests/whole_path.rs
@@ -1,5 +1,4 @@
-//! The whole path over separate processes: any instance serves, streamed and
-//! not; a job goes in at one instance and is read at another.
+//! End-to-end test over separate processes: requests, streams, jobs and plain calls.
 
 mod util;
 
@@ -9,7 +8,7 @@
 use util::cluster::{Cluster, Plan, items};
 
 #[test]
-fn a_request_is_served_whole_by_any_instance() {
+fn any_instance_serves_a_request() {
     let cluster = Cluster::start(Plan::default());
     let prompt = "condition of the 1998 edition?";
     for daemon in &cluster.daemons {
@@ -22,23 +21,23 @@
 }
 
 #[test]
-fn a_job_is_accepted_here_and_read_there() {
+fn job_results_can_be_read_from_another_instance() {
     let cluster = Cluster::start(Plan::default());
     let accepted = cluster.submit(0, "night-1", &items("describe", 50));
     assert_eq!(accepted.status, 201, "{accepted:?}");
-    let job = accepted.json()["job"].as_str().expect("its id").to_owned();
+    let job = accepted.json()["job"].as_str().expect("job id").to_owned();
     let status = cluster.wait_job(1, &job, "finished");
     assert_eq!(status["done"], 50);
     let results = cluster.results(2, &job);
     assert_eq!(results.len(), 50);
-    for (place, line) in results.iter().enumerate() {
-        assert_eq!(line["item"], place);
-        assert_eq!(line["text"], text::full_text(&format!("describe {place}"), None));
+    for (index, line) in results.iter().enumerate() {
+        assert_eq!(line["item"], index);
+        assert_eq!(line["text"], text::full_text(&format!("describe {index}"), None));
     }
 }
 
 #[test]
-fn a_plain_service_is_routed_to() {
+fn plain_call_reaches_its_service() {
     let cluster = Cluster::start(Plan::default());
     let response = util::client::get(cluster.daemons[1].front_address, "/offers/7");
     assert_eq!(response.status, 200, "{response:?}");
