--- a/crates/standin/examples/standin.rs
+++ b/crates/standin/examples/standin.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own, until it is ended.
+//! Runs one stand-in until the process is killed.
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
 use standin::engine::{Config, Engine};
@@ -16,15 +16,16 @@
 
 fn options() -> OptionParser<Options> {
     let listen = long("listen")
-        .help("IP number and port to listen on")
+        .help("IP address and port to listen on")
         .argument::<SocketAddr>("ADDRESS")
         .fallback(SocketAddr::from(([127, 0, 0, 1], 0)));
-    let slots = long("slots").help("Slots of an engine").argument("N").fallback(8);
-    let token_ms = long("token-ms").help("Milliseconds between tokens").argument("MS").fallback(2);
+    let slots = long("slots").help("Number of engine slots").argument("N").fallback(8);
+    let token_ms =
+        long("token-ms").help("Engine token interval in milliseconds").argument("MS").fallback(2);
     let kind = positional("KIND").help("platform, engine or plain");
     construct!(Options { listen, slots, token_ms, kind })
         .to_options()
-        .descr("One stand-in of an outer system")
+        .descr("Runs a stand-in for an external system")
 }
 
 fn main() -> anyhow::Result<()> {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a model engine: bounded slots, priorities without preemption,
-//! late load reports, a limited prefix cache, resume, orders.
+//! Stand-in for a model engine: bounded slots, priorities without preemption, delayed load reports,
+//! a bounded prefix cache, resumption and orders.
 
 use crate::text;
 use bytes::Bytes;
@@ -24,7 +24,7 @@
 const MAX_BODY_BYTES: usize = 1 << 20;
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A prompt with this in it fails on every engine.
+/// Marker of prompts that fail on every engine.
 pub const POISON: &str = "[poison]";
 
 #[derive(Default)]
@@ -45,7 +45,7 @@
     cache_hits: u64,
 }
 
-/// A model engine.
+/// Handle to a model engine; clones share its state.
 #[derive(Clone)]
 pub struct Engine {
     config: Config,
@@ -53,7 +53,7 @@
 }
 
 impl Engine {
-    /// An engine that runs nothing yet.
+    /// Creates an idle engine.
     pub fn new(config: Config) -> Engine {
         let state = State { version: config.version.clone(), ..State::default() };
         Engine { config, state: Arc::new(Mutex::new(state)) }
@@ -63,44 +63,45 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets faults.
+    /// Sets the faults given in `control`; the others stay.
     pub fn control(&self, control: Control) {
-        let known = &mut self.lock().control;
-        known.leaving = control.leaving.or(known.leaving);
-        known.slow_factor = control.slow_factor.or(known.slow_factor);
-        known.frozen = control.frozen.or(known.frozen);
-        known.interrupted_streams = control.interrupted_streams.or(known.interrupted_streams);
-        known.interrupted_prefix = control.interrupted_prefix.or(known.interrupted_prefix.take());
-        known.failing = control.failing.or(known.failing);
-        known.token_ms = control.token_ms.or(known.token_ms);
+        let current = &mut self.lock().control;
+        current.leaving = control.leaving.or(current.leaving);
+        current.slow_factor = control.slow_factor.or(current.slow_factor);
+        current.frozen = control.frozen.or(current.frozen);
+        current.interrupted_streams = control.interrupted_streams.or(current.interrupted_streams);
+        current.interrupted_prefix =
+            control.interrupted_prefix.or(current.interrupted_prefix.take());
+        current.failing = control.failing.or(current.failing);
+        current.token_ms = control.token_ms.or(current.token_ms);
     }
 
-    /// Everything that got a slot, in order of service.
+    /// Requests that got a slot or failed at once, in that order.
     pub fn runs(&self) -> Vec<Run> {
         self.lock().runs.clone()
     }
 
-    /// Orders carried out, with their fencing numbers.
+    /// Completed orders with their fencing tokens.
     pub fn orders(&self) -> Vec<(u64, Order)> {
         self.lock().orders.clone()
     }
 
-    /// Orders refused for an old fencing number.
+    /// Number of orders rejected because of a stale fencing token.
     pub fn rejected_orders(&self) -> u64 {
         self.lock().rejected_orders
     }
 
-    /// Requests that run now: online and batch.
+    /// Number of running requests: online, batch.
     pub fn running(&self) -> [u32; 2] {
         self.lock().running
     }
 
-    /// Requests whose prefix was cached.
+    /// Number of requests whose prefix was cached.
     pub fn cache_hits(&self) -> u64 {
         self.lock().cache_hits
     }
 
-    /// Model version loaded.
+    /// Loaded model version; empty if none.
     pub fn version(&self) -> String {
         self.lock().version.clone()
     }
@@ -110,8 +111,8 @@
         let now = Instant::now();
         let current = state.current();
         state.reports.push_back((now, current.clone()));
-        let old = |at: Instant| now.saturating_duration_since(at) >= self.config.report_delay;
-        while state.reports.len() > 1 && state.reports.get(1).is_some_and(|(at, _)| old(*at)) {
+        let is_due = |at: Instant| now.saturating_duration_since(at) >= self.config.report_delay;
+        while state.reports.len() > 1 && state.reports.get(1).is_some_and(|(at, _)| is_due(*at)) {
             state.reports.pop_front();
         }
         let mut report = state.reports.front().map_or(current.clone(), |(_, r)| r.clone());
@@ -245,7 +246,7 @@
                 self.sleep(token).await;
             }
             if position == from + 2 && self.take_interruption(prompt) {
-                drop(tx.send(Err(String::from("cut"))).await);
+                drop(tx.send(Err(String::from("interrupted"))).await);
                 return;
             }
             let event = event(&request.model, Some(text::token(prompt, position)), None);
--- a/crates/standin/src/engine/events.rs
+++ b/crates/standin/src/engine/events.rs
@@ -1,11 +1,11 @@
-//! Events of a streamed answer, and the whole answer that they make.
+//! Events of a streamed response, and the unstreamed response that they make up.
 
 use bytes::Bytes;
 use protocol::chat::{self, Chunk, ChunkChoice, Delta};
 use tokio::sync::mpsc;
 use transport::http::{self, Response};
 
-/// One event of a stream.
+/// Encodes one chunk as a server-sent event.
 pub fn event(model: &str, content: Option<String>, finish_reason: Option<&str>) -> Bytes {
     let chunk = Chunk {
         id: String::from("standin"),
@@ -22,7 +22,7 @@
     Bytes::from(format!("data: {data}\n\n"))
 }
 
-/// A stream's events joined to a whole answer.
+/// Collects the events of a stream into one completion.
 pub async fn collect_response(mut body: mpsc::Receiver<Result<Bytes, String>>) -> Response {
     let mut parser = transport::sse::DataParser::default();
     while let Some(Ok(bytes)) = body.recv().await {
--- a/crates/standin/src/engine/slot.rs
+++ b/crates/standin/src/engine/slot.rs
@@ -1,9 +1,8 @@
-//! Slots of an engine, and those who wait for one.
+//! Slots of an engine and the queue for them.
 
 use super::Engine;
 use tokio::sync::oneshot;
 
-/// Who waits for a slot.
 pub(super) struct Waiter {
     pub(super) priority: u8,
     arrival: u64,
@@ -11,7 +10,7 @@
 }
 
 impl Engine {
-    /// Waits for a slot; `None` only when the engine ends. Also when it arrived.
+    /// Waits for a slot; returns it with the arrival number. `None` if the engine is dropped.
     pub(super) async fn acquire_slot(&self, priority: u8) -> Option<(Slot, u64)> {
         let (slot_rx, arrival) = {
             let mut state = self.lock();
@@ -29,8 +28,7 @@
     }
 }
 
-/// A slot in use. Whoever frees it hands it to the first waiter, so that a slot
-/// is never lost with a waiter that went away.
+/// A slot in use. On drop it passes to the first waiter that still waits.
 pub(super) struct Slot {
     engine: Option<Engine>,
     priority: u8,
--- a/crates/standin/src/engine/types.rs
+++ b/crates/standin/src/engine/types.rs
@@ -1,26 +1,26 @@
-//! How an engine behaves, what faults it is given, and what it records.
+//! Configuration, faults and records of an engine.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How an engine behaves.
+/// Configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Requests at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Time until the first token when the prefix isn't cached.
+    /// Time to the first token; a quarter of it if the prefix is cached.
     pub prefill: Duration,
     /// Time between tokens.
     pub token_interval: Duration,
-    /// Age of load reports.
+    /// Age of the load reports that it sends.
     pub report_delay: Duration,
-    /// Prefixes kept.
+    /// Number of cached prefixes.
     pub prefix_cache_size: usize,
-    /// Whether old fencing numbers are refused.
+    /// Whether orders with a stale fencing token are rejected.
     pub checks_fencing_token: bool,
-    /// Time that an order takes.
+    /// Time to carry out an order.
     pub order_duration: Duration,
-    /// Model version at the start.
+    /// Model version loaded at the start.
     pub version: String,
 }
 
@@ -39,58 +39,58 @@
     }
 }
 
-/// Faults, set by the control call; fields left out stay as they are.
+/// Body of the control call; absent fields leave their fault unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// New work is refused with the word that the engine is leaving.
+    /// Rejects new requests as a leaving target.
     #[serde(default)]
     pub leaving: Option<bool>,
-    /// Every answer takes this many times as long.
+    /// Factor on all delays.
     #[serde(default)]
     #[serde(rename = "slow")]
     pub slow_factor: Option<f64>,
-    /// Nothing moves.
+    /// Stops all progress.
     #[serde(default)]
     pub frozen: Option<bool>,
-    /// This many streams break off after two tokens.
+    /// Number of streams to interrupt after two tokens.
     #[serde(default)]
     #[serde(rename = "cut")]
     pub interrupted_streams: Option<u32>,
-    /// Only streams whose prompt starts so break off.
+    /// Interrupts only streams whose prompt has this prefix.
     #[serde(default)]
     #[serde(rename = "cut_prefix")]
     pub interrupted_prefix: Option<String>,
-    /// Every request fails.
+    /// Fails every request.
     #[serde(default)]
     pub failing: Option<bool>,
-    /// Time between tokens, in milliseconds.
+    /// Time between tokens, in milliseconds; overrides [`Config::token_interval`].
     #[serde(default)]
     pub token_ms: Option<u64>,
 }
 
-/// One request that reached the engine.
+/// Record of a request that got a slot, or failed at once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// When it arrived, on a counter of arrivals and starts here.
+    /// Arrival, on a counter that arrivals and starts share; 0 if it failed at once.
     #[serde(rename = "arrived")]
     pub arrival_seq: u64,
-    /// When it got a slot, on the same counter.
+    /// Start, on the same counter.
     #[serde(rename = "started")]
     pub start_seq: u64,
-    /// Time between the two, in microseconds; for measurements.
+    /// Time between arrival and start, in microseconds.
     pub waited_us: u64,
-    /// Attempt id.
+    /// Attempt id; empty if the header is absent.
     pub attempt: String,
-    /// Key.
+    /// Idempotency key; empty if the header is absent.
     pub key: String,
-    /// Prompt.
+    /// Text of all messages.
     pub prompt: String,
-    /// 0 is online, 1 is batch.
+    /// 0 for online, 1 for batch.
     pub priority: u8,
-    /// Tokens generated.
+    /// Number of tokens sent.
     pub tokens: u32,
-    /// Whether the answer was given whole.
+    /// Whether all tokens were sent.
     #[serde(rename = "whole")]
     pub is_complete: bool,
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,8 @@
-//! Stand-ins of the outer systems, for tests and trials: the platform, a model
-//! engine, a plain service.
+//! Stand-ins for external systems, for tests and trials: the platform, model engines and a plain
+//! service.
 //!
-//! They are small on purpose. Each keeps its own record of what it was asked
-//! and what it ran; proofs judge by these records, never by a daemon's counts.
-//! None of this is a simulator of a cluster.
+//! Each records the requests that it received and ran. Tests rely on these records rather than on
+//! a daemon's own counters.
 
 pub mod engine;
 pub mod objects;
--- a/crates/standin/src/objects.rs
+++ b/crates/standin/src/objects.rs
@@ -1,5 +1,4 @@
-//! Stand-in of the users' platform: an object store with revisions, conditional
-//! writes and watches, in the form that the platform's pages give.
+//! Stand-in for the platform's object store: revisions, conditional writes and watches.
 
 mod faults;
 
@@ -17,11 +16,10 @@
 
 const MAX_BODY_BYTES: usize = 8 << 20;
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longer than any test waits.
+/// Longer than any test runs.
 const HANG_TIME: Duration = Duration::from_secs(3_600);
-/// Most objects of one page of a list.
 const MAX_PAGE_OBJECTS: usize = 500;
-/// Most bytes of one page, and of one half of an object.
+/// Also the limit of each half (spec, status) of an object.
 const MAX_PAGE_BYTES: usize = 1 << 20;
 
 #[derive(Clone)]
@@ -42,26 +40,26 @@
     revision: u64,
     faults: Faults,
     counts: Counts,
-    /// What reads show, if that isn't the present state.
+    /// Objects that reads return while they are stale.
     stale_objects: Option<BTreeMap<Key, Value>>,
     snapshot: BTreeMap<Key, Value>,
     bucket: Option<TokenBucket>,
-    /// Most bytes of one half of an object; 0 for [`PAGE_BYTES`].
+    /// Limit of spec and of status; 0 for [`MAX_PAGE_BYTES`].
     max_half_bytes: usize,
-    /// Most objects of one page; 0 for [`PAGE`].
+    /// Objects per page; 0 for [`MAX_PAGE_OBJECTS`].
     page_size: usize,
-    /// How often the watches under way were stranded.
+    /// Watches of an earlier epoch hang.
     watch_epoch: u64,
 }
 
 impl State {
-    /// The objects that reads show.
+    /// Objects that reads return.
     fn visible_objects(&self) -> &BTreeMap<Key, Value> {
         self.stale_objects.as_ref().unwrap_or(&self.objects)
     }
 }
 
-/// The store.
+/// Handle to an object store; clones share its state.
 #[derive(Clone, Default)]
 pub struct Objects {
     state: Arc<Mutex<State>>,
@@ -73,24 +71,24 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls so far.
+    /// Calls counted since the start.
     pub fn counts(&self) -> Counts {
         self.lock().counts
     }
 
-    /// An object, as the store shows it.
+    /// Current object, also while reads are stale.
     pub fn get(&self, kind: &str, name: &str) -> Option<Value> {
         self.lock().objects.get(&(kind.to_owned(), name.to_owned())).cloned()
     }
 
-    /// All objects of a kind.
+    /// Current objects of `kind`, by name.
     pub fn objects_of_kind(&self, kind: &str) -> Vec<Value> {
         let state = self.lock();
         let of_kind = state.objects.iter().filter(|((k, _), _)| k == kind);
         of_kind.map(|(_, object)| object.clone()).collect()
     }
 
-    /// Writes a spec, as an operator or a target does.
+    /// Creates an object or replaces its spec, without conditions or faults.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         let mut state = self.lock();
         let key = (kind.to_owned(), name.to_owned());
@@ -100,7 +98,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Removes an object, as a target does that has left.
+    /// Deletes an object if it exists, without conditions or faults.
     pub fn remove(&self, kind: &str, name: &str) {
         let mut state = self.lock();
         if let Some(object) = state.objects.remove(&(kind.to_owned(), name.to_owned())) {
@@ -147,7 +145,7 @@
             {
                 let state = self.lock();
                 if state.faults.unavailable {
-                    return http::json(503, &json!({})); // A store that goes cuts its watches.
+                    return http::json(503, &json!({})); // An outage ends open watches.
                 }
                 if from < state.compacted_revision {
                     return http::json(410, &json!({}));
@@ -159,7 +157,7 @@
                 let show = |c: &Change| json!({ "removed": c.removed, "object": c.object.clone() });
                 let events: Vec<Value> = state.history.iter().filter(fits).map(show).collect();
                 if !events.is_empty() || tokio::time::Instant::now() >= until {
-                    // Who hears nothing goes on from where it was.
+                    // Without events the watch must not advance.
                     let as_of = if has_no_events { from } else { state.revision };
                     return http::json(200, &json!({ "events": events, "as_of": as_of }));
                 }
@@ -210,10 +208,10 @@
             None => body["meta"]["name"].as_str().unwrap_or_default().to_owned(),
         };
         let key = (kind, name);
-        let known = state.objects.get(&key).cloned();
+        let existing = state.objects.get(&key).cloned();
         let expected = query_rev.or(body["meta"]["rev"].as_u64());
         let response = if *method == Method::POST {
-            match known {
+            match existing {
                 Some(object) => {
                     state.counts.conflicts += 1;
                     http::json(409, &object)
@@ -224,7 +222,7 @@
                 }
             }
         } else {
-            let Some(object) = known else {
+            let Some(object) = existing else {
                 return http::json(404, &json!({}));
             };
             if expected.is_some_and(|rev| object["meta"]["rev"] != rev) {
@@ -272,11 +270,11 @@
 }
 
 fn write_object(state: &mut State, key: Key, spec: Value, status: Value) -> Value {
-    if let Some(known) = state.objects.get(&key)
-        && known["spec"] == spec
-        && known["status"] == status
+    if let Some(existing) = state.objects.get(&key)
+        && existing["spec"] == spec
+        && existing["status"] == status
     {
-        return known.clone(); // A write that changes nothing raises no revision.
+        return existing.clone(); // A write without a change keeps the revision.
     }
     let created = state.objects.get(&key).map(|object| object["meta"]["created"].clone());
     state.revision += 1;
@@ -302,7 +300,6 @@
     state.history.push_back(Change { revision, kind, object, removed });
 }
 
-/// What becomes of a write.
 enum WriteFault {
     None,
     ReplyLost,
@@ -333,7 +330,7 @@
                 http::json(503, &json!({}))
             }
             WriteFault::Delayed(by) => {
-                // Done even if the caller has hung up by then.
+                // The write takes effect even if the caller disconnects.
                 let objects = self.clone();
                 let task = async move {
                     tokio::time::sleep(by).await;
--- a/crates/standin/src/objects/faults.rs
+++ b/crates/standin/src/objects/faults.rs
@@ -1,4 +1,4 @@
-//! How tests make the store misbehave, and what it counts.
+//! Injected faults and call counts of the object store.
 
 use super::Objects;
 use coordination::limit::TokenBucket;
@@ -6,113 +6,113 @@
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// How the store misbehaves.
+/// Injected faults; none by default.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Every call gets 503 and nothing is done.
+    /// Every call fails with 503 and has no effect.
     pub unavailable: bool,
-    /// No call gets an answer and nothing is done.
+    /// No call gets a response or has an effect.
     pub unresponsive: bool,
-    /// Answers of this many writes are lost, the writes are done.
+    /// Number of writes that take effect without a response.
     pub lost_replies: u32,
-    /// Only writes to this kind are lost.
+    /// Restricts `lost_replies` to writes of this kind.
     pub lost_replies_kind: Option<String>,
-    /// Watches bring nothing.
+    /// Watches return no events.
     pub no_watch_events: bool,
-    /// This many writes are done after `late_by`, their answers are lost.
+    /// Number of writes that take effect after `write_delay`, without a response.
     pub delayed_writes: u32,
-    /// See `late`.
+    /// Delay of the `delayed_writes`.
     pub write_delay: Duration,
-    /// Delay of every answer.
+    /// Delay of every call before it takes effect.
     pub latency: Duration,
 }
 
-/// Calls counted.
+/// Calls counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Reads of one object.
     pub reads: u64,
-    /// Reads of one object that may be old, which cost a tenth.
+    /// Reads of one object that accept stale data.
     pub stale_reads: u64,
-    /// Pages of lists.
+    /// List pages.
     pub lists: u64,
     /// Watches.
     pub watches: u64,
-    /// Writes, deletions among them.
+    /// Writes, including deletions and rejected ones.
     pub writes: u64,
-    /// Writes refused by their condition.
+    /// Writes rejected by their condition.
     pub conflicts: u64,
-    /// Writes refused for the rate.
+    /// Writes rejected by the rate limit.
     #[serde(rename = "limited")]
     pub rate_limited: u64,
-    /// Bytes written.
+    /// Body bytes of writes within the rate and size limits.
     #[serde(rename = "bytes")]
     pub written_bytes: u64,
-    /// Most bytes of one write.
+    /// Largest body of such a write, in bytes.
     #[serde(rename = "largest")]
     pub largest_write_bytes: u64,
 }
 
 impl Objects {
-    /// Changes the faults.
+    /// Changes some faults in place.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.lock().faults);
         self.changed.notify_waiters();
     }
 
-    /// Sets the faults from now on.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
         self.changed.notify_waiters();
     }
 
-    /// The watches under way are never answered; later ones are.
+    /// Makes the open watches hang; later ones work.
     pub fn hang_watches(&self) {
         self.lock().watch_epoch += 1;
         self.changed.notify_waiters();
     }
 
-    /// From now on reads show this moment, and watches bring nothing; writes go on.
+    /// While set, reads return the objects of this moment and watches no events; writes work.
     pub fn set_stale_reads(&self, is_stale: bool) {
         let mut state = self.lock();
         state.stale_objects = is_stale.then(|| state.objects.clone());
     }
 
-    /// Keeps a copy of all objects.
+    /// Saves a copy of all objects for [`Objects::restore_snapshot`].
     pub fn save_snapshot(&self) {
         let mut state = self.lock();
         state.snapshot = state.objects.clone();
     }
 
-    /// Puts the copy back, as a restored replica would.
+    /// Replaces all objects by the saved copy; revisions continue.
     pub fn restore_snapshot(&self) {
         let mut state = self.lock();
         state.objects = state.snapshot.clone();
     }
 
-    /// Shows one object as it was, as a stale copy of a list would.
+    /// Replaces one object without a new revision or watch event.
     pub fn insert_stale(&self, kind: &str, object: Value) {
         let name = object["meta"]["name"].as_str().unwrap_or_default().to_owned();
         self.lock().objects.insert((kind.to_owned(), name), object);
     }
 
-    /// Most bytes of one half of an object; longer writes are refused.
+    /// Sets the limit of spec and of status, in bytes; larger writes are rejected.
     pub fn set_max_half_bytes(&self, bytes: usize) {
         self.lock().max_half_bytes = bytes;
     }
 
-    /// Most objects of one page of a list.
+    /// Sets the number of objects per list page.
     pub fn set_page_size(&self, objects: usize) {
         self.lock().page_size = objects;
     }
 
-    /// Writes a second; more are refused.
+    /// Sets the rate limit; writes above it are rejected.
     pub fn set_write_rate(&self, writes_per_second: f64) {
         let bucket = TokenBucket::new(writes_per_second, writes_per_second, Instant::now());
         self.lock().bucket = Some(bucket);
     }
 
-    /// Drops the history: watches from before get 410.
+    /// Drops the history; watches from an earlier revision get 410.
     pub fn compact_history(&self) {
         let mut state = self.lock();
         state.compacted_revision = state.revision;
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service that stands beside the engines.
+//! Stand-in for a service with the plain protocol.
 
 use hyper::Method;
 use protocol::{Error, Kind, header};
@@ -11,17 +11,17 @@
 const MAX_BODY_BYTES: usize = 1 << 20;
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One call that reached the service.
+/// Record of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// Path.
+    /// Request path.
     pub path: String,
-    /// Key.
+    /// Idempotency key; empty if the header is absent.
     #[serde(rename = "key")]
     pub idempotency_key: String,
-    /// Body.
+    /// Body, with invalid UTF-8 replaced.
     pub body: String,
 }
 
@@ -32,7 +32,7 @@
     delay: Duration,
 }
 
-/// A plain service: it answers with what it was sent and how often it was called.
+/// A service that returns path, body and the number of calls so far; clones share its state.
 #[derive(Clone, Default)]
 pub struct PlainService {
     state: Arc<Mutex<State>>,
@@ -43,17 +43,17 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Every call that was taken in.
+    /// All calls, in order of arrival.
     pub fn calls(&self) -> Vec<Call> {
         self.lock().calls.clone()
     }
 
-    /// The next `calls` answers are lost after the call took effect.
+    /// Makes the next `calls` calls take effect but return an error.
     pub fn lose_replies(&self, calls: u32) {
         self.lock().lost_replies = calls;
     }
 
-    /// Each call takes this long.
+    /// Sets the duration of each call.
     pub fn set_delay(&self, delay: Duration) {
         self.lock().delay = delay;
     }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,5 +1,4 @@
-//! Stand-in of the platform for the product's own interface: the object store
-//! with a control call, so that a trace can bring faults about over HTTP.
+//! Stand-in for the platform: the object store with a control call for injecting faults over HTTP.
 
 use crate::objects::{Counts, Objects};
 use bytes::Bytes;
@@ -15,11 +14,11 @@
 const MAX_BODY_BYTES: usize = 64 << 10;
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Faults and rates, set by the control call; fields left out stay as they are.
+/// Body of the control call; absent fields leave their fault unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// Every call fails.
+    /// Fails every call.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "down")]
     pub unavailable: Option<bool>,
@@ -27,48 +26,48 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "slow_ms")]
     pub latency_ms: Option<u64>,
-    /// Watches bring nothing.
+    /// Watches return no events.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "deaf")]
     pub no_watch_events: Option<bool>,
-    /// Reads and lists show the state of this moment, writes go on.
+    /// Freezes what reads and lists return; writes work.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "stale")]
     pub stale_reads: Option<bool>,
-    /// Answers of this many writes are lost after they took effect.
+    /// Number of writes that take effect without a response.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "lose")]
     pub lost_replies: Option<u32>,
-    /// Only writes are lost whose keys start so, a whole first segment.
+    /// Restricts `lost_replies` to keys with this prefix; only its first segment counts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "lose_prefix")]
     pub lost_replies_prefix: Option<String>,
-    /// Keeps a copy of all objects.
+    /// Saves a copy of all objects.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "save")]
     pub save_snapshot: Option<bool>,
-    /// Puts the copy back, as a restored replica would.
+    /// Restores the saved copy.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "restore")]
     pub restore_snapshot: Option<bool>,
-    /// Writes a second; more are refused.
+    /// Rate limit; writes above it are rejected.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub writes_per_second: Option<f64>,
 }
 
-/// The platform.
+/// Handle to a platform; clones share its state.
 #[derive(Clone, Default)]
 pub struct Platform {
     objects: Objects,
 }
 
 impl Platform {
-    /// The store itself.
+    /// Its object store.
     pub fn objects(&self) -> &Objects {
         &self.objects
     }
 
-    /// Sets faults and rates.
+    /// Applies `control`.
     pub fn control(&self, control: Control) {
         self.objects.change_faults(|faults| {
             faults.unavailable = control.unavailable.unwrap_or(faults.unavailable);
@@ -98,7 +97,7 @@
         self.objects.counts()
     }
 
-    /// Keys below `prefix`.
+    /// Keys that start with `prefix`, which must contain the full first segment.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let (kind, _) = key_value::object_of_key(prefix);
         let names = self.objects.objects_of_kind(&kind).into_iter();
@@ -108,13 +107,13 @@
         keys.filter(|key| key.starts_with(prefix)).collect()
     }
 
-    /// Value of a key.
+    /// Decoded value of a key; `None` if it is absent or undecodable.
     pub fn value(&self, key: &str) -> Option<Bytes> {
         let (kind, name) = key_value::object_of_key(key);
         key_value::decode(&self.objects.get(&kind, &name)?["spec"].to_string()).ok()
     }
 
-    /// A target's own entry, as it writes it.
+    /// Writes the registry entry of a target, as the target itself does.
     pub fn put_target(&self, name: &str, address: SocketAddr, is_leaving: bool) {
         let state = if is_leaving { "draining" } else { "ready" };
         let entry: Value = json!({
--- a/crates/standin/src/runner.rs
+++ b/crates/standin/src/runner.rs
@@ -1,6 +1,5 @@
-//! Stand-in of an engine as the users' platform runs them: it admits requests in
-//! the order in which they arrive, streams numbered events, resumes them, and
-//! says when it did not run a request.
+//! Stand-in for an engine run by the platform: admits requests in order of arrival, streams
+//! numbered events, resumes streams, and marks requests that it did not run.
 
 use crate::serve::Process;
 use bytes::Bytes;
@@ -13,29 +12,28 @@
 const MAX_BODY_BYTES: usize = 8 << 20;
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 const HANG_TIME: Duration = Duration::from_secs(3_600);
-/// Headers of the platform that a runner reads or sets.
 const REQUEST_ID: &str = "x-gatespool-request-id";
 const DEADLINE_MS: &str = "x-gatespool-deadline-ms";
 const EXPECTED_TARGET: &str = "x-gatespool-expect-instance";
 const NOT_RUN: &str = "x-gatespool-not-run";
 const SERVER_STAMP: &str = "x-gatespool-server-stamp";
 
-/// What a runner is like.
+/// Configuration of a runner.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its id.
+    /// Target name.
     pub id: String,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: usize,
-    /// Requests that may wait besides.
+    /// Maximum number of waiting requests; more are rejected.
     pub queue_size: usize,
-    /// Time to the first event.
+    /// Time from getting a slot to the response.
     pub first_event_delay: Duration,
     /// Time between events.
     pub event_interval: Duration,
-    /// Events of one answer.
+    /// Number of events per response.
     pub event_count: u64,
-    /// Time until it is back after a crash.
+    /// Time from a crash to the restart.
     pub restart_delay: Duration,
 }
 
@@ -53,35 +51,35 @@
     }
 }
 
-/// How a runner misbehaves.
+/// Injected faults; none by default.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// This many requests are run and break off inside an event.
+    /// Number of responses to truncate inside an event.
     pub interrupted: u32,
-    /// This many requests are run and answered under another id.
+    /// Number of responses to send with the id of another request.
     pub wrong_id: u32,
-    /// Requests are taken and never answered.
+    /// Accepts requests without responding.
     pub unresponsive: bool,
-    /// Every request is turned away as not run.
+    /// Rejects every request as not run.
     pub rejects_all: bool,
 }
 
-/// One run, from the runner's own record.
+/// Record of a run.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Id of the request.
+    /// Request id.
     pub id: String,
-    /// Path of the request.
+    /// Request path.
     pub path: String,
-    /// The event after which it went on.
+    /// Event after which it resumed; `None` for a new stream.
     pub last_event_id: Option<u64>,
-    /// Time that its sender said was left.
+    /// Remaining time, as the sender stated it.
     pub remaining: Option<Duration>,
-    /// When it arrived.
+    /// Arrival, when it was queued.
     pub arrived: Instant,
-    /// When its first token was due: how long it waited is the difference.
+    /// When it got a slot.
     pub started: Instant,
-    /// Whether it came to its end.
+    /// Whether all events were sent.
     pub is_complete: bool,
 }
 
@@ -95,7 +93,7 @@
     event_count: Option<u64>,
 }
 
-/// The runner.
+/// Handle to a runner; clones share its state.
 #[derive(Clone)]
 pub struct Runner {
     config: Config,
@@ -106,7 +104,7 @@
 }
 
 impl Runner {
-    /// An idle runner.
+    /// Creates an idle runner.
     pub fn new(config: Config) -> Runner {
         Runner {
             slots: Arc::new(Semaphore::new(config.slots)),
@@ -121,42 +119,42 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the faults from now on.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// Requests with this id fail with `status` each time they run.
+    /// Makes requests with this id fail with `status`.
     pub fn fail_id(&self, id: &str, status: u16) {
         self.lock().failing_ids.insert(id.to_owned(), status);
     }
 
-    /// Requests whose id ends so fail with `status` each time they run.
+    /// Makes requests whose id has this suffix fail with `status`.
     pub fn fail_suffix(&self, suffix: &str, status: u16) {
         self.lock().failing_suffix = Some((suffix.to_owned(), status));
     }
 
-    /// Requests whose path begins so crash the runner once it has begun to run them.
+    /// Makes requests whose path has this prefix crash the runner while they run.
     pub fn crash_on_path(&self, prefix: &str) {
         self.lock().crash_path = Some(prefix.to_owned());
     }
 
-    /// How its process crashes and starts again.
+    /// Its process, for [`crate::serve::start_process`] and for crashing it.
     pub fn process(&self) -> Process {
         self.process.clone()
     }
 
-    /// From now on, answers have this many events.
+    /// Overrides [`Config::event_count`].
     pub fn set_event_count(&self, event_count: u64) {
         self.lock().event_count = Some(event_count);
     }
 
-    /// What it ran.
+    /// Requests that got a slot, in that order.
     pub fn runs(&self) -> Vec<Run> {
         self.lock().runs.clone()
     }
 
-    /// The data of all events of an answer to `id`, in order.
+    /// Joined data of all events of the response to `id`.
     pub fn text(id: &str, event_count: u64) -> String {
         let data: Vec<String> = (1..=event_count).map(|n| format!("{id}-{n}")).collect();
         data.join("\n")
@@ -255,7 +253,7 @@
             if is_interrupted && n >= from + 2 {
                 let half = Bytes::from(event.as_bytes()[..event.len() / 2].to_vec());
                 let _closed = sender.send(Ok(half)).await;
-                let _closed = sender.send(Err(String::from("cut"))).await;
+                let _closed = sender.send(Err(String::from("interrupted"))).await;
                 return;
             }
             tokio::select! {
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in on a thread of its own.
+//! Serves a stand-in on its own thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,23 +10,23 @@
 use tokio_util::sync::CancellationToken;
 use transport::http::{self, Service};
 
-/// A stand-in that runs; it ends when this is dropped.
+/// A running stand-in; dropping it stops the stand-in.
 #[derive(Debug)]
 pub struct Server {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     stop: CancellationToken,
     thread: Option<JoinHandle<()>>,
 }
 
-/// How a stand-in's process ends and starts again.
+/// Simulated process of a stand-in, which can crash and restart.
 #[derive(Clone, Debug)]
 pub struct Process {
-    /// Ends the process: all its connections close, and its port refuses new ones.
+    /// Crashes the process: closes its connections and its port until the restart.
     pub crash: Arc<Notify>,
-    /// Time until it starts again.
+    /// Time from a crash to the restart.
     pub restart_delay: Duration,
-    /// How often it has started.
+    /// Number of starts.
     pub starts: Arc<AtomicU64>,
 }
 
@@ -40,20 +40,20 @@
     }
 }
 
-/// Starts `service` at `address` (port 0 takes a free one).
+/// Serves `service` at `address`; port 0 selects a free one.
 ///
 /// # Errors
 ///
-/// When the address can't be bound.
+/// Fails if the address can't be bound.
 pub fn start<S: Service>(address: SocketAddr, service: S) -> std::io::Result<Server> {
     start_process(address, service, Process::default())
 }
 
-/// The same, with a process that may crash.
+/// Like [`start`], with a process that can crash.
 ///
 /// # Errors
 ///
-/// When the address can't be bound.
+/// Fails if the address can't be bound.
 pub fn start_process<S: Service>(
     address: SocketAddr,
     service: S,
@@ -65,7 +65,7 @@
     let thread = std::thread::spawn(move || {
         let mut address = address;
         while !token.is_cancelled() {
-            // Each life has a runtime of its own: as it is dropped, its sockets close.
+            // Dropping the runtime of a crashed process closes its sockets.
             let Some(bound) =
                 serve_until_exit(address, service.clone(), &process, &token, &address_tx)
             else {
@@ -75,12 +75,12 @@
             wait_for_restart(process.restart_delay, &token);
         }
     });
-    let ended = || std::io::Error::other("the stand-in's thread ended");
+    let ended = || std::io::Error::other("stand-in thread ended before it listened");
     let address = address_rx.recv().map_err(|_| ended())??;
     Ok(Server { address, stop, thread: Some(thread) })
 }
 
-/// Serves until a crash or the stop; gives the address that it was bound to.
+/// Serves until a crash or the stop; returns the bound address, or `None` if it could not listen.
 fn serve_until_exit<S: Service>(
     address: SocketAddr,
     service: S,
@@ -98,7 +98,7 @@
             }
             Ok((listener, address)) => {
                 process.starts.fetch_add(1, Ordering::Relaxed);
-                // Nobody listens any more after the first life.
+                // After the first start nobody receives the address.
                 drop(address_tx.send(Ok(address)));
                 tokio::select! {
                     () = http::serve(listener, service, CancellationToken::new()) => {}
@@ -111,7 +111,7 @@
     })
 }
 
-/// Waits until the process starts again or the stand-in is dropped.
+/// Waits until the restart is due or the stand-in is stopped.
 fn wait_for_restart(restart_delay: Duration, stop: &CancellationToken) {
     const POLL_INTERVAL: Duration = Duration::from_millis(5);
     let until = std::time::Instant::now() + restart_delay;
@@ -124,7 +124,7 @@
     fn drop(&mut self) {
         self.stop.cancel();
         if let Some(thread) = self.thread.take() {
-            // A panic of the stand-in has been printed by its own thread.
+            // The panic hook has already reported a panic of the thread.
             drop(thread.join());
         }
     }
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -1,5 +1,5 @@
-//! The text that a stand-in engine generates: a function of prompt and place,
-//! so that any engine continues any other's answer and a judge can compare.
+//! Generated text: a function of prompt and token position, so that any engine can resume the
+//! response of another and a test can compute the expected text.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -9,7 +9,7 @@
 const MIN_TOKENS: u32 = 8;
 const TOKEN_COUNT_RANGE: u64 = 8;
 
-/// Token `place` of the answer to `prompt`.
+/// Token `position` of the response to `prompt`.
 pub fn token(prompt: &str, position: u32) -> String {
     let hash = xxh3_64_with_seed(prompt.as_bytes(), u64::from(position));
     let first = SYLLABLES[(hash % 16) as usize];
@@ -17,12 +17,12 @@
     format!("{first}{second} ")
 }
 
-/// How many tokens the answer to `prompt` has when nothing limits it.
+/// Number of tokens of the response to `prompt` without a limit.
 pub fn token_count(prompt: &str) -> u32 {
     MIN_TOKENS + (xxh3_64_with_seed(prompt.as_bytes(), u64::MAX) % TOKEN_COUNT_RANGE) as u32
 }
 
-/// The whole answer to `prompt` with at most `most` tokens.
+/// Response to `prompt`, with `max_tokens` tokens if given.
 pub fn full_text(prompt: &str, max_tokens: Option<u32>) -> String {
     let tokens = max_tokens.unwrap_or_else(|| token_count(prompt));
     (0..tokens).map(|position| token(prompt, position)).collect()
