--- a/crates/daemon/tests/gateway_batch.rs
+++ b/crates/daemon/tests/gateway_batch.rs
@@ -56,12 +56,8 @@
 #[test]
 fn late_platform_write_is_consistent_with_the_response() {
     let fleet = Fleet::start(Plan::default());
-    let late_by = Duration::from_millis(1_500);
-    fleet.objects.set_faults(Faults {
-        delayed_writes: 1,
-        write_delay: late_by,
-        ..Faults::default()
-    });
+    let write_delay = Duration::from_millis(1_500);
+    fleet.objects.set_faults(Faults { delayed_writes: 1, write_delay, ..Faults::default() });
     let response = fleet.submit(0, "late", &["a"]);
     std::thread::sleep(Duration::from_millis(2_000));
     match response.status {
--- a/crates/daemon/tests/gateway_holders.rs
+++ b/crates/daemon/tests/gateway_holders.rs
@@ -66,8 +66,8 @@
         fleet.gateways[n].kill();
     }
     fleet.objects.set_page_size(1);
-    let slow = Duration::from_millis(150);
-    fleet.objects.set_faults(Faults { latency: slow, ..Faults::default() });
+    let latency = Duration::from_millis(150);
+    fleet.objects.set_faults(Faults { latency, ..Faults::default() });
     for n in 0..3 {
         fleet.restart(n);
     }
@@ -141,12 +141,8 @@
 #[test]
 fn holder_retries_to_read_its_job() {
     let (fleet, proxies) = Fleet::start_with_platform_proxies(Plan::default());
-    let late_by = Duration::from_millis(300);
-    fleet.objects.set_faults(Faults {
-        delayed_writes: 1,
-        write_delay: late_by,
-        ..Faults::default()
-    });
+    let write_delay = Duration::from_millis(300);
+    fleet.objects.set_faults(Faults { delayed_writes: 1, write_delay, ..Faults::default() });
     std::thread::scope(|scope| {
         let first = scope.spawn(|| fleet.submit(0, "lying", &["a"]).status);
         std::thread::sleep(Duration::from_millis(150));
@@ -166,12 +162,8 @@
 #[test]
 fn notification_of_an_unreachable_holder_is_retried() {
     let fleet = Fleet::start(Plan::default());
-    let late_by = Duration::from_millis(300);
-    fleet.objects.set_faults(Faults {
-        delayed_writes: 1,
-        write_delay: late_by,
-        ..Faults::default()
-    });
+    let write_delay = Duration::from_millis(300);
+    fleet.objects.set_faults(Faults { delayed_writes: 1, write_delay, ..Faults::default() });
     let peers: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.peer_address).collect();
     let isolate_from = |addresses: &[std::net::SocketAddr]| {
         fleet.gateways[1..].iter().for_each(|gateway| gateway.set_unreachable(addresses));
--- a/crates/daemon/tests/gateway_online.rs
+++ b/crates/daemon/tests/gateway_online.rs
@@ -93,8 +93,8 @@
 #[test]
 fn request_that_may_have_run_is_not_rejected() {
     let fleet = Fleet::start(Plan { max_attempts: 3, ..Plan::default() });
-    let foreign = Faults { wrong_id: 1, rejects_all: false, ..Faults::default() };
-    fleet.runners[0].set_faults(foreign);
+    let wrong_id = Faults { wrong_id: 1, rejects_all: false, ..Faults::default() };
+    fleet.runners[0].set_faults(wrong_id);
     fleet.runners[1].set_faults(Faults { rejects_all: true, ..Faults::default() });
     // The first target runs it and responds under another id; the second rejects it.
     let response = fleet.send(0, "/talk/denied", "denied");
--- a/crates/daemon/tests/soak/faults.rs
+++ b/crates/daemon/tests/soak/faults.rs
@@ -26,8 +26,8 @@
     PeerPartition(usize, Duration),
     /// Faults of the platform itself.
     PlatformFaults(objects::Faults, Duration),
-    /// The platform drops its change history.
-    ForgetHistory,
+    /// The platform compacts its change history.
+    CompactHistory,
     /// Faults of a runner itself.
     RunnerFaults(usize, runner::Faults, Duration),
     /// A runner reports that it is draining, and is ready again after the duration.
@@ -98,7 +98,7 @@
             11..14 => Fault::RunnerConnection(runner, random_mode(rng), period),
             14..16 => Fault::PeerPartition(gateway, period),
             16..19 => Fault::PlatformFaults(random_platform_faults(rng), period),
-            19 => Fault::ForgetHistory,
+            19 => Fault::CompactHistory,
             20..22 => Fault::RunnerFaults(runner, random_runner_faults(rng), period),
             22 => Fault::Drain(runner, period),
             _ => Fault::Configure,
--- a/crates/daemon/tests/soak/main.rs
+++ b/crates/daemon/tests/soak/main.rs
@@ -2,7 +2,7 @@
 //!
 //! A seed determines the schedule of faults: processes are killed, stopped, frozen and
 //! restarted; loopback proxies delay, reset or stall connections; the platform is unavailable,
-//! slow, drops its history or loses responses; runners interrupt streams, respond under another
+//! slow, compacts its history or loses responses; runners interrupt streams, respond under another
 //! id or not at all. Meanwhile callers send requests, and `check.rs` checks the observations of
 //! callers and runners against the guarantees of the system.
 //!
--- a/crates/daemon/tests/soak/scenario.rs
+++ b/crates/daemon/tests/soak/scenario.rs
@@ -217,7 +217,7 @@
                 self.fleet.objects.set_faults(faults);
                 self.undo_after(period, Undo::PlatformFaults);
             }
-            Fault::ForgetHistory => self.fleet.objects.compact_history(),
+            Fault::CompactHistory => self.fleet.objects.compact_history(),
             Fault::RunnerFaults(n, faults, period) => {
                 self.fleet.runners[n].set_faults(faults);
                 self.undo_after(period, Undo::RunnerFaults(n));
