--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -122,16 +122,21 @@
         report
     }
 
+    /// Token interval, factor on delays, whether progress is stopped.
     fn timing(&self) -> (Duration, f64, bool) {
         let state = self.lock();
-        let token =
+        let token_interval =
             state.control.token_ms.map_or(self.config.token_interval, Duration::from_millis);
-        (token, state.control.slow_factor.unwrap_or(1.0), state.control.frozen == Some(true))
+        (
+            token_interval,
+            state.control.slow_factor.unwrap_or(1.0),
+            state.control.frozen == Some(true),
+        )
     }
 
     async fn sleep(&self, time: Duration) {
-        let (_, slow, _) = self.timing();
-        tokio::time::sleep(time.mul_f64(slow)).await;
+        let (_, slow_factor, _) = self.timing();
+        tokio::time::sleep(time.mul_f64(slow_factor)).await;
         while self.timing().2 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -140,16 +145,16 @@
     fn prefill(&self, prompt: &str) -> Duration {
         let hash = coordination::route::prefix("", prompt);
         let mut state = self.lock();
-        let known = state.prefixes.iter().position(|p| *p == hash);
-        if let Some(position) = known {
+        let cached = state.prefixes.iter().position(|p| *p == hash);
+        if let Some(position) = cached {
             state.prefixes.remove(position);
         }
         state.prefixes.push_back(hash);
         if state.prefixes.len() > self.config.prefix_cache_size {
             state.prefixes.pop_front();
         }
-        state.cache_hits += u64::from(known.is_some());
-        if known.is_some() { self.config.prefill / 4 } else { self.config.prefill }
+        state.cache_hits += u64::from(cached.is_some());
+        if cached.is_some() { self.config.prefill / 4 } else { self.config.prefill }
     }
 
     async fn chat<B: BodyStream>(&self, head: RequestHead, mut body: B) -> Response {
@@ -238,14 +243,14 @@
         tx: &mpsc::Sender<Result<Bytes, String>>,
     ) {
         self.sleep(self.prefill(prompt)).await;
-        let from = request.resume.as_ref().map_or(0, |resume| resume.tokens);
+        let first_position = request.resume.as_ref().map_or(0, |resume| resume.tokens);
         let max_tokens = request.max_tokens.unwrap_or_else(|| text::token_count(prompt));
-        for position in from..max_tokens {
-            if position > from {
-                let (token, ..) = self.timing();
-                self.sleep(token).await;
+        for position in first_position..max_tokens {
+            if position > first_position {
+                let (token_interval, ..) = self.timing();
+                self.sleep(token_interval).await;
             }
-            if position == from + 2 && self.take_interruption(prompt) {
+            if position == first_position + 2 && self.take_interruption(prompt) {
                 drop(tx.send(Err(String::from("interrupted"))).await);
                 return;
             }
--- a/crates/standin/src/runner.rs
+++ b/crates/standin/src/runner.rs
@@ -216,7 +216,7 @@
         let mut response = match failure_status {
             Some(status) => http::bytes(status, "text/plain", Bytes::from_static(b"failed")),
             None => {
-                let (sender, pieces) = mpsc::channel(4);
+                let (tx, rx) = mpsc::channel(4);
                 let runner = self.clone();
                 let id = id.clone();
                 drop(tokio::spawn(async move {
@@ -225,12 +225,10 @@
                         runner.process.crash.notify_one();
                         std::future::pending::<()>().await;
                     }
-                    runner
-                        .stream_events(&id, last_event_id, is_interrupted, run_index, sender)
-                        .await;
+                    runner.stream_events(&id, last_event_id, is_interrupted, run_index, tx).await;
                     drop((admitted, slot));
                 }));
-                http::stream(200, "text/event-stream", pieces)
+                http::stream(200, "text/event-stream", rx)
             }
         };
         http::set_header(&mut response, REQUEST_ID, echoed);
@@ -244,7 +242,7 @@
         last_event_id: Option<u64>,
         is_interrupted: bool,
         run_index: usize,
-        sender: mpsc::Sender<Result<Bytes, String>>,
+        tx: mpsc::Sender<Result<Bytes, String>>,
     ) {
         let from = last_event_id.map_or(1, |id| id + 1);
         let event_count = self.lock().event_count.unwrap_or(self.config.event_count);
@@ -252,17 +250,17 @@
             let event = format!("id: {n}\ndata: {id}-{n}\n\n");
             if is_interrupted && n >= from + 2 {
                 let half = Bytes::from(event.as_bytes()[..event.len() / 2].to_vec());
-                let _closed = sender.send(Ok(half)).await;
-                let _closed = sender.send(Err(String::from("interrupted"))).await;
+                let _closed = tx.send(Ok(half)).await;
+                let _closed = tx.send(Err(String::from("interrupted"))).await;
                 return;
             }
             tokio::select! {
-                sent = sender.send(Ok(Bytes::from(event))) => if sent.is_err() { return },
-                () = sender.closed() => return,
+                sent = tx.send(Ok(Bytes::from(event))) => if sent.is_err() { return },
+                () = tx.closed() => return,
             }
             tokio::select! {
                 () = tokio::time::sleep(self.config.event_interval) => {}
-                () = sender.closed() => return,
+                () = tx.closed() => return,
             }
         }
         if let Some(run) = self.lock().runs.get_mut(run_index) {
