--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -97,7 +97,7 @@
             continue;
         }
         let decision = table.decide(report.fingerprint, now);
-        slog::info!(node.log, "request struck"; "content" => hex(report.fingerprint),
+        slog::info!(node.log, "crash report recorded"; "content" => hex(report.fingerprint),
             "target" => &report.start.target, "born" => report.start.started_at,
             "acquitted" => report.is_cleared, "age_ms" => report.age_ms, "from" => from,
             "crashes" => crashes, "verdict" => ?decision);
--- a/crates/daemon/tests/gateway_crash.rs
+++ b/crates/daemon/tests/gateway_crash.rs
@@ -148,7 +148,7 @@
 
 fn is_quarantine_line(line: &Value) -> bool {
     let decision = line["verdict"].as_str().unwrap_or_default();
-    line["msg"] == "request struck" && decision.starts_with("Quarantined")
+    line["msg"] == "crash report recorded" && decision.starts_with("Quarantined")
 }
 
 #[test]
