--- a/crates/daemon/src/gateway/takeover.rs
+++ b/crates/daemon/src/gateway/takeover.rs
@@ -239,7 +239,7 @@
     let request = PeerRequest::TakeOver(id.clone(), handoff);
     while clock::now() < until {
         if node.request(holder.address, &request, HANDOFF_TIMEOUT).await.is_ok() {
-            slog::info!(node.log, "what was learnt passed on"; "job" => &id,
+            slog::info!(node.log, "handoff sent"; "job" => &id,
                 "to" => %holder.address);
             return;
         }
--- a/crates/daemon/tests/gateway_holders.rs
+++ b/crates/daemon/tests/gateway_holders.rs
@@ -245,8 +245,6 @@
         fleet.log(0).last_message("job overtaken").is_some()
     });
     fleet.gateways.iter().for_each(|gateway| gateway.set_unreachable(&[]));
-    wait_until("the progress is sent", || {
-        fleet.log(0).last_message("what was learnt passed on").is_some()
-    });
+    wait_until("the progress is sent", || fleet.log(0).last_message("handoff sent").is_some());
     assert_results(&fleet.wait_results(1, "taken"), &items, 40);
 }
