--- a/crates/daemon/src/gateway/job_writer.rs
+++ b/crates/daemon/src/gateway/job_writer.rs
@@ -220,7 +220,7 @@
     let holder = held.state.borrow().holder();
     held.changed.notify_waiters();
     if holder.instance != node.id() {
-        slog::info!(node.log, "job overtaken"; "job" => &object.name,
+        slog::info!(node.log, "job taken over elsewhere"; "job" => &object.name,
             "holder" => format!("{:x}", holder.instance), "revision" => object.revision);
         job_table::release(node, held);
         spawn_local(hand_off_progress(node.clone(), held.clone(), holder));
--- a/crates/daemon/tests/gateway_holders.rs
+++ b/crates/daemon/tests/gateway_holders.rs
@@ -125,12 +125,12 @@
     wait_until("another instance takes over", || is_taken_over(1) || is_taken_over(2));
     fleet.gateways[0].thaw();
     wait_until("the old holder detects the takeover", || {
-        fleet.log(0).last_message("job overtaken").is_some()
+        fleet.log(0).last_message("job taken over elsewhere").is_some()
     });
     let results = fleet.wait_results(1, "taken");
     assert_eq!(results.len(), items.len());
     let lines = fleet.log(0);
-    let detected = lines.iter().position(|line| line["msg"] == "job overtaken");
+    let detected = lines.iter().position(|line| line["msg"] == "job taken over elsewhere");
     let after = &lines[detected.expect("the takeover was detected")..];
     assert!(!after.iter().any(|line| line["msg"] == "results durable"), "{after:?}");
 }
@@ -242,7 +242,7 @@
     fleet.gateways[1].set_unreachable(&peers[..1]);
     fleet.gateways[2].set_unreachable(&peers[..1]);
     wait_until("the old holder detects the takeover", || {
-        fleet.log(0).last_message("job overtaken").is_some()
+        fleet.log(0).last_message("job taken over elsewhere").is_some()
     });
     fleet.gateways.iter().for_each(|gateway| gateway.set_unreachable(&[]));
     wait_until("the progress is sent", || fleet.log(0).last_message("handoff sent").is_some());
