--- a/crates/daemon/src/gateway/job_scan.rs
+++ b/crates/daemon/src/gateway/job_scan.rs
@@ -143,7 +143,7 @@
             break;
         }
     }
-    slog::info!(node.log, "jobs swept"; "jobs" => jobs, "without_holder" => orphans,
+    slog::info!(node.log, "job scan finished"; "jobs" => jobs, "without_holder" => orphans,
         "after" => range.after, "before" => range.before, "acquainted" => is_warmed_up);
     // Before the warm-up ends, unknown holders may still appear.
     is_done && is_warmed_up
--- a/crates/daemon/tests/gateway_holders.rs
+++ b/crates/daemon/tests/gateway_holders.rs
@@ -71,7 +71,7 @@
     for n in 0..3 {
         fleet.restart(n);
     }
-    let is_list_read = |line: &Value| line["msg"] == "jobs swept" && line["jobs"] == 8;
+    let is_list_read = |line: &Value| line["msg"] == "job scan finished" && line["jobs"] == 8;
     let is_taken_over = |line: &Value| line["msg"] == "job taken over";
     wait_until("the job list is read", || first_time(&fleet, is_list_read).is_some());
     wait_until("a job is taken over", || first_time(&fleet, is_taken_over).is_some());
